--- a/crates/geraniumgauge/src/member/digest.rs
+++ b/crates/geraniumgauge/src/member/digest.rs
@@ -1,25 +1,25 @@
-//! Hashes of everything a VM holds, by bucket, so that two VMs find what
-//! differs between them without sending it all.
+//! Hashes of everything a VM holds, by bucket, by which two VMs find their
+//! differences without sending everything.
 
 use bytes::BufMut as _;
 
-/// Buckets. Their hashes fill one datagram; at a few thousand VMs a bucket
-/// holds about ten records, so one difference costs about ten records to mend.
+/// Number of buckets. Their hashes fill one datagram. At a few thousand VMs a
+/// bucket holds about ten records, so repairing one difference takes about ten.
 pub(super) const BUCKETS: usize = 256;
 
-/// One hash a bucket, over the unordered set of what it holds.
+/// One hash per bucket, independent of the order of the items in it.
 #[derive(Debug, Clone)]
 pub(super) struct Digest {
     hashes: Vec<u32>,
 }
 
-/// The bucket of a subject whose hash is `subject`.
-pub(super) fn bucket(subject: u64) -> usize {
-    (subject % BUCKETS as u64) as usize
+/// Returns the bucket of a name hash.
+pub(super) fn bucket(name_hash: u64) -> usize {
+    (name_hash % BUCKETS as u64) as usize
 }
 
-/// The hash by which a VM's or a rumour's name picks its bucket.
-pub(super) fn name(kind: u64, text: &str) -> u64 {
+/// Hashes a VM's name or an update's key; `kind` seeds the hash.
+pub(super) fn name_hash(kind: u64, text: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(text.as_bytes(), kind)
 }
 
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Adds an item's hash, or takes it out again.
-    pub(super) fn toggle(&mut self, subject: u64, content: u64) {
-        self.hashes[bucket(subject)] ^= (content ^ (content >> 32)) as u32;
+    /// Adds an item's hash, or removes it if present.
+    pub(super) fn toggle(&mut self, name_hash: u64, content: u64) {
+        self.hashes[bucket(name_hash)] ^= (content ^ (content >> 32)) as u32;
     }
 
     pub(super) fn encode(&self) -> bytes::Bytes {
@@ -41,7 +41,7 @@
         bytes.freeze()
     }
 
-    /// The buckets in which `other` differs; none where it's no digest.
+    /// Returns the buckets in which `other` differs; none if its length is wrong.
     pub(super) fn differing(&self, other: &[u8]) -> Vec<usize> {
         if other.len() != BUCKETS * 4 {
             return Vec::new();
--- a/crates/geraniumgauge/src/member/mod.rs
+++ b/crates/geraniumgauge/src/member/mod.rs
@@ -1,8 +1,8 @@
-//! Membership: which VMs are there, as this VM sees it, and the rumours that
-//! members pass on with their probes.
+//! Cluster membership as this VM sees it, and the gossip updates that members
+//! pass on with their probes.
 
-mod count;
 mod digest;
+mod instruments;
 mod queue;
 pub mod record;
 mod service;
@@ -18,27 +18,28 @@
 pub use view::State;
 pub use view::View;
 
-/// A small versioned fact that members pass on with their probes. For one
-/// topic and key a higher version replaces a lower one; equal ones are doubles.
+/// A gossip update: a small versioned fact that members pass on with their
+/// probes. For a given topic and key the highest version wins; an equal version
+/// is a duplicate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rumour {
-    /// Which duty it belongs to.
+    /// The subsystem that the update belongs to.
     pub topic: Topic,
-    /// What it is about, within its topic.
+    /// Identifies what the update is about within its topic.
     pub key: String,
-    /// Higher replaces lower.
+    /// A higher version replaces a lower one.
     pub version: u64,
-    /// The fact, in the duty's own encoding; at most a few hundred bytes.
+    /// The fact, in the subsystem's own encoding; at most a few hundred bytes.
     pub body: bytes::Bytes,
 }
 
-/// Duties that spread rumours.
+/// Subsystems that publish gossip updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
-    /// A newer accepted document or layout exists; key is the service.
+    /// A newer accepted document or layout exists. The key is the service.
     Catalog,
-    /// What a VM applies; key is the VM.
+    /// The documents and layouts that a VM applies. The key is the VM.
     Applied,
-    /// A request that may crash upstreams; key is its fingerprint.
+    /// A request that is suspected of crashing upstreams. The key is its fingerprint.
     Mark,
 }
--- a/crates/geraniumgauge/src/member/queue.rs
+++ b/crates/geraniumgauge/src/member/queue.rs
@@ -1,4 +1,5 @@
-//! News still to be passed on: the least-told first, each a bounded number of times.
+//! The gossip queue: records and updates to send, by priority and then the least
+//! often sent first, each a bounded number of times.
 
 use std::collections;
 use std::sync;
@@ -6,8 +7,8 @@
 use crate::ids;
 use crate::member;
 
-/// What a piece of news is about; its content is looked up when it's sent, so
-/// a newer saying takes the older one's place without being queued twice.
+/// Identifies a queued record or update. Its content is looked up when it is sent,
+/// so a newer version replaces an older one without being queued twice.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Subject {
     Vm(ids::Vm),
@@ -15,10 +16,10 @@
 }
 
 impl Subject {
-    /// Lower goes first. When a data centre is lost, hundreds of sayings wait;
-    /// marks and accepted documents must not wait behind them. What each VM
-    /// applies is only counted.
-    fn class(&self) -> u8 {
+    /// Returns the send priority; lower goes first. When a data centre is lost,
+    /// hundreds of records are queued, and marks and accepted documents must not
+    /// wait behind them. What each VM applies is only counted, so it goes last.
+    fn priority(&self) -> u8 {
         match self {
             Self::Rumour(member::Topic::Mark, _) => 0,
             Self::Rumour(member::Topic::Catalog, _) => 1,
@@ -27,50 +28,51 @@
         }
     }
 
-    /// Whether it's sent from the reserve when all else is spent.
+    /// Whether the subject is sent from the reserve once the budget is used up.
     pub(super) fn is_urgent(&self) -> bool {
-        self.class() <= 1
+        self.priority() <= 1
     }
 }
 
-/// The queue.
+/// Queued subjects and how often each has been sent.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     order: collections::BTreeSet<(u8, u32, Subject)>,
-    told: collections::HashMap<Subject, u32>,
+    sent: collections::HashMap<Subject, u32>,
 }
 
 impl Queue {
-    /// `subject` has news: it's told from the start again.
+    /// Queues a subject whose content is new, and resets its count.
     pub(super) fn add(&mut self, subject: Subject) {
         self.remove(&subject);
-        self.order.insert((subject.class(), 0, subject.clone()));
-        self.told.insert(subject, 0);
+        self.order.insert((subject.priority(), 0, subject.clone()));
+        self.sent.insert(subject, 0);
     }
 
     pub(super) fn remove(&mut self, subject: &Subject) {
-        if let Some(told) = self.told.remove(subject) {
-            self.order.remove(&(subject.class(), told, subject.clone()));
+        if let Some(sent) = self.sent.remove(subject) {
+            self.order
+                .remove(&(subject.priority(), sent, subject.clone()));
         }
     }
 
-    /// The subjects to be told next, in order.
-    pub(super) fn next(&self) -> impl Iterator<Item = &Subject> {
+    /// Returns the queued subjects in the order of sending.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Subject> {
         self.order.iter().map(|(_, _, subject)| subject)
     }
 
-    /// `subject` was told once more; at `limit` times it's dropped.
-    pub(super) fn told(&mut self, subject: &Subject, limit: u32) {
-        let Some(told) = self.told.get_mut(subject) else {
+    /// Counts one transmission of `subject` and removes it after `limit` of them.
+    pub(super) fn count_sent(&mut self, subject: &Subject, limit: u32) {
+        let Some(sent) = self.sent.get_mut(subject) else {
             return;
         };
-        let entry = (subject.class(), *told, subject.clone());
+        let entry = (subject.priority(), *sent, subject.clone());
         self.order.remove(&entry);
-        *told += 1;
-        if *told >= limit {
-            self.told.remove(subject);
+        *sent += 1;
+        if *sent >= limit {
+            self.sent.remove(subject);
         } else {
-            self.order.insert((entry.0, *told, entry.2));
+            self.order.insert((entry.0, *sent, entry.2));
         }
     }
 
--- a/crates/geraniumgauge/src/member/record.rs
+++ b/crates/geraniumgauge/src/member/record.rs
@@ -1,47 +1,48 @@
-//! What VMs say of one another, and which saying wins.
+//! Membership records and how two of the same VM are merged.
 
 use std::net;
 
 use crate::ids;
 use crate::member;
 
-/// How well a VM is.
+/// Health of a VM as found by probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Health {
-    /// It answers.
+    /// The VM answers probes.
     Alive,
-    /// It has missed probes.
+    /// The VM has not answered a probe.
     Suspect,
-    /// It has not refuted the suspicion in time.
+    /// The VM has not refuted the suspicion in time.
     Dead,
 }
 
-/// One saying about one VM.
+/// The membership record of one VM.
 ///
-/// Sayings form a lattice, so VMs that have heard the same ones hold the same
-/// record whatever the order, the doubles and the losses: a later start wins;
-/// within a start, leaving is never undone, and of the rest the higher pair of
-/// refutation and health wins. Only the VM itself raises its refutation.
+/// Records form a join-semilattice: VMs that have received the same records hold
+/// the same result, whatever the order and the duplicates. A later incarnation
+/// wins. Within an incarnation `leaving` is never reset, and of the other fields
+/// those with the higher pair of `refutation` and `health` win. Only the VM itself
+/// raises its refutation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// The VM.
+    /// Name of the VM.
     pub vm: ids::Vm,
-    /// Which start of it.
+    /// Incarnation of the VM: a number that rises with each start.
     pub incarnation: ids::Incarnation,
-    /// How often this start has refuted a suspicion.
+    /// Number of suspicions refuted in this incarnation.
     pub refutation: u32,
-    /// Where it runs.
+    /// Data centre of the VM.
     pub data_centre: ids::DataCentre,
-    /// Where it listens.
+    /// Address of its mesh and probes.
     pub address: net::SocketAddr,
-    /// It has announced its stop.
+    /// Set once the VM has announced that it is leaving.
     pub leaving: bool,
-    /// How well it is.
+    /// Health of the VM.
     pub health: Health,
 }
 
 impl Record {
-    /// What holds once `other` is heard as well; `None` where that's no news.
+    /// Merges another record of the same VM. Returns `None` if that changes nothing.
     pub fn merge(&self, other: &Self) -> Option<Self> {
         if other.incarnation > self.incarnation {
             return Some(other.clone());
@@ -50,24 +51,25 @@
             return None;
         }
         let leaving = self.leaving || other.leaving;
-        let newer = (other.refutation, other.health) > (self.refutation, self.health);
-        if !newer && leaving == self.leaving {
+        let supersedes = (other.refutation, other.health) > (self.refutation, self.health);
+        if !supersedes && leaving == self.leaving {
             return None;
         }
-        let base = if newer { other } else { self };
+        let base = if supersedes { other } else { self };
         let mut merged = base.clone();
         merged.leaving = leaving;
         Some(merged)
     }
 
-    /// Whether it's held to be there.
+    /// Whether the VM is not dead.
     pub fn is_live(&self) -> bool {
         self.health != Health::Dead
     }
 
-    /// As a member of the view; `flagged` where the platform lists it as leaving.
-    pub(super) fn member(&self, flagged: bool) -> member::Member {
-        let state = match (self.leaving || flagged, self.health) {
+    /// Converts to a member of the view. `listed_leaving` is set if the platform's
+    /// list marks the VM as leaving.
+    pub(super) fn to_member(&self, listed_leaving: bool) -> member::Member {
+        let state = match (self.leaving || listed_leaving, self.health) {
             (true, _) => member::State::Leaving,
             (false, Health::Alive) => member::State::Alive,
             (false, _) => member::State::Suspect,
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Equal for equal sayings; 0 for the dead, whom VMs forget at different times.
+    /// Returns a hash for digests. It is 0 for dead VMs, since members forget them at
+    /// different times.
     pub(super) fn fingerprint(&self) -> u64 {
         if !self.is_live() {
             return 0;
--- a/crates/geraniumgauge/src/member/service.rs
+++ b/crates/geraniumgauge/src/member/service.rs
@@ -1,4 +1,5 @@
-//! The membership of one VM as its other parts use it.
+//! The membership service: runs the state machine on a UDP socket and offers the
+//! view and the gossip updates to the rest of the VM.
 
 use std::collections;
 use std::net;
@@ -17,7 +18,7 @@
 
 use crate::ids;
 use crate::member;
-use crate::member::count;
+use crate::member::instruments;
 use crate::member::record;
 use crate::member::settings;
 use crate::member::state;
@@ -26,40 +27,40 @@
 use crate::time;
 use crate::timer;
 
-/// Rumours a slow subscriber may lag behind; it's told how many it missed and
-/// catches up with [`Service::all_rumours`].
-const RUMOURS: usize = 4096;
+/// Updates that a slow subscriber may lag behind. Beyond that it receives the
+/// number it missed and catches up with [`Service::all_rumours`].
+const MAX_UNREAD_RUMOURS: usize = 4096;
 
-/// How often the platform's list is read while that has not worked yet.
-const FIRST_LIST: spans::Duration = spans::Duration::from_secs(1);
+/// First delay after a failed read of the platform's list.
+const LIST_RETRY_INTERVAL: spans::Duration = spans::Duration::from_secs(1);
 
-/// Reads of the platform's list a second by all VMs together.
-const LISTS_A_SECOND: f64 = 10.0;
+/// Reads of the platform's list per second by all VMs together.
+const LIST_READS_PER_SECOND: f64 = 10.0;
 
-/// Shortest time between two reads of the list by one VM.
-const LIST: spans::Duration = spans::Duration::from_secs(10);
+/// Shortest interval between two successful reads of the list by one VM.
+const MIN_LIST_INTERVAL: spans::Duration = spans::Duration::from_secs(10);
 
-/// How the membership of a VM is set up.
+/// Configuration of a VM's membership.
 #[derive(Debug)]
 pub struct Config {
-    /// This VM.
+    /// Name of this VM.
     pub vm: ids::Vm,
-    /// Which start of it.
+    /// Incarnation of this VM: a number that rises with each start.
     pub incarnation: ids::Incarnation,
-    /// Where it runs.
+    /// Data centre of this VM.
     pub data_centre: ids::DataCentre,
-    /// Where others reach its mesh and its probes.
+    /// Address at which other VMs reach this VM's mesh and probes.
     pub address: net::SocketAddr,
-    /// The socket for probes, bound to `address`.
+    /// UDP socket for probes, bound to `address`.
     pub socket: sockets::UdpSocket,
-    /// Members to start with, when the store is out.
+    /// Addresses of members to ask first, for when the store is unavailable.
     pub seeds: Vec<net::SocketAddr>,
-    /// Intervals and bounds.
+    /// Intervals and limits of the protocol.
     pub settings: settings::Settings,
 }
 
 impl Config {
-    /// Defaults for a VM without seeds.
+    /// Returns a configuration without seeds and with default settings.
     pub fn new(
         vm: ids::Vm,
         incarnation: ids::Incarnation,
@@ -79,16 +80,17 @@
     }
 }
 
-/// The membership's handle; clones share it.
+/// Handle of the membership service; clones share it.
 #[derive(Debug, Clone)]
 pub struct Service {
     view: watch::Receiver<member::Shared>,
     rumours: broadcast::Sender<member::Rumour>,
-    held: Held,
+    newest: Rumours,
     commands: mpsc::UnboundedSender<Command>,
 }
 
-type Held = sync::Arc<sync::Mutex<collections::BTreeMap<(member::Topic, String), member::Rumour>>>;
+type Rumours =
+    sync::Arc<sync::Mutex<collections::BTreeMap<(member::Topic, String), member::Rumour>>>;
 
 #[derive(Debug)]
 enum Command {
@@ -98,7 +100,7 @@
 }
 
 impl Service {
-    /// Starts the membership. Call within a tokio runtime.
+    /// Starts the membership service. Must be called within a tokio runtime.
     pub fn start(
         config: Config,
         store: sync::Arc<dyn store::Api>,
@@ -115,15 +117,15 @@
             leaving: false,
             health: record::Health::Alive,
         };
-        let tick = config.settings.tick;
+        let tick = config.settings.tick_interval;
         let (seeds, now) = (config.seeds, clock.now());
         let state = state::State::new(own, seeds, config.settings, rand::random(), now);
         let (sender, view) = watch::channel(sync::Arc::new(state.view()));
         let (commands, received) = mpsc::unbounded_channel();
         let service = Self {
             view,
-            rumours: broadcast::channel(RUMOURS).0,
-            held: Held::default(),
+            rumours: broadcast::channel(MAX_UNREAD_RUMOURS).0,
+            newest: Rumours::default(),
             commands,
         };
         let worker = Worker {
@@ -132,9 +134,9 @@
             socket: udp::UdpFramed::new(config.socket, wire::Codec),
             view: sender,
             rumours: service.rumours.clone(),
-            held: sync::Arc::clone(&service.held),
-            figures: count::shown(meter),
-            leaving: Vec::new(),
+            newest: sync::Arc::clone(&service.newest),
+            stats: instruments::register(meter),
+            leave_waiters: Vec::new(),
         };
         let ticks = timer.jittered(tick);
         tokio::spawn(worker.run(received, ticks));
@@ -142,50 +144,50 @@
         service
     }
 
-    /// The view, and its changes.
+    /// Returns a receiver of the current view and its changes.
     pub fn view(&self) -> watch::Receiver<member::Shared> {
         self.view.clone()
     }
 
-    /// Spreads a rumour; this VM's own subscribers hear it too. One that is no
-    /// newer than what is held for its topic and key is dropped.
+    /// Publishes an update to all members and to this VM's own subscribers. It is
+    /// dropped if its version isn't higher than the one held for its topic and key.
     pub fn publish(&self, rumour: member::Rumour) {
         drop(self.commands.send(Command::Publish(rumour)));
     }
 
-    /// Rumours that are new to this VM, from now on.
+    /// Returns a receiver of updates that are new to this VM from now on.
     pub fn rumours(&self) -> broadcast::Receiver<member::Rumour> {
         self.rumours.subscribe()
     }
 
-    /// The newest rumours of `topic`, for those who subscribe late.
+    /// Returns the newest update for each key of `topic`, for late subscribers.
     pub fn all_rumours(&self, topic: member::Topic) -> Vec<member::Rumour> {
-        let held = self.held.lock();
-        let held = held.unwrap_or_else(sync::PoisonError::into_inner);
-        let of_topic = held.values().filter(|rumour| rumour.topic == topic);
+        let newest = self.newest.lock();
+        let newest = newest.unwrap_or_else(sync::PoisonError::into_inner);
+        let of_topic = newest.values().filter(|rumour| rumour.topic == topic);
         of_topic.cloned().collect()
     }
 
-    /// Announces that this VM stops; returns once three members, or all there
-    /// are, have confirmed it, after two seconds at the latest.
+    /// Announces that this VM is leaving. Returns once three members have
+    /// confirmed it, or all if there are fewer, and after two seconds at the latest.
     pub async fn leave(&self) {
-        let (told, announced) = oneshot::channel();
-        drop(self.commands.send(Command::Leave(told)));
-        // An error means that the membership has stopped already.
+        let (done, announced) = oneshot::channel();
+        drop(self.commands.send(Command::Leave(done)));
+        // An error means that the service has already stopped.
         drop(announced.await);
     }
 }
 
-/// Carries the state machine's actions out.
+/// Runs the state machine and performs its actions.
 struct Worker {
     state: state::State,
     clock: time::Clock,
     socket: udp::UdpFramed<wire::Codec>,
     view: watch::Sender<member::Shared>,
     rumours: broadcast::Sender<member::Rumour>,
-    held: Held,
-    figures: count::Shared,
-    leaving: Vec<oneshot::Sender<()>>,
+    newest: Rumours,
+    stats: instruments::Shared,
+    leave_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Worker {
@@ -195,14 +197,14 @@
         mut ticks: timer::Subscription,
     ) {
         loop {
-            // Datagrams first: after a pause, what has come in meanwhile must
-            // be read before time is looked at.
+            // Datagrams first: after a pause, those that arrived during it must be
+            // processed before any timer expires.
             let event = tokio::select! {
                 biased;
                 datagram = self.socket.next() => match datagram {
                     Some(Ok((datagram, from))) => state::Event::Datagram { from, datagram },
                     Some(Err(error)) => {
-                        log::debug!("membership: a datagram was dropped: {error}");
+                        log::debug!("membership: dropped a received datagram: {error}");
                         continue;
                     }
                     None => return,
@@ -210,8 +212,8 @@
                 command = commands.recv() => match command {
                     Some(Command::Publish(rumour)) => state::Event::Publish(rumour),
                     Some(Command::Listed(vms)) => state::Event::Listed(vms),
-                    Some(Command::Leave(told)) => {
-                        self.leaving.push(told);
+                    Some(Command::Leave(done)) => {
+                        self.leave_waiters.push(done);
                         state::Event::Leave
                     }
                     None => return,
@@ -224,68 +226,69 @@
             let ticked = matches!(event, state::Event::Tick);
             let actions = self.state.handle(event, self.clock.now());
             for action in actions {
-                self.carry_out(action).await;
+                self.perform(action).await;
             }
             if ticked {
-                let figures = self.figures.lock();
-                *figures.unwrap_or_else(sync::PoisonError::into_inner) = self.state.figures();
+                let stats = self.stats.lock();
+                *stats.unwrap_or_else(sync::PoisonError::into_inner) = self.state.stats();
             }
         }
     }
 
-    async fn carry_out(&mut self, action: state::Action) {
+    async fn perform(&mut self, action: state::Action) {
         match action {
             state::Action::Send { to, datagram } => {
                 if let Err(error) = self.socket.send((datagram, to)).await {
-                    log::debug!("membership: a datagram to {to} was not sent: {error}");
+                    log::debug!("membership: failed to send a datagram to {to}: {error}");
                 }
             }
             state::Action::View(view) => drop(self.view.send_replace(view)),
-            state::Action::Heard(rumour) => self.hear(rumour),
+            state::Action::Received(rumour) => self.deliver(rumour),
             state::Action::Announced => {
-                for told in self.leaving.drain(..) {
-                    // An error means that the caller waits no more.
-                    let _ = told.send(());
+                for done in self.leave_waiters.drain(..) {
+                    // An error means that the caller no longer waits.
+                    let _ = done.send(());
                 }
             }
-            state::Action::Twin(address) => log::error!(
-                "membership: another VM at {address} bears this VM's name and started later; \
-                 give each VM a name of its own"
+            state::Action::DuplicateName(address) => log::error!(
+                "membership: another VM at {address} has the same name as this one and started \
+                 later; VM names must be unique"
             ),
         }
     }
 
-    fn hear(&mut self, rumour: member::Rumour) {
-        let held = self.held.lock();
-        let mut held = held.unwrap_or_else(sync::PoisonError::into_inner);
-        held.insert((rumour.topic, rumour.key.clone()), rumour.clone());
-        drop(held);
-        // An error means that nobody subscribes.
+    fn deliver(&mut self, rumour: member::Rumour) {
+        let newest = self.newest.lock();
+        let mut newest = newest.unwrap_or_else(sync::PoisonError::into_inner);
+        newest.insert((rumour.topic, rumour.key.clone()), rumour.clone());
+        drop(newest);
+        // An error means that there are no subscribers.
         drop(self.rumours.send(rumour));
     }
 }
 
-/// Reads the platform's list: at once and then slowly, the slower the more VMs
-/// there are, so that all together stay within [`LISTS_A_SECOND`].
+/// Reads the platform's list at the start and then at an interval that grows with
+/// the number of VMs, so that all together stay within [`LIST_READS_PER_SECOND`].
 async fn read_list(service: Service, store: sync::Arc<dyn store::Api>, timer: timer::Service) {
-    let mut wait = spans::Duration::ZERO;
-    while timer.pause(wait).await {
+    let mut delay = spans::Duration::ZERO;
+    while timer.pause(delay).await {
         let listed = store.vms().await;
         let members = service.view.borrow().members.len();
-        let slow = spans::Duration::from_secs_f64(members as f64 / LISTS_A_SECOND).max(LIST);
+        let interval = spans::Duration::from_secs_f64(members as f64 / LIST_READS_PER_SECOND)
+            .max(MIN_LIST_INTERVAL);
         let next = match listed {
             Ok(vms) => {
                 if service.commands.send(Command::Listed(vms)).is_err() {
                     return;
                 }
-                slow
+                interval
             }
             Err(error) => {
-                log::debug!("membership: the platform's list was not read: {error}");
-                (wait * 2).clamp(FIRST_LIST, slow)
+                log::debug!("membership: failed to read the platform's list of VMs: {error}");
+                (delay * 2).clamp(LIST_RETRY_INTERVAL, interval)
             }
         };
-        wait = next.mul_f64(rand::random_range(0.75..1.25));
+        delay = next.mul_f64(rand::random_range(0.75..1.25));
     }
 }
 
--- a/crates/geraniumgauge/src/member/settings.rs
+++ b/crates/geraniumgauge/src/member/settings.rs
@@ -1,70 +1,70 @@
-//! How often membership does what, and what it may spend.
+//! Intervals of the membership protocol and the bandwidth it may use.
 
 use std::time;
 
 use crate::rate;
 
-/// Intervals and bounds. The defaults fit data centres a few milliseconds apart.
+/// Intervals and limits. The defaults suit data centres a few milliseconds apart.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// How often time is looked at.
-    pub tick: time::Duration,
-    /// One member is probed each interval.
-    pub probe: time::Duration,
-    /// An unanswered probe goes through others after this.
-    pub direct: time::Duration,
-    /// Members that are asked to probe on our behalf.
+    /// Interval at which timers are checked.
+    pub tick_interval: time::Duration,
+    /// Interval between probes; each probes one member.
+    pub probe_interval: time::Duration,
+    /// Time without an answer after which other members are asked to probe.
+    pub direct_timeout: time::Duration,
+    /// Number of members that are asked to probe on this VM's behalf.
     pub relays: usize,
-    /// Probe intervals that a suspect has to refute; times the logarithm of
-    /// the number of members.
-    pub suspicion: u32,
-    /// How often news is told.
-    pub gossip: time::Duration,
-    /// Members that news is told to each time.
+    /// Time that a suspect has to refute, in probe intervals; multiplied by the
+    /// logarithm of the number of members.
+    pub suspicion_intervals: u32,
+    /// Interval between gossip rounds.
+    pub gossip_interval: time::Duration,
+    /// Members that receive updates in each gossip round.
     pub fanout: usize,
-    /// News is told to the logarithm of the number of members plus so many; of
-    /// those, about one in e to that power misses it and finds it by comparing.
-    pub retransmit: u32,
-    /// What is held is compared with one member this often, at least.
-    pub sync: time::Duration,
-    /// Datagrams that answer one comparison.
-    pub sync_datagrams: usize,
-    /// One of the dead, or an address that may hold a member, is tried this often.
-    pub retry: time::Duration,
-    /// The dead are remembered so long.
-    pub tombstone: time::Duration,
-    /// What gossip and comparisons may send, with headers.
-    pub bytes: rate::PerSecond,
-    /// Bytes they may send at once after a quiet time.
-    pub burst: f64,
-    /// What urgent rumours may send beyond that, when it's spent.
-    pub reserve: rate::PerSecond,
-    /// A gap between ticks above this means that this VM was paused.
-    pub pause: time::Duration,
-    /// Rumours held of each topic.
-    pub rumours: usize,
+    /// An update is sent log2(members) times plus this many. About one member in
+    /// e to this power misses it and finds it by comparing digests.
+    pub extra_retransmissions: u32,
+    /// Longest interval between digest comparisons with a random member.
+    pub sync_interval: time::Duration,
+    /// Most datagrams sent in answer to one digest.
+    pub max_sync_datagrams: usize,
+    /// Interval at which a dead member or an address without a known member is tried.
+    pub retry_interval: time::Duration,
+    /// Time for which a dead member is remembered.
+    pub tombstone_lifetime: time::Duration,
+    /// Bandwidth of gossip and digest comparisons, headers included.
+    pub byte_rate: rate::PerSecond,
+    /// Bytes that they may send in a burst after an idle period.
+    pub burst_bytes: f64,
+    /// Additional bandwidth of urgent updates once `byte_rate` is used up.
+    pub urgent_byte_rate: rate::PerSecond,
+    /// A longer gap between ticks means that this process was paused.
+    pub pause_threshold: time::Duration,
+    /// Number of updates kept of each topic.
+    pub max_rumours_per_topic: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            tick: time::Duration::from_millis(100),
-            probe: time::Duration::from_secs(1),
-            direct: time::Duration::from_millis(300),
+            tick_interval: time::Duration::from_millis(100),
+            probe_interval: time::Duration::from_secs(1),
+            direct_timeout: time::Duration::from_millis(300),
             relays: 3,
-            suspicion: 3,
-            gossip: time::Duration::from_millis(200),
+            suspicion_intervals: 3,
+            gossip_interval: time::Duration::from_millis(200),
             fanout: 3,
-            retransmit: 2,
-            sync: time::Duration::from_secs(10),
-            sync_datagrams: 8,
-            retry: time::Duration::from_secs(3),
-            tombstone: time::Duration::from_secs(24 * 3600),
-            bytes: rate::PerSecond(8_000.0),
-            burst: 16_000.0,
-            reserve: rate::PerSecond(2_000.0),
-            pause: time::Duration::from_secs(1),
-            rumours: 8192,
+            extra_retransmissions: 2,
+            sync_interval: time::Duration::from_secs(10),
+            max_sync_datagrams: 8,
+            retry_interval: time::Duration::from_secs(3),
+            tombstone_lifetime: time::Duration::from_secs(24 * 3600),
+            byte_rate: rate::PerSecond(8_000.0),
+            burst_bytes: 16_000.0,
+            urgent_byte_rate: rate::PerSecond(2_000.0),
+            pause_threshold: time::Duration::from_secs(1),
+            max_rumours_per_topic: 8192,
         }
     }
 }
--- a/crates/geraniumgauge/src/member/state/gossip.rs
+++ b/crates/geraniumgauge/src/member/state/gossip.rs
@@ -1,4 +1,4 @@
-//! Passing news on, within the bytes that may be spent.
+//! Sends updates and records to other members within the bandwidth budget.
 
 use std::net;
 use std::sync;
@@ -15,18 +15,19 @@
 use crate::member::wire;
 use crate::time;
 
-/// Bytes that one embedded message takes besides its own: tag and length.
-const EMBEDDED: usize = 3;
+/// Bytes that embedding a message adds to its own size: tag and length.
+const EMBEDDED_OVERHEAD_BYTES: usize = 3;
 
-/// Largest rumour, in bytes; a larger one would crowd out all others.
-const RUMOUR: usize = 1024;
+/// Largest encoded update. A larger one would leave no room for others in a datagram.
+const MAX_RUMOUR_BYTES: usize = 1024;
 
 impl state::State {
-    /// Takes in a rumour, of this VM's own duties or of others.
-    pub(super) fn hear(&mut self, rumour: member::Rumour) {
-        if wire::Rumour::from(&rumour).encoded_len() > RUMOUR {
+    /// Stores an update from this VM's own subsystems or from another member.
+    pub(super) fn receive_update(&mut self, rumour: member::Rumour) {
+        if wire::Rumour::from(&rumour).encoded_len() > MAX_RUMOUR_BYTES {
             log::error!(
-                "membership: a rumour on {} of {} bytes is dropped; the limit is {RUMOUR}",
+                "membership: dropped an update for key {} with a body of {} bytes: \
+                 the encoded limit is {MAX_RUMOUR_BYTES} bytes",
                 rumour.key,
                 rumour.body.len()
             );
@@ -37,24 +38,24 @@
         if held.is_some_and(|held| held.version >= rumour.version) {
             return;
         }
-        let (name, new) = (subject(&rumour), fingerprint(&rumour));
+        let (name_hash, new) = (name_hash(&rumour), fingerprint(&rumour));
         if let Some(held) = held {
-            self.digest.toggle(name, fingerprint(held));
+            self.digest.toggle(name_hash, fingerprint(held));
         } else {
-            self.make_room(rumour.topic);
+            self.evict_if_full(rumour.topic);
         }
-        self.digest.toggle(name, new);
+        self.digest.toggle(name_hash, new);
         let topic = rumour.topic;
         self.urgent |= topic != member::Topic::Applied;
         self.queue
             .add(queue::Subject::Rumour(topic, sync::Arc::clone(&key)));
         self.rumours.insert((topic, key), rumour.clone());
-        self.actions.push(state::Action::Heard(rumour));
+        self.actions.push(state::Action::Received(rumour));
     }
 
-    /// Bounds the rumours of a topic: the first key makes room.
-    fn make_room(&mut self, topic: member::Topic) {
-        if self.rumours.len() < self.settings.rumours {
+    /// Removes the first key of a topic that holds the maximum number of updates.
+    fn evict_if_full(&mut self, topic: member::Topic) {
+        if self.rumours.len() < self.settings.max_rumours_per_topic {
             return;
         }
         let first = (topic, sync::Arc::from(""));
@@ -63,44 +64,44 @@
         let keys: Vec<_> = of_topic
             .map(|((_, key), _)| sync::Arc::clone(key))
             .collect();
-        if keys.len() >= self.settings.rumours {
-            self.forget_rumour(topic, &keys[0]);
+        if keys.len() >= self.settings.max_rumours_per_topic {
+            self.remove_rumour(topic, &keys[0]);
         }
     }
 
-    pub(super) fn forget_rumour(&mut self, topic: member::Topic, key: &str) {
+    pub(super) fn remove_rumour(&mut self, topic: member::Topic, key: &str) {
         let key: sync::Arc<str> = key.into();
         if let Some(held) = self.rumours.remove(&(topic, sync::Arc::clone(&key))) {
-            self.digest.toggle(subject(&held), fingerprint(&held));
+            self.digest.toggle(name_hash(&held), fingerprint(&held));
             self.queue.remove(&queue::Subject::Rumour(topic, key));
         }
     }
 
-    /// Tells news to a few members, where there is news.
+    /// Sends queued updates to `fanout` members; does nothing if none are queued.
     pub(super) fn gossip(&mut self, now: time::Moment) {
         for _ in 0..self.settings.fanout {
             if self.queue.len() == 0 {
                 return;
             }
-            let Some((vm, address)) = self.next_told() else {
+            let Some((vm, address)) = self.next_gossip_target() else {
                 return;
             };
             self.send(address, Some(&vm), None, now);
         }
     }
 
-    /// The next member to tell news to: all in a random order, then all in
-    /// another one. Failure: picked by chance each time, the six tellings of
-    /// each of a dozen members left one member out at 1 in 120 seeds, and it
-    /// found an urgent rumour only by comparing, up to ten seconds later.
-    fn next_told(&mut self) -> Option<(ids::Vm, net::SocketAddr)> {
-        if self.order.is_empty() {
+    /// Returns the next member to gossip to. All members are visited in a random
+    /// order before a new order is drawn. With independent random picks, a dozen
+    /// members sending six times each left one member out at 1 in 120 seeds; it
+    /// found an urgent update only by comparing digests, up to ten seconds later.
+    fn next_gossip_target(&mut self) -> Option<(ids::Vm, net::SocketAddr)> {
+        if self.gossip_order.is_empty() {
             let live = self.members.values().map(|entry| &entry.record);
             let live = live.filter(|record| record.is_live());
-            self.order = live.map(|record| record.vm.clone()).collect();
-            self.order.shuffle(&mut self.rng);
+            self.gossip_order = live.map(|record| record.vm.clone()).collect();
+            self.gossip_order.shuffle(&mut self.rng);
         }
-        while let Some(vm) = self.order.pop() {
+        while let Some(vm) = self.gossip_order.pop() {
             let record = self.record(&vm).filter(|record| record.is_live());
             if let Some(address) = record.map(|record| record.address) {
                 return Some((vm, address));
@@ -109,9 +110,9 @@
         None
     }
 
-    /// Sends a datagram with as much news as fits it and the budget. Probes and
-    /// answers go without news where the budget is spent: they are few, and
-    /// must not wait for gossip.
+    /// Sends a datagram with as many queued updates as fit. If the budget is used
+    /// up, probes and answers are sent without updates: they are few and must not
+    /// wait for gossip.
     pub(super) fn send(
         &mut self,
         to: net::SocketAddr,
@@ -119,137 +120,150 @@
         kind: Option<wire::Kind>,
         now: time::Moment,
     ) {
-        let bare = self.parcel(kind, vm);
+        let bare = self.builder(kind, vm);
         let all = self.fill(&bare, |_| true);
         if self.budget.take(all.0.cost(), now) {
-            return self.tell(to, all);
+            return self.send_counted(to, all);
         }
         let urgent = self.fill(&bare, queue::Subject::is_urgent);
         if !urgent.1.is_empty() && self.reserve.take(urgent.0.cost(), now) {
-            self.tell(to, urgent);
+            self.send_counted(to, urgent);
         } else if bare.datagram.kind.is_some() {
-            self.post(to, bare);
+            self.send_built(to, bare);
         }
     }
 
-    fn tell(&mut self, to: net::SocketAddr, (parcel, told): (Parcel, Vec<queue::Subject>)) {
-        for subject in told {
-            self.queue.told(&subject, self.retransmissions(&subject));
+    /// Sends a datagram and counts one transmission of each included update.
+    fn send_counted(
+        &mut self,
+        to: net::SocketAddr,
+        (builder, included): (Builder, Vec<queue::Subject>),
+    ) {
+        for subject in included {
+            self.queue
+                .count_sent(&subject, self.retransmission_limit(&subject));
         }
-        self.post(to, parcel);
+        self.send_built(to, builder);
     }
 
-    pub(super) fn post(&mut self, to: net::SocketAddr, parcel: Parcel) {
-        self.figures.datagrams += 1;
-        self.figures.bytes += (parcel.size + wire::HEADERS) as u64;
-        let datagram = parcel.datagram;
+    /// Sends a datagram without charging the budget.
+    pub(super) fn send_built(&mut self, to: net::SocketAddr, builder: Builder) {
+        self.stats.datagrams += 1;
+        self.stats.bytes += (builder.size + wire::HEADER_BYTES) as u64;
+        let datagram = builder.datagram;
         self.actions.push(state::Action::Send { to, datagram });
     }
 
-    /// A datagram to `vm` with what is thought of it, if that's for it to refute.
-    pub(super) fn parcel(&self, kind: Option<wire::Kind>, vm: Option<&ids::Vm>) -> Parcel {
+    /// Starts a datagram to `vm`. If `vm` is held suspect or dead, the datagram
+    /// carries that record for `vm` to refute.
+    pub(super) fn builder(&self, kind: Option<wire::Kind>, vm: Option<&ids::Vm>) -> Builder {
         let mut datagram = wire::Datagram {
-            from: Some(wire::Saying::from(&self.own)),
+            from: Some(wire::Record::from(&self.own)),
             kind,
             ..wire::Datagram::default()
         };
         let record = vm.and_then(|vm| self.record(vm));
-        let accused = record.filter(|record| record.health != record::Health::Alive);
-        datagram.sayings.extend(accused.map(wire::Saying::from));
-        Parcel {
+        let disputed = record.filter(|record| record.health != record::Health::Alive);
+        datagram.records.extend(disputed.map(wire::Record::from));
+        Builder {
             size: datagram.encoded_len(),
             datagram,
         }
     }
 
-    /// `bare` with as much news as fits, in order, while it is `wanted`.
+    /// Returns `bare` with the queued updates that fit, in queue order, up to the
+    /// first that `included_if` rejects.
     fn fill(
         &self,
-        bare: &Parcel,
-        wanted: impl Fn(&queue::Subject) -> bool,
-    ) -> (Parcel, Vec<queue::Subject>) {
-        let mut parcel = bare.clone();
-        let mut told = Vec::new();
-        for subject in self.queue.next().take_while(|subject| wanted(subject)) {
-            if !self.add(&mut parcel, subject) {
+        bare: &Builder,
+        included_if: impl Fn(&queue::Subject) -> bool,
+    ) -> (Builder, Vec<queue::Subject>) {
+        let mut builder = bare.clone();
+        let mut included = Vec::new();
+        for subject in self.queue.iter().take_while(|subject| included_if(subject)) {
+            if !self.add(&mut builder, subject) {
                 break;
             }
-            told.push(subject.clone());
+            included.push(subject.clone());
         }
-        (parcel, told)
+        (builder, included)
     }
 
-    /// Adds what is held of `subject`; false where it doesn't fit.
-    pub(super) fn add(&self, parcel: &mut Parcel, subject: &queue::Subject) -> bool {
+    /// Adds the record or update of `subject`; returns false if it doesn't fit.
+    pub(super) fn add(&self, builder: &mut Builder, subject: &queue::Subject) -> bool {
         match subject {
-            // Its own record is in every datagram.
+            // This VM's own record is in every datagram.
             queue::Subject::Vm(vm) if *vm == self.own.vm => true,
             queue::Subject::Vm(vm) => {
                 let record = self.record(vm);
-                record.is_none_or(|record| parcel.say(record))
+                record.is_none_or(|record| builder.add_record(record))
             }
             queue::Subject::Rumour(topic, key) => {
                 let held = self.rumours.get(&(*topic, sync::Arc::clone(key)));
-                held.is_none_or(|rumour| parcel.tell(rumour))
+                held.is_none_or(|rumour| builder.add_rumour(rumour))
             }
         }
     }
 
-    /// A saying that others tell this VM is known to them: one telling less.
-    /// When many VMs start at once, this ends the retelling early. Rumours are
-    /// few and have to reach all at once, so they are told in full.
-    pub(super) fn heard_again(&mut self, subject: &queue::Subject) {
-        self.queue.told(subject, self.retransmissions(subject));
+    /// Counts a record received again as one of this VM's own transmissions,
+    /// since the sender knows it already. This ends retransmission early when many
+    /// VMs start at once. It isn't done for updates, which are few and have to
+    /// reach all members quickly.
+    pub(super) fn count_retransmission(&mut self, subject: &queue::Subject) {
+        self.queue
+            .count_sent(subject, self.retransmission_limit(subject));
     }
 
-    /// How often `subject` is told. With m tellings by each of n members, one in
-    /// e to the m misses it: urgent rumours are told twice as often, since who
-    /// misses one must wait for a comparison.
-    fn retransmissions(&self, subject: &queue::Subject) -> u32 {
+    /// Returns how often `subject` is sent. With m transmissions by each of n
+    /// members, one member in e to the m misses it. Urgent updates are sent twice
+    /// as often, since a member that misses one has to wait for a digest comparison.
+    fn retransmission_limit(&self, subject: &queue::Subject) -> u32 {
         let rounds = ((self.live + 2) as f64).log2().ceil() as u32;
-        let tellings = self.settings.retransmit + rounds.max(1);
+        let transmissions = self.settings.extra_retransmissions + rounds.max(1);
         if subject.is_urgent() {
-            2 * tellings
+            2 * transmissions
         } else {
-            tellings
+            transmissions
         }
     }
 }
 
-/// A datagram that is being filled.
+/// A datagram under construction and its encoded size.
 #[derive(Debug, Clone)]
-pub(super) struct Parcel {
+pub(super) struct Builder {
     pub(super) datagram: wire::Datagram,
     size: usize,
 }
 
-impl Parcel {
-    /// What it costs of the budget, in bytes.
+impl Builder {
+    /// Bytes to charge to the budget: the encoded size and the packet headers.
     pub(super) fn cost(&self) -> f64 {
-        (self.size + wire::HEADERS) as f64
+        (self.size + wire::HEADER_BYTES) as f64
     }
 
-    fn say(&mut self, record: &record::Record) -> bool {
-        let saying = wire::Saying::from(record);
-        let fits = self.grow(saying.encoded_len());
+    fn add_record(&mut self, record: &record::Record) -> bool {
+        let record = wire::Record::from(record);
+        let fits = self.reserve(record.encoded_len());
         if fits {
-            self.datagram.sayings.push(saying);
+            self.datagram.records.push(record);
         }
         fits
     }
 
-    fn tell(&mut self, rumour: &member::Rumour) -> bool {
+    fn add_rumour(&mut self, rumour: &member::Rumour) -> bool {
         let rumour = wire::Rumour::from(rumour);
-        let fits = self.grow(rumour.encoded_len());
+        let fits = self.reserve(rumour.encoded_len());
         if fits {
             self.datagram.rumours.push(rumour);
         }
         fits
     }
 
-    fn grow(&mut self, len: usize) -> bool {
-        let size = self.size + len + EMBEDDED;
-        let fits = size <= wire::MAX;
+    /// Adds an embedded message of `len` bytes to the size; returns false if it
+    /// doesn't fit.
+    fn reserve(&mut self, len: usize) -> bool {
+        let size = self.size + len + EMBEDDED_OVERHEAD_BYTES;
+        let fits = size <= wire::MAX_DATAGRAM_BYTES;
         if fits {
             self.size = size;
         }
@@ -257,12 +271,12 @@
     }
 }
 
-/// The hash that picks a rumour's bucket.
-pub(super) fn subject(rumour: &member::Rumour) -> u64 {
-    digest::name(1 + rumour.topic as u64, &rumour.key)
+/// Returns the hash that places an update in a digest bucket.
+pub(super) fn name_hash(rumour: &member::Rumour) -> u64 {
+    digest::name_hash(1 + rumour.topic as u64, &rumour.key)
 }
 
 fn fingerprint(rumour: &member::Rumour) -> u64 {
     let version = rumour.version.to_be_bytes();
-    xxhash_rust::xxh3::xxh3_64_with_seed(&version, subject(rumour))
+    xxhash_rust::xxh3::xxh3_64_with_seed(&version, name_hash(rumour))
 }
--- a/crates/geraniumgauge/src/member/state/join.rs
+++ b/crates/geraniumgauge/src/member/state/join.rs
@@ -1,4 +1,5 @@
-//! Finding members: seeds, the platform's list, and the dead, who may be back.
+//! Finds members by seed addresses, the platform's list of VMs, and dead members
+//! that may have returned.
 
 use std::collections;
 use std::net;
@@ -10,18 +11,18 @@
 use crate::store;
 use crate::time;
 
-/// Addresses tried at once while this VM knows nobody.
-const ALONE: usize = 4;
+/// Addresses tried at once while this VM knows no live member.
+const CONTACTS_WHILE_ALONE: usize = 4;
 
-/// Addresses kept from the platform's list.
-const MOST: usize = 16_384;
+/// Most addresses kept from the platform's list.
+const MAX_LISTED_ADDRESSES: usize = 16_384;
 
-/// Addresses where members may be.
+/// Addresses at which members may be found.
 #[derive(Debug)]
 pub(super) struct Contacts {
     seeds: Vec<net::SocketAddr>,
     listed: Vec<net::SocketAddr>,
-    next: time::Moment,
+    next_attempt: time::Moment,
 }
 
 impl Contacts {
@@ -29,51 +30,53 @@
         Self {
             seeds,
             listed: Vec::new(),
-            next: now,
+            next_attempt: now,
         }
     }
 }
 
 impl state::State {
-    /// Takes in the platform's list. It lags: whoever it names is asked, not
-    /// believed, and its leaving flag counts for the start that this VM knows
-    /// only, so that a VM that started again isn't kept from its duties for ever.
+    /// Takes in the platform's list. The list lags, so the VMs it names are probed
+    /// before they count as members, and its leaving flag applies only to the
+    /// incarnation known when the flag was first seen. Otherwise a VM that has
+    /// restarted would be kept out of service for good.
     pub(super) fn listed(&mut self, vms: Vec<store::Vm>) {
-        let mut flags: collections::HashSet<_> = collections::HashSet::new();
+        let mut leaving: collections::HashSet<_> = collections::HashSet::new();
         self.contacts.listed.clear();
-        for vm in vms.into_iter().take(MOST) {
+        for vm in vms.into_iter().take(MAX_LISTED_ADDRESSES) {
             if vm.vm == self.own.vm {
                 continue;
             }
             self.contacts.listed.push(vm.address);
             if vm.leaving {
-                flags.insert((vm.vm, vm.address));
+                leaving.insert((vm.vm, vm.address));
             }
         }
         for (vm, entry) in &mut self.members {
-            let listed = flags.contains(&(vm.clone(), entry.record.address));
-            let flagged = listed.then(|| entry.flagged.unwrap_or(entry.record.incarnation));
-            self.dirty |= flagged != entry.flagged;
-            entry.flagged = flagged;
+            let leaving_now = leaving.contains(&(vm.clone(), entry.record.address));
+            let listed_leaving =
+                leaving_now.then(|| entry.listed_leaving.unwrap_or(entry.record.incarnation));
+            self.view_changed |= listed_leaving != entry.listed_leaving;
+            entry.listed_leaving = listed_leaving;
         }
     }
 
-    /// Tries an address that may hold a member unknown here, and one of the
-    /// dead. Regions that lost each other hold each other dead; without this
-    /// they would never meet again.
-    pub(super) fn seek(&mut self, now: time::Moment) {
-        if now < self.contacts.next {
+    /// Probes a random address without a known member, and a random dead member.
+    /// After a network partition each side holds the other dead; without this
+    /// they would never find each other again.
+    pub(super) fn try_contacts(&mut self, now: time::Moment) {
+        if now < self.contacts.next_attempt {
             return;
         }
         let alone = self.live == 0;
         let interval = if alone {
-            self.settings.probe
+            self.settings.probe_interval
         } else {
-            self.settings.retry
+            self.settings.retry_interval
         };
-        let count = if alone { ALONE } else { 1 };
-        self.contacts.next = now + interval;
-        for address in self.strangers(count) {
+        let count = if alone { CONTACTS_WHILE_ALONE } else { 1 };
+        self.contacts.next_attempt = now + interval;
+        for address in self.unknown_contacts(count) {
             let probe = wire::Probe::default();
             self.send(address, None, Some(wire::Kind::Ping(probe)), now);
         }
@@ -89,8 +92,9 @@
         }
     }
 
-    /// Addresses of seeds and of the list where no live member is known.
-    fn strangers(&mut self, count: usize) -> Vec<net::SocketAddr> {
+    /// Returns up to `count` random seed and listed addresses that belong to no
+    /// known live member.
+    fn unknown_contacts(&mut self, count: usize) -> Vec<net::SocketAddr> {
         let entries = self.members.values().map(|entry| &entry.record);
         let live = entries.filter(|record| record.is_live());
         let mut known: collections::HashSet<_> = live.map(|record| record.address).collect();
--- a/crates/geraniumgauge/src/member/state/leave.rs
+++ b/crates/geraniumgauge/src/member/state/leave.rs
@@ -1,4 +1,4 @@
-//! Announcing that this VM stops.
+//! Announces that this VM is leaving.
 
 use std::collections;
 use std::time as spans;
@@ -7,75 +7,90 @@
 use crate::member::state;
 use crate::time;
 
-/// Members that must have confirmed the announcement; fewer where fewer are there.
-const ENOUGH: usize = 3;
+/// Members that must confirm the announcement, or all live ones if there are fewer.
+const REQUIRED_CONFIRMATIONS: usize = 3;
 
-/// Longest time an announcement may take: the stop must not hang on it.
-const LONGEST: spans::Duration = spans::Duration::from_secs(2);
+/// Longest time that an announcement may take, so that it can't block the stop.
+const ANNOUNCEMENT_TIMEOUT: spans::Duration = spans::Duration::from_secs(2);
 
-/// An announcement under way.
+/// The announcement that this VM is leaving.
 #[derive(Debug)]
 pub(super) struct Announcement {
     number: u64,
-    until: time::Moment,
+    deadline: time::Moment,
     confirmed: collections::BTreeSet<ids::Vm>,
     done: bool,
 }
 
 impl state::State {
+    /// Starts the announcement, or reports its end again if it is done.
     pub(super) fn leave(&mut self, now: time::Moment) {
         if self.announcement.is_none() {
             self.change_own(|own| own.leaving = true);
-            let number = self.probing.number();
+            let number = self.probing.next_number();
             self.announcement = Some(Announcement {
                 number,
-                until: now + LONGEST,
+                deadline: now + ANNOUNCEMENT_TIMEOUT,
                 confirmed: collections::BTreeSet::new(),
                 done: false,
             });
             self.announce(now);
-        } else if self.announcement.as_ref().is_some_and(|told| told.done) {
+        } else if self
+            .announcement
+            .as_ref()
+            .is_some_and(|announcement| announcement.done)
+        {
             self.actions.push(state::Action::Announced);
         }
         self.check_announcement(now);
     }
 
-    /// Any answer to a datagram with this VM's leaving in it confirms it.
-    pub(super) fn told_of_leaving(&mut self, sender: &ids::Vm, number: u64, now: time::Moment) {
-        if let Some(told) = &mut self.announcement
-            && told.number == number
+    /// Takes an answer to a ping of the announcement as the sender's confirmation.
+    pub(super) fn confirm_leaving(&mut self, sender: &ids::Vm, number: u64, now: time::Moment) {
+        if let Some(announcement) = &mut self.announcement
+            && announcement.number == number
         {
-            told.confirmed.insert(sender.clone());
+            announcement.confirmed.insert(sender.clone());
             self.check_announcement(now);
         }
     }
 
+    /// Pings further members until enough have confirmed.
     pub(super) fn repeat_announcement(&mut self, now: time::Moment) {
-        if self.announcement.as_ref().is_some_and(|told| !told.done) {
+        if self
+            .announcement
+            .as_ref()
+            .is_some_and(|announcement| !announcement.done)
+        {
             self.announce(now);
             self.check_announcement(now);
         }
     }
 
-    /// Asks more members than must confirm, since some may be gone.
+    /// Pings twice as many members as must confirm, since some may be down.
     fn announce(&mut self, now: time::Moment) {
-        let Some(told) = &self.announcement else {
+        let Some(announcement) = &self.announcement else {
             return;
         };
-        let (number, confirmed) = (told.number, told.confirmed.clone());
-        let targets = self.pick(2 * ENOUGH, |record| !confirmed.contains(&record.vm));
+        let (number, confirmed) = (announcement.number, announcement.confirmed.clone());
+        let targets = self.pick(2 * REQUIRED_CONFIRMATIONS, |record| {
+            !confirmed.contains(&record.vm)
+        });
         for (vm, address) in targets {
             self.ping(&vm, address, number, now);
         }
     }
 
+    /// Ends the announcement once enough members have confirmed or time is up.
     fn check_announcement(&mut self, now: time::Moment) {
-        let enough = self.live.min(ENOUGH);
-        let Some(told) = &mut self.announcement else {
+        let required = self.live.min(REQUIRED_CONFIRMATIONS);
+        let Some(announcement) = &mut self.announcement else {
             return;
         };
-        if !told.done && (told.confirmed.len() >= enough || now >= told.until) {
-            told.done = true;
+        if !announcement.done
+            && (announcement.confirmed.len() >= required || now >= announcement.deadline)
+        {
+            announcement.done = true;
             self.actions.push(state::Action::Announced);
         }
     }
--- a/crates/geraniumgauge/src/member/state/mod.rs
+++ b/crates/geraniumgauge/src/member/state/mod.rs
@@ -1,16 +1,19 @@
 //! The membership of one VM as a state machine: probes, suspicion, gossip.
 //!
-//! SWIM with these additions: a record that says a VM is suspect or dead is
-//! shown to that VM itself with each datagram, so that it refutes without
-//! waiting for gossip; a VM that was paused doesn't take its own silence for
-//! that of others; the dead are tried now and then, so that parted regions find
-//! each other again; what gossip missed is found by comparing hashes.
+//! This is SWIM with four additions:
+//!
+//! - Each datagram to a VM that is held suspect or dead carries that record, so
+//!   that the VM refutes it without waiting for gossip.
+//! - A VM that was paused doesn't mistake its own pause for silence of others.
+//! - Dead members are probed now and then, so that the two sides of a network
+//!   partition find each other again.
+//! - Updates that gossip missed are found by comparing digests.
 
 mod gossip;
 mod join;
 mod leave;
 mod probing;
-mod sayings;
+mod records;
 mod sync;
 
 use std::collections;
@@ -32,106 +35,107 @@
 use crate::store;
 use crate::time;
 
-/// What happens to a member.
+/// An input of the state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time has passed.
+    /// A tick of the timer.
     Tick,
-    /// A datagram came.
+    /// A datagram was received.
     Datagram {
-        /// Where from.
+        /// Address of the sender.
         from: net::SocketAddr,
-        /// What it says.
+        /// The decoded datagram.
         datagram: wire::Datagram,
     },
-    /// The platform's list was read.
+    /// The platform's list of VMs was read.
     Listed(Vec<store::Vm>),
-    /// A duty of this VM has news.
+    /// A subsystem of this VM publishes an update.
     Publish(member::Rumour),
     /// This VM is about to stop.
     Leave,
 }
 
-/// What to do.
+/// An output of the state machine, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: net::SocketAddr,
-        /// What.
+        /// The datagram.
         datagram: wire::Datagram,
     },
     /// The view has changed.
     View(member::Shared),
-    /// A rumour is new to this VM.
-    Heard(member::Rumour),
-    /// The leaving is announced to as many members as it takes.
+    /// An update that is new to this VM.
+    Received(member::Rumour),
+    /// Enough members have confirmed that this VM is leaving, or the time for it is up.
     Announced,
-    /// Another live process at this address bears this VM's name and started later.
-    Twin(net::SocketAddr),
+    /// A live process at this address has this VM's name and a later incarnation.
+    DuplicateName(net::SocketAddr),
 }
 
-/// Figures since the start; `live`, `suspect`, `dead`, `queued` and `rumours` are as of now.
+/// Statistics. `live`, `suspect`, `leaving`, `dead`, `queued` and `rumours` are
+/// current values; the others count since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// Members held to be there, this VM among them.
+pub struct Stats {
+    /// Members that are not dead, this VM included.
     pub live: u64,
-    /// Of these, suspects.
+    /// Suspects among the live members.
     pub suspect: u64,
-    /// Of these, leaving.
+    /// Leaving members among the live ones.
     pub leaving: u64,
-    /// The dead that are remembered.
+    /// Dead members that are remembered.
     pub dead: u64,
-    /// News waiting to be told.
+    /// Updates and records waiting to be gossiped.
     pub queued: u64,
-    /// Rumours held.
+    /// Gossip updates held.
     pub rumours: u64,
     /// Probes sent.
     pub probes: u64,
     /// Probes that nobody answered.
-    pub failed: u64,
+    pub probes_failed: u64,
     /// Suspicions of this VM that it refuted.
     pub refutations: u64,
-    /// VMs taken as dead.
+    /// VMs that this VM declared dead.
     pub deaths: u64,
     /// Datagrams sent.
     pub datagrams: u64,
-    /// Bytes sent, headers included.
+    /// Bytes sent, IP and UDP headers included.
     pub bytes: u64,
-    /// Comparisons that found a difference.
+    /// Digest comparisons that found a difference.
     pub differences: u64,
-    /// Times that this VM noticed that it had been paused.
+    /// Number of pauses of this process that it noticed.
     pub pauses: u64,
 }
 
-/// What this VM holds of another.
+/// Another VM, as this VM knows it.
 #[derive(Debug, Clone)]
 struct Entry {
     record: record::Record,
-    /// Hash of the name.
-    name: u64,
-    /// When it was taken as dead.
+    /// Hash of the VM's name; see [`name_hash`].
+    name_hash: u64,
+    /// Time at which it was declared dead.
     died: Option<time::Moment>,
-    /// The start of which the platform's list says that it's leaving.
-    flagged: Option<ids::Incarnation>,
+    /// The incarnation that the platform's list marks as leaving.
+    listed_leaving: Option<ids::Incarnation>,
 }
 
-/// The state of one member.
+/// The membership state of one VM.
 #[derive(Debug)]
 pub struct State {
     settings: settings::Settings,
     own: record::Record,
     members: collections::BTreeMap<ids::Vm, Entry>,
-    /// Others that are held to be there.
+    /// Number of other members that are not dead.
     live: usize,
-    /// When each suspect is taken as dead.
+    /// Time at which each suspect is declared dead.
     suspects: collections::BTreeMap<ids::Vm, time::Moment>,
     rumours: collections::BTreeMap<(member::Topic, shared::Arc<str>), member::Rumour>,
     digest: digest::Digest,
     queue: queue::Queue,
     budget: rate::Bucket,
-    /// For urgent rumours when the budget is spent.
+    /// Additional budget for urgent updates once `budget` is used up.
     reserve: rate::Bucket,
     probing: probing::Probing,
     contacts: join::Contacts,
@@ -141,21 +145,23 @@
     last_tick: time::Moment,
     next_gossip: time::Moment,
     next_sync: time::Moment,
-    /// News that must not wait for the next round.
+    /// Set when there is an update that must not wait for the next gossip round.
     urgent: bool,
-    /// Members that news is still to be told to, before all are gone through again.
-    order: Vec<ids::Vm>,
-    /// Members that came back from the dead, to be compared with at once.
+    /// Members that gossip has yet to reach in the current random order.
+    gossip_order: Vec<ids::Vm>,
+    /// Addresses of dead members that came back, to compare digests with at once.
     returned: Vec<net::SocketAddr>,
-    dirty: bool,
-    twin: bool,
-    figures: Figures,
+    /// Set when the view must be published at the end of the tick.
+    view_changed: bool,
+    /// Set once another process with this VM's name was reported.
+    duplicate_name: bool,
+    stats: Stats,
     actions: Vec<Action>,
 }
 
 impl State {
-    /// A member that knows nobody yet but may ask at `seeds`. Random choices
-    /// follow from `seed`.
+    /// Creates a member that knows no others and asks at `seeds` first. Random
+    /// choices are drawn from `seed`.
     pub fn new(
         own: record::Record,
         seeds: Vec<net::SocketAddr>,
@@ -164,9 +170,9 @@
         now: time::Moment,
     ) -> Self {
         let mut digest = digest::Digest::new();
-        digest.toggle(name(&own.vm), own.fingerprint());
-        let budget = rate::Bucket::new(settings.bytes, settings.burst, now);
-        let reserve = rate::Bucket::new(settings.reserve, settings.burst / 2.0, now);
+        digest.toggle(name_hash(&own.vm), own.fingerprint());
+        let budget = rate::Bucket::new(settings.byte_rate, settings.burst_bytes, now);
+        let reserve = rate::Bucket::new(settings.urgent_byte_rate, settings.burst_bytes / 2.0, now);
         Self {
             own,
             members: collections::BTreeMap::new(),
@@ -186,23 +192,23 @@
             next_gossip: now,
             next_sync: now,
             urgent: false,
-            order: Vec::new(),
+            gossip_order: Vec::new(),
             returned: Vec::new(),
-            dirty: true,
-            twin: false,
-            figures: Figures::default(),
+            view_changed: true,
+            duplicate_name: false,
+            stats: Stats::default(),
             actions: Vec::new(),
             settings,
         }
     }
 
-    /// Takes in one event and says what to do.
+    /// Processes one event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: time::Moment) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
             Event::Datagram { from, datagram } => self.receive(from, datagram, now),
             Event::Listed(vms) => self.listed(vms),
-            Event::Publish(rumour) => self.hear(rumour),
+            Event::Publish(rumour) => self.receive_update(rumour),
             Event::Leave => self.leave(now),
         }
         if std::mem::take(&mut self.urgent) {
@@ -211,42 +217,42 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The figures.
-    pub fn figures(&self) -> Figures {
+    /// Returns the current statistics.
+    pub fn stats(&self) -> Stats {
         let count = |n: usize| n as u64;
         let others = self.members.values();
         let leaving = others.filter(|entry| entry.record.leaving && entry.record.is_live());
-        Figures {
+        Stats {
             live: count(self.live + 1),
             suspect: count(self.suspects.len()),
             leaving: count(leaving.count()) + u64::from(self.own.leaving),
             dead: count(self.members.len() - self.live),
             queued: count(self.queue.len()),
             rumours: count(self.rumours.len()),
-            ..self.figures
+            ..self.stats
         }
     }
 
-    /// The view as it is now.
+    /// Returns the current view.
     pub fn view(&self) -> member::View {
         let entries = self.members.values();
-        let there = entries.filter(|entry| entry.record.is_live());
-        let mut members: Vec<_> = there.map(Entry::member).collect();
-        members.push(self.own.member(false));
+        let live = entries.filter(|entry| entry.record.is_live());
+        let mut members: Vec<_> = live.map(Entry::to_member).collect();
+        members.push(self.own.to_member(false));
         member::View::new(self.own.vm.clone(), members)
     }
 
-    /// What this VM says of itself.
+    /// Returns this VM's own record.
     pub fn own(&self) -> &record::Record {
         &self.own
     }
 
-    /// What this VM holds of `vm`, the dead included.
+    /// Returns the record of another VM, dead ones included.
     pub fn record(&self, vm: &ids::Vm) -> Option<&record::Record> {
         self.members.get(vm).map(|entry| &entry.record)
     }
 
-    /// The newest rumour of `topic` and `key`.
+    /// Returns the newest update of `topic` and `key`.
     pub fn rumour(&self, topic: member::Topic, key: &str) -> Option<&member::Rumour> {
         self.rumours.get(&(topic, key.into()))
     }
@@ -254,62 +260,63 @@
     fn tick(&mut self, now: time::Moment) {
         let gap = now.since(self.last_tick);
         self.last_tick = now;
-        if gap > self.settings.pause {
+        if gap > self.settings.pause_threshold {
             self.resume(gap);
         }
-        self.bury(now);
+        self.expire_members(now);
         self.probe(now);
-        self.seek(now);
+        self.try_contacts(now);
         self.repeat_announcement(now);
         if now >= self.next_gossip {
-            self.next_gossip = now + self.settings.gossip;
+            self.next_gossip = now + self.settings.gossip_interval;
             self.gossip(now);
         }
-        self.compare(now);
-        if std::mem::take(&mut self.dirty) {
+        self.sync(now);
+        if std::mem::take(&mut self.view_changed) {
             let view = shared::Arc::new(self.view());
             self.actions.push(Action::View(view));
         }
     }
 
-    /// A VM that was paused finds all its timers run out at once: it would take
-    /// every probed and suspected member as dead though only itself was away.
-    /// It forgets its probes and gives suspects the time that it has missed.
+    /// Recovers from a pause of this process. All timers expire at once then, and
+    /// every probed or suspected member would be declared dead although only this
+    /// VM was stopped. Drops the open probes and extends the deadlines of suspects
+    /// by the length of the pause.
     fn resume(&mut self, gap: spans::Duration) {
-        self.figures.pauses += 1;
-        self.probing.forget();
+        self.stats.pauses += 1;
+        self.probing.clear();
         for deadline in self.suspects.values_mut() {
             *deadline = *deadline + gap;
         }
     }
 
     fn receive(&mut self, from: net::SocketAddr, datagram: wire::Datagram, now: time::Moment) {
-        let Some(sender) = datagram.from.as_ref().and_then(wire::Saying::record) else {
+        let Some(sender) = datagram.from.as_ref().and_then(wire::Record::record) else {
             return;
         };
         if sender.vm == self.own.vm && sender.incarnation == self.own.incarnation {
             return;
         }
-        self.apply(sender.clone(), now);
-        for saying in &datagram.sayings {
-            if let Some(record) = saying.record() {
-                self.apply(record, now);
+        self.apply_record(sender.clone(), now);
+        for record in &datagram.records {
+            if let Some(record) = record.record() {
+                self.apply_record(record, now);
             }
         }
         let rumours = datagram.rumours.into_iter();
         rumours
             .filter_map(wire::Rumour::rumour)
-            .for_each(|rumour| self.hear(rumour));
+            .for_each(|rumour| self.receive_update(rumour));
         match datagram.kind {
-            Some(wire::Kind::Ping(probe)) => self.answer(from, &sender.vm, probe, now),
-            Some(wire::Kind::Ack(probe)) => self.answered(&sender.vm, &probe, now),
-            Some(wire::Kind::Relay(relay)) => self.relay(from, relay, now),
-            Some(wire::Kind::Digest(digest)) => self.compared(from, &sender.vm, &digest, now),
+            Some(wire::Kind::Ping(probe)) => self.answer_ping(from, &sender.vm, probe, now),
+            Some(wire::Kind::Ack(probe)) => self.receive_ack(&sender.vm, &probe, now),
+            Some(wire::Kind::Relay(relay)) => self.relay_probe(from, relay, now),
+            Some(wire::Kind::Digest(digest)) => self.receive_digest(from, &sender.vm, &digest, now),
             None => {}
         }
     }
 
-    /// Up to `count` random live others for which `fits` holds.
+    /// Returns up to `count` random live members for which `fits` holds.
     fn pick(
         &mut self,
         count: usize,
@@ -324,15 +331,15 @@
 }
 
 impl Entry {
-    fn member(&self) -> member::Member {
-        let flagged = self.flagged == Some(self.record.incarnation);
-        self.record.member(flagged)
+    fn to_member(&self) -> member::Member {
+        let listed_leaving = self.listed_leaving == Some(self.record.incarnation);
+        self.record.to_member(listed_leaving)
     }
 }
 
-/// The hash of a VM's name, for digests.
-fn name(vm: &ids::Vm) -> u64 {
-    digest::name(0, vm.as_str())
+/// Returns the hash that places a VM's record in a digest bucket.
+fn name_hash(vm: &ids::Vm) -> u64 {
+    digest::name_hash(0, vm.as_str())
 }
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/member/state/probing.rs
+++ b/crates/geraniumgauge/src/member/state/probing.rs
@@ -1,4 +1,5 @@
-//! Probes: one member each round, through others where it doesn't answer.
+//! Failure detection: one member is probed each interval, directly and then
+//! through other members.
 
 use std::net;
 
@@ -11,13 +12,13 @@
 use crate::member::wire;
 use crate::time;
 
-/// Relayed probes under way at once; more are not taken.
-const RELAYS: usize = 256;
+/// Most probes relayed for others at once; further requests are ignored.
+const MAX_RELAYED_PROBES: usize = 256;
 
-/// How slow a VM becomes at accusing others when its own probes fail.
-const DOUBT: u32 = 4;
+/// Highest value of [`Probing::health_penalty`].
+const MAX_HEALTH_PENALTY: u32 = 4;
 
-/// A probe that is not answered yet.
+/// A probe that has not been answered yet.
 #[derive(Debug)]
 struct Probe {
     vm: ids::Vm,
@@ -27,75 +28,78 @@
     relayed: bool,
 }
 
-/// A probe on behalf of another member.
+/// A probe made on behalf of another member.
 #[derive(Debug)]
 struct Relay {
     number: u64,
-    origin: net::SocketAddr,
-    asked: wire::Probe,
-    until: time::Moment,
+    requester: net::SocketAddr,
+    probe: wire::Probe,
+    deadline: time::Moment,
 }
 
-/// The probes of one VM.
+/// Open probes of this VM and the order of the next ones.
 #[derive(Debug)]
 pub(super) struct Probing {
-    /// Members still to be probed in this cycle, in random order.
-    ring: Vec<ids::Vm>,
+    /// Members yet to be probed in the current cycle, in random order.
+    cycle: Vec<ids::Vm>,
     probes: Vec<Probe>,
     relays: Vec<Relay>,
-    next: time::Moment,
+    next_probe: time::Moment,
     number: u64,
-    /// Grows when this VM's own probes fail: it may be the one that's cut off
-    /// or short of processor time, and then accuses others more slowly.
-    doubt: u32,
+    /// Lengthens probe timeouts: they are multiplied by one plus this. Raised when
+    /// this VM's own probes fail, since this VM may be the one that is cut off or
+    /// short of processor time.
+    health_penalty: u32,
 }
 
 impl Probing {
     pub(super) fn new(now: time::Moment) -> Self {
         Self {
-            ring: Vec::new(),
+            cycle: Vec::new(),
             probes: Vec::new(),
             relays: Vec::new(),
-            next: now,
+            next_probe: now,
             number: 0,
-            doubt: 0,
+            health_penalty: 0,
         }
     }
 
-    pub(super) fn forget(&mut self) {
+    /// Drops all open and relayed probes.
+    pub(super) fn clear(&mut self) {
         self.probes.clear();
         self.relays.clear();
     }
 
-    /// A newcomer is probed within the cycle under way, at a random place.
-    pub(super) fn join(&mut self, vm: &ids::Vm, rng: &mut rand::rngs::StdRng) {
-        let at = rng.random_range(0..=self.ring.len());
-        self.ring.insert(at, vm.clone());
+    /// Adds a new member to the current cycle at a random position.
+    pub(super) fn insert(&mut self, vm: &ids::Vm, rng: &mut rand::rngs::StdRng) {
+        let at = rng.random_range(0..=self.cycle.len());
+        self.cycle.insert(at, vm.clone());
     }
 
-    pub(super) fn doubt_self(&mut self) {
-        self.doubt = (self.doubt + 1).min(DOUBT);
+    pub(super) fn raise_health_penalty(&mut self) {
+        self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 
-    pub(super) fn number(&mut self) -> u64 {
+    pub(super) fn next_number(&mut self) -> u64 {
         self.number += 1;
         self.number
     }
 }
 
 impl state::State {
+    /// Follows up on open probes and starts a new one when due.
     pub(super) fn probe(&mut self, now: time::Moment) {
-        self.follow_probes(now);
-        self.probing.relays.retain(|relay| relay.until > now);
-        if now < self.probing.next {
+        self.check_probes(now);
+        self.probing.relays.retain(|relay| relay.deadline > now);
+        if now < self.probing.next_probe {
             return;
         }
-        self.probing.next = now + self.settings.probe;
+        self.probing.next_probe = now + self.settings.probe_interval;
         let Some((vm, address)) = self.next_target() else {
             return;
         };
-        let number = self.probing.number();
-        self.figures.probes += 1;
+        let number = self.probing.next_number();
+        self.stats.probes += 1;
         self.ping(&vm, address, number, now);
         self.probing.probes.push(Probe {
             vm,
@@ -106,11 +110,11 @@
         });
     }
 
-    /// The next live member of the cycle; each comes once a cycle, so the time
-    /// until a dead one is noticed is bounded.
+    /// Returns the next live member of the cycle. Each member comes once a cycle,
+    /// which bounds the time until a dead one is noticed.
     fn next_target(&mut self) -> Option<(ids::Vm, net::SocketAddr)> {
         for _ in 0..2 {
-            while let Some(vm) = self.probing.ring.pop() {
+            while let Some(vm) = self.probing.cycle.pop() {
                 let record = self.record(&vm).filter(|record| record.is_live());
                 if let Some(record) = record {
                     return Some((vm, record.address));
@@ -118,16 +122,18 @@
             }
             let entries = self.members.values().map(|entry| &entry.record);
             let live = entries.filter(|record| record.is_live());
-            self.probing.ring = live.map(|record| record.vm.clone()).collect();
-            self.probing.ring.shuffle(&mut self.rng);
+            self.probing.cycle = live.map(|record| record.vm.clone()).collect();
+            self.probing.cycle.shuffle(&mut self.rng);
         }
         None
     }
 
-    fn follow_probes(&mut self, now: time::Moment) {
-        let patience = 1 + self.probing.doubt;
-        let relay_after = self.settings.direct * patience;
-        let fail_after = self.settings.probe * patience;
+    /// Relays probes that were not answered directly, and suspects members that did
+    /// not answer at all.
+    fn check_probes(&mut self, now: time::Moment) {
+        let timeout_factor = 1 + self.probing.health_penalty;
+        let relay_after = self.settings.direct_timeout * timeout_factor;
+        let fail_after = self.settings.probe_interval * timeout_factor;
         let mut probes = std::mem::take(&mut self.probing.probes);
         for probe in &mut probes {
             if !probe.relayed && now.since(probe.sent) >= relay_after {
@@ -139,16 +145,16 @@
         let failed: Vec<_> = failed.collect();
         self.probing.probes = probes;
         for probe in failed {
-            self.figures.failed += 1;
-            self.probing.doubt_self();
-            self.accuse(&probe.vm, record::Health::Suspect, now);
-            // With the suspicion in it, so that a live one refutes at once.
+            self.stats.probes_failed += 1;
+            self.probing.raise_health_penalty();
+            self.set_health(&probe.vm, record::Health::Suspect, now);
+            // This ping carries the suspicion, so that a live member refutes it at once.
             self.ping(&probe.vm, probe.address, 0, now);
         }
     }
 
-    /// Asks others to probe. One in another data centre is among them where
-    /// there is one: the way from here may be what's broken.
+    /// Asks other members to probe. Includes one in another data centre if there
+    /// is one, since the path from this one may be what is broken.
     fn ask_relays(&mut self, probe: &Probe, now: time::Moment) {
         let own = self.own.data_centre.clone();
         let target = probe.vm.clone();
@@ -184,9 +190,9 @@
         self.send(address, Some(vm), Some(wire::Kind::Ping(probe)), now);
     }
 
-    /// Answers a ping; one that was meant for another VM, which had this
-    /// address before, stays unanswered. An empty name means whoever is there.
-    pub(super) fn answer(
+    /// Answers a ping. A ping for another VM, which had this address before, is
+    /// ignored; an empty name addresses any VM.
+    pub(super) fn answer_ping(
         &mut self,
         from: net::SocketAddr,
         sender: &ids::Vm,
@@ -201,45 +207,51 @@
         self.send(from, Some(sender), Some(ack), now);
     }
 
-    pub(super) fn answered(&mut self, sender: &ids::Vm, ack: &wire::Probe, now: time::Moment) {
-        let held = self.probing.probes.len();
+    pub(super) fn receive_ack(&mut self, sender: &ids::Vm, ack: &wire::Probe, now: time::Moment) {
+        let open = self.probing.probes.len();
         let matches = |probe: &Probe| probe.number == ack.number && probe.vm.as_str() == ack.vm;
         self.probing.probes.retain(|probe| !matches(probe));
-        if self.probing.probes.len() < held {
-            self.probing.doubt = self.probing.doubt.saturating_sub(1);
+        if self.probing.probes.len() < open {
+            self.probing.health_penalty = self.probing.health_penalty.saturating_sub(1);
         }
-        self.told_of_leaving(sender, ack.number, now);
+        self.confirm_leaving(sender, ack.number, now);
         if sender.as_str() == ack.vm {
-            self.pass_on(ack, now);
+            self.forward_ack(ack, now);
         }
     }
 
-    /// Passes the answer to a relayed probe on to who asked for it.
-    fn pass_on(&mut self, ack: &wire::Probe, now: time::Moment) {
-        let matches = |relay: &mut Relay| relay.number == ack.number && relay.asked.vm == ack.vm;
+    /// Forwards the answer to a relayed probe to the member that asked for it.
+    fn forward_ack(&mut self, ack: &wire::Probe, now: time::Moment) {
+        let matches = |relay: &mut Relay| relay.number == ack.number && relay.probe.vm == ack.vm;
         let answered = self.probing.relays.extract_if(.., matches);
         let answered: Vec<_> = answered.collect();
         for relay in answered {
-            let ack = wire::Kind::Ack(relay.asked);
-            self.send(relay.origin, None, Some(ack), now);
+            let ack = wire::Kind::Ack(relay.probe);
+            self.send(relay.requester, None, Some(ack), now);
         }
     }
 
-    pub(super) fn relay(&mut self, from: net::SocketAddr, relay: wire::Relay, now: time::Moment) {
+    /// Probes a VM on behalf of the member at `from`.
+    pub(super) fn relay_probe(
+        &mut self,
+        from: net::SocketAddr,
+        relay: wire::Relay,
+        now: time::Moment,
+    ) {
         let address = relay.address.parse().ok();
         let vm = relay.probe.as_ref().and_then(|probe| probe.vm.parse().ok());
-        let (Some(asked), Some(vm), Some(address)) = (relay.probe, vm, address) else {
+        let (Some(probe), Some(vm), Some(address)) = (relay.probe, vm, address) else {
             return;
         };
-        if self.probing.relays.len() >= RELAYS {
+        if self.probing.relays.len() >= MAX_RELAYED_PROBES {
             return;
         }
-        let number = self.probing.number();
+        let number = self.probing.next_number();
         self.probing.relays.push(Relay {
             number,
-            origin: from,
-            asked,
-            until: now + self.settings.probe * DOUBT,
+            requester: from,
+            probe,
+            deadline: now + self.settings.probe_interval * MAX_HEALTH_PENALTY,
         });
         self.ping(&vm, address, number, now);
     }
--- a/crates/geraniumgauge/src/member/state/sync.rs
+++ b/crates/geraniumgauge/src/member/state/sync.rs
@@ -1,4 +1,4 @@
-//! Comparing everything held with one member, for what gossip has missed.
+//! Anti-entropy: compares digests with a random member to find what gossip missed.
 
 use std::net;
 use std::time as spans;
@@ -14,27 +14,28 @@
 use crate::member::wire;
 use crate::time;
 
-/// Shortest time between comparisons in a small site.
-const SHORTEST: spans::Duration = spans::Duration::from_secs(2);
+/// Shortest interval between comparisons, used in small clusters.
+const MIN_INTERVAL: spans::Duration = spans::Duration::from_secs(2);
 
-/// Time between comparisons for each member, up to the setting.
-const EACH: spans::Duration = spans::Duration::from_millis(50);
+/// Interval between comparisons per member, up to the setting.
+const INTERVAL_PER_MEMBER: spans::Duration = spans::Duration::from_millis(50);
 
-/// A VM that started less than this ago compares as often as in a small site.
-const YOUNG: spans::Duration = spans::Duration::from_secs(60);
+/// Time after the start during which the shortest interval applies.
+const STARTUP_WINDOW: spans::Duration = spans::Duration::from_secs(60);
 
-/// A VM that differs in more buckets than this has missed much, or is new: it
-/// compares again soon instead of waiting for its next turn.
-const FAR_BEHIND: usize = digest::BUCKETS / 8;
+/// Differing buckets above which a VM is new or has missed many updates and
+/// compares again after [`FAR_BEHIND_DELAY`].
+const FAR_BEHIND_BUCKETS: usize = digest::BUCKETS / 8;
 
-/// How soon.
-const SOON: spans::Duration = spans::Duration::from_millis(300);
+/// Delay of the next comparison after one that found many differences.
+const FAR_BEHIND_DELAY: spans::Duration = spans::Duration::from_millis(300);
 
-/// How soon after a comparison that found any difference.
-const NEXT: spans::Duration = spans::Duration::from_secs(2);
+/// Delay of the next comparison after one that found any difference.
+const DIFFERENCE_DELAY: spans::Duration = spans::Duration::from_secs(2);
 
 impl state::State {
-    pub(super) fn compare(&mut self, now: time::Moment) {
+    /// Sends this VM's digest to a returned member, and to a random one when due.
+    pub(super) fn sync(&mut self, now: time::Moment) {
         if let Some(address) = self.returned.pop() {
             self.returned.truncate(64);
             self.send_digest(address, None, false, now);
@@ -43,19 +44,22 @@
             return;
         }
         let members = u32::try_from(self.live).unwrap_or(u32::MAX);
-        let young = now.since(self.started) < YOUNG;
-        let longest = if young {
-            SHORTEST
+        let starting = now.since(self.started) < STARTUP_WINDOW;
+        let longest = if starting {
+            MIN_INTERVAL
         } else {
-            self.settings.sync.max(SHORTEST)
+            self.settings.sync_interval.max(MIN_INTERVAL)
         };
-        let interval = EACH.saturating_mul(members).clamp(SHORTEST, longest);
+        let interval = INTERVAL_PER_MEMBER
+            .saturating_mul(members)
+            .clamp(MIN_INTERVAL, longest);
         self.next_sync = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
         if let Some((vm, address)) = self.pick(1, |_| true).pop() {
             self.send_digest(address, Some(&vm), false, now);
         }
     }
 
+    /// Sends this VM's digest if the budget allows it.
     fn send_digest(
         &mut self,
         to: net::SocketAddr,
@@ -65,15 +69,16 @@
     ) {
         let hashes = self.digest.encode();
         let digest = wire::Kind::Digest(wire::Digest { hashes, answer });
-        let parcel = self.parcel(Some(digest), vm);
-        if self.budget.take(parcel.cost(), now) {
-            self.post(to, parcel);
+        let builder = self.builder(Some(digest), vm);
+        if self.budget.take(builder.cost(), now) {
+            self.send_built(to, builder);
         }
     }
 
-    /// A member's digest came: it gets what this VM holds in the buckets that
-    /// differ, and once this VM's digest, so that it does the same.
-    pub(super) fn compared(
+    /// Handles a member's digest: sends what this VM holds in the buckets that
+    /// differ and, unless the digest was itself an answer, this VM's digest, so
+    /// that the member does the same.
+    pub(super) fn receive_digest(
         &mut self,
         from: net::SocketAddr,
         sender: &ids::Vm,
@@ -84,19 +89,25 @@
         if differing.is_empty() {
             return;
         }
-        self.figures.differences += 1;
+        self.stats.differences += 1;
         if !theirs.answer {
             self.send_digest(from, Some(sender), true, now);
         } else {
-            let far = differing.len() > FAR_BEHIND;
-            let wait = if far { SOON } else { NEXT };
-            self.next_sync = self.next_sync.min(now + wait);
+            let far_behind = differing.len() > FAR_BEHIND_BUCKETS;
+            let delay = if far_behind {
+                FAR_BEHIND_DELAY
+            } else {
+                DIFFERENCE_DELAY
+            };
+            self.next_sync = self.next_sync.min(now + delay);
         }
-        // In random order: where not all fits, the next comparison brings others.
+        // In random order, so that if not everything fits, the next comparison
+        // sends other buckets.
         differing.shuffle(&mut self.rng);
         self.send_buckets(from, sender, &differing, now);
     }
 
+    /// Sends everything held in `buckets`, up to the datagram and budget limits.
     fn send_buckets(
         &mut self,
         to: net::SocketAddr,
@@ -105,36 +116,36 @@
         now: time::Moment,
     ) {
         let mut subjects = self.subjects(buckets).into_iter().peekable();
-        for _ in 0..self.settings.sync_datagrams {
+        for _ in 0..self.settings.max_sync_datagrams {
             if subjects.peek().is_none() {
                 return;
             }
-            let mut parcel = self.parcel(None, Some(vm));
+            let mut builder = self.builder(None, Some(vm));
             while let Some(subject) = subjects.peek() {
-                if !self.add(&mut parcel, subject) {
+                if !self.add(&mut builder, subject) {
                     break;
                 }
                 subjects.next();
             }
-            if !self.budget.take(parcel.cost(), now) {
+            if !self.budget.take(builder.cost(), now) {
                 return;
             }
-            self.post(to, parcel);
+            self.send_built(to, builder);
         }
     }
 
-    /// Everything held in `buckets`, in their order.
+    /// Returns the subjects held in `buckets`, in the order of `buckets`.
     fn subjects(&self, buckets: &[usize]) -> Vec<queue::Subject> {
         let mut rank = vec![usize::MAX; digest::BUCKETS];
-        for (place, bucket) in buckets.iter().enumerate() {
-            rank[*bucket] = place;
+        for (position, bucket) in buckets.iter().enumerate() {
+            rank[*bucket] = position;
         }
         let vms = self.members.iter().map(|(vm, entry)| {
-            let rank = rank[digest::bucket(entry.name)];
+            let rank = rank[digest::bucket(entry.name_hash)];
             (rank, queue::Subject::Vm(vm.clone()))
         });
         let rumours = self.rumours.iter().map(|((topic, key), rumour)| {
-            let rank = rank[digest::bucket(gossip::subject(rumour))];
+            let rank = rank[digest::bucket(gossip::name_hash(rumour))];
             (rank, queue::Subject::Rumour(*topic, key.clone()))
         });
         let all = vms.chain(rumours);
--- a/crates/geraniumgauge/src/member/tests/net.rs
+++ b/crates/geraniumgauge/src/member/tests/net.rs
@@ -1,4 +1,5 @@
-//! A few members joined by a queue that loses, delays and doubles datagrams by seed.
+//! Simulated members and a network that loses, delays and duplicates datagrams,
+//! driven by a seed.
 
 use std::collections;
 use std::net as addresses;
@@ -8,35 +9,35 @@
 
 use super::*;
 
-/// When every test starts.
+/// Time at which every test starts.
 pub(super) const START: time::Moment = time::Moment(0);
 
-/// One step of time.
+/// Length of a simulation step.
 const STEP: spans::Duration = spans::Duration::from_millis(100);
 
-/// Datagrams that the socket of a paused process keeps.
-const SOCKET: usize = 100;
+/// Datagrams that the socket of a paused process buffers.
+const SOCKET_DATAGRAMS: usize = 100;
 
-/// What the network does to datagrams.
+/// Faults of the simulated network.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Faults {
     pub(super) loss: f64,
-    pub(super) double: f64,
+    pub(super) duplicate: f64,
     /// Longest delay, in steps.
     pub(super) delay: u64,
-    /// Pairs (from, to) that can't reach each other.
+    /// Pairs (from, to) between which datagrams are lost.
     pub(super) cut: collections::HashSet<(usize, usize)>,
-    /// A paused process finds nothing in its socket, as when its host moved.
-    pub(super) deaf_pause: bool,
+    /// Datagrams to a paused process are lost, as when its host is migrated.
+    pub(super) pause_drops: bool,
 }
 
 pub(super) struct Node {
     pub(super) state: State,
     pub(super) up: bool,
     pub(super) paused: bool,
-    pub(super) heard: Vec<member::Rumour>,
+    pub(super) received: Vec<member::Rumour>,
     pub(super) announced: bool,
-    pub(super) twin: bool,
+    pub(super) duplicate_name: bool,
     socket: Vec<(addresses::SocketAddr, wire::Datagram)>,
 }
 
@@ -45,7 +46,7 @@
     pub(super) now: time::Moment,
     pub(super) faults: Faults,
     pub(super) settings: settings::Settings,
-    flight: collections::BTreeMap<(time::Moment, u64), (usize, usize, wire::Datagram)>,
+    in_flight: collections::BTreeMap<(time::Moment, u64), (usize, usize, wire::Datagram)>,
     sent: u64,
     rng: rand::rngs::StdRng,
 }
@@ -71,7 +72,7 @@
 }
 
 impl Net {
-    /// `count` members that know the address of the first.
+    /// Creates `count` members that know the addresses of the first two.
     pub(super) fn new(count: usize, seed: u64) -> Self {
         Self::with(count, seed, settings::Settings::default())
     }
@@ -82,33 +83,33 @@
             now: time::Moment::default(),
             faults: Faults::default(),
             settings,
-            flight: collections::BTreeMap::new(),
+            in_flight: collections::BTreeMap::new(),
             sent: 0,
             rng: rand::rngs::StdRng::seed_from_u64(seed),
         };
         for node in 0..count {
-            let state = net.fresh(node, 1);
+            let state = net.new_state(node, 1);
             net.nodes.push(Node {
                 state,
                 up: true,
                 paused: false,
-                heard: Vec::new(),
+                received: Vec::new(),
                 announced: false,
-                twin: false,
+                duplicate_name: false,
                 socket: Vec::new(),
             });
         }
         net
     }
 
-    /// As [`Self::new`], with views that agree.
+    /// Like [`Self::new`], run until all views agree.
     pub(super) fn settled(count: usize, seed: u64) -> Self {
         let mut net = Self::new(count, seed);
         assert!(net.converges(60), "the members didn't find each other");
         net
     }
 
-    fn fresh(&mut self, node: usize, incarnation: u64) -> State {
+    fn new_state(&mut self, node: usize, incarnation: u64) -> State {
         let settings = self.settings.clone();
         let seed = self.rng.random();
         State::new(
@@ -120,9 +121,9 @@
         )
     }
 
-    /// The process ends and another one starts at its address and name.
+    /// Replaces a process by a new one with the same name and address.
     pub(super) fn restart(&mut self, node: usize, incarnation: u64) {
-        self.nodes[node].state = self.fresh(node, incarnation);
+        self.nodes[node].state = self.new_state(node, incarnation);
         self.nodes[node].up = true;
         self.nodes[node].socket.clear();
     }
@@ -131,23 +132,23 @@
         let actions = self.nodes[node].state.handle(event, self.now);
         for action in actions {
             match action {
-                Action::Send { to, datagram } => self.post(node, to, datagram),
-                Action::Heard(rumour) => self.nodes[node].heard.push(rumour),
+                Action::Send { to, datagram } => self.transmit(node, to, datagram),
+                Action::Received(rumour) => self.nodes[node].received.push(rumour),
                 Action::Announced => self.nodes[node].announced = true,
-                Action::Twin(_) => self.nodes[node].twin = true,
+                Action::DuplicateName(_) => self.nodes[node].duplicate_name = true,
                 Action::View(_) => {}
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: addresses::SocketAddr, datagram: wire::Datagram) {
+    fn transmit(&mut self, from: usize, to: addresses::SocketAddr, datagram: wire::Datagram) {
         use prost::Message as _;
-        assert!(datagram.encoded_len() <= wire::MAX);
+        assert!(datagram.encoded_len() <= wire::MAX_DATAGRAM_BYTES);
         let to = usize::from(to.port()) - 1000;
         if self.faults.cut.contains(&(from, to)) || self.rng.random_bool(self.faults.loss) {
             return;
         }
-        let copies = if self.rng.random_bool(self.faults.double) {
+        let copies = if self.rng.random_bool(self.faults.duplicate) {
             2
         } else {
             1
@@ -156,12 +157,12 @@
             let delay = self.rng.random_range(0..=self.faults.delay);
             let due = self.now + STEP * u32::try_from(delay).unwrap();
             self.sent += 1;
-            self.flight
+            self.in_flight
                 .insert((due, self.sent), (from, to, datagram.clone()));
         }
     }
 
-    /// Lets a tenth of a second pass.
+    /// Advances time by one step.
     pub(super) fn step(&mut self) {
         self.now = self.now + STEP;
         for node in 0..self.nodes.len() {
@@ -172,7 +173,7 @@
                 self.event(node, Event::Tick);
             }
         }
-        while let Some(entry) = self.flight.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
@@ -188,7 +189,7 @@
         let from = address(from);
         if !node.paused {
             self.event(to, Event::Datagram { from, datagram });
-        } else if node.socket.len() < SOCKET && !self.faults.deaf_pause {
+        } else if node.socket.len() < SOCKET_DATAGRAMS && !self.faults.pause_drops {
             node.socket.push((from, datagram));
         }
     }
@@ -197,7 +198,7 @@
         (0..seconds * 10).for_each(|_| self.step());
     }
 
-    /// Whether all views agree with what is up within `seconds`.
+    /// Runs until all views agree; returns false if they don't within `seconds`.
     pub(super) fn converges(&mut self, seconds: u64) -> bool {
         (0..seconds).any(|_| {
             self.run(1);
@@ -205,7 +206,7 @@
         })
     }
 
-    /// Whether every member that runs sees just those that run, none suspect.
+    /// Whether every running member sees exactly the running ones, none suspect.
     pub(super) fn agree(&self) -> bool {
         let running = |(_, node): &(usize, &Node)| node.up && !node.paused;
         let up = || self.nodes.iter().enumerate().filter(running);
@@ -213,18 +214,18 @@
         names.sort();
         up().all(|(_, node)| {
             let view = node.state.view();
-            let there: Vec<_> = view
+            let seen: Vec<_> = view
                 .members
                 .iter()
                 .map(|member| member.vm.clone())
                 .collect();
-            let sure = |member: &member::Member| member.state != member::State::Suspect;
-            there == names && view.members.iter().all(sure)
+            let not_suspect = |member: &member::Member| member.state != member::State::Suspect;
+            seen == names && view.members.iter().all(not_suspect)
         })
     }
 
-    /// Cuts, in both directions, each of `left` from each other node.
-    pub(super) fn part(&mut self, left: std::ops::Range<usize>) {
+    /// Cuts the network in both directions between `left` and all other nodes.
+    pub(super) fn partition(&mut self, left: std::ops::Range<usize>) {
         for a in left.clone() {
             for b in (0..self.nodes.len()).filter(|b| !left.contains(b)) {
                 self.faults.cut.extend([(a, b), (b, a)]);
--- a/crates/geraniumgauge/src/member/tests/record.rs
+++ b/crates/geraniumgauge/src/member/tests/record.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A saying about one VM from a few small numbers, so that collisions are common.
-fn saying(seed: u32) -> Record {
+/// Derives a record of one VM from a few small values, so that many are equal.
+fn record(seed: u32) -> Record {
     let health = [Health::Alive, Health::Suspect, Health::Dead];
     Record {
         vm: "a".parse().unwrap(),
@@ -14,30 +14,30 @@
     }
 }
 
-fn heard(seeds: &[u32]) -> Option<Record> {
-    let mut sayings = seeds.iter().map(|seed| saying(*seed));
-    let first = sayings.next()?;
-    Some(sayings.fold(first, |held, other| held.merge(&other).unwrap_or(held)))
+fn merged(seeds: &[u32]) -> Option<Record> {
+    let mut records = seeds.iter().map(|seed| record(*seed));
+    let first = records.next()?;
+    Some(records.fold(first, |held, other| held.merge(&other).unwrap_or(held)))
 }
 
 #[test]
-fn order_and_doubles_of_sayings_do_not_matter() {
-    fn property(mut seeds: Vec<u32>, turn: usize) -> bool {
-        let held = heard(&seeds);
-        let turned = turn % seeds.len().max(1);
-        seeds.rotate_left(turned);
-        seeds.extend_from_within(..turned);
+fn order_and_duplicates_of_records_do_not_matter() {
+    fn property(mut seeds: Vec<u32>, rotation: usize) -> bool {
+        let held = merged(&seeds);
+        let rotated = rotation % seeds.len().max(1);
+        seeds.rotate_left(rotated);
+        seeds.extend_from_within(..rotated);
         seeds.reverse();
-        heard(&seeds) == held
+        merged(&seeds) == held
     }
     crate::seeds::checker().quickcheck(property as fn(Vec<u32>, usize) -> bool);
 }
 
 #[test]
-fn leaving_is_never_undone_within_a_start() {
+fn leaving_is_never_undone_within_an_incarnation() {
     fn property(seeds: Vec<u32>) -> bool {
         let mut held: Option<Record> = None;
-        seeds.into_iter().map(saying).all(|next| {
+        seeds.into_iter().map(record).all(|next| {
             let before = held.take().unwrap_or_else(|| next.clone());
             let after = before.merge(&next).unwrap_or_else(|| before.clone());
             let kept = after.incarnation > before.incarnation || after.leaving >= before.leaving;
--- a/crates/geraniumgauge/src/member/tests/service.rs
+++ b/crates/geraniumgauge/src/member/tests/service.rs
@@ -17,9 +17,9 @@
     let vm = name.parse().unwrap();
     let mut config = Config::new(vm, ids::Incarnation(1), data_centre, address, socket);
     config.seeds = seeds;
-    config.settings.tick = spans::Duration::from_millis(5);
-    config.settings.probe = spans::Duration::from_millis(50);
-    config.settings.gossip = spans::Duration::from_millis(10);
+    config.settings.tick_interval = spans::Duration::from_millis(5);
+    config.settings.probe_interval = spans::Duration::from_millis(50);
+    config.settings.gossip_interval = spans::Duration::from_millis(10);
     let stop = signals::CancellationToken::new();
     let timer = timer::Service::new(stop.clone());
     let store = sync::Arc::new(store.clone());
@@ -37,10 +37,9 @@
     view.wait_for(|view| wanted(view)).await.unwrap();
 }
 
-/// Story: the store is out and a fresh VM starts. It must become a member by
-/// its seeds alone.
+/// A new VM that starts while the store is unavailable must join by its seeds alone.
 #[tokio::test]
-async fn a_fresh_vm_joins_by_its_seeds_while_the_store_is_down() {
+async fn a_new_vm_joins_by_its_seeds_while_the_store_is_down() {
     let store = store::Fake::default();
     store.fault(|faults| faults.down = true);
     let first = start("a", Vec::new(), &store).await;
@@ -50,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn vms_find_each_other_by_the_platform_list_and_share_rumours() {
+async fn vms_find_each_other_by_the_platform_list_and_share_updates() {
     let store = store::Fake::default();
     let first = start("a", Vec::new(), &store).await;
     store.set_vms(vec![store::Vm {
@@ -61,7 +60,7 @@
     }]);
     let second = start("b", Vec::new(), &store).await;
     sees(&first, |view| view.members.len() == 2).await;
-    let mut heard = second.service.rumours();
+    let mut received = second.service.rumours();
     let rumour = member::Rumour {
         topic: member::Topic::Mark,
         key: "77".to_owned(),
@@ -69,7 +68,7 @@
         body: bytes::Bytes::from_static(b"suspect"),
     };
     first.service.publish(rumour.clone());
-    assert_eq!(heard.recv().await.unwrap(), rumour);
+    assert_eq!(received.recv().await.unwrap(), rumour);
     let held = second.service.all_rumours(member::Topic::Mark);
     assert_eq!(held, [rumour]);
 }
--- a/crates/geraniumgauge/src/member/tests/state.rs
+++ b/crates/geraniumgauge/src/member/tests/state.rs
@@ -2,10 +2,10 @@
 
 use rand::Rng as _;
 
+#[path = "gossip.rs"]
+mod gossip;
 #[path = "net.rs"]
 mod net;
-#[path = "spread.rs"]
-mod spread;
 
 use net::Net;
 
@@ -25,7 +25,7 @@
 fn lossy() -> net::Faults {
     net::Faults {
         loss: 0.15,
-        double: 0.1,
+        duplicate: 0.1,
         delay: 3,
         ..net::Faults::default()
     }
@@ -43,8 +43,8 @@
     check(property);
 }
 
-/// Story: a VM loses power under load. Duties stay with it until it's taken as
-/// dead, so that must come within a bounded time, and take nobody else along.
+/// A VM that loses power keeps its work until it is declared dead. That must happen
+/// within a bounded time, and to no other VM.
 #[test]
 fn a_dead_vm_is_removed_in_bounded_rounds_and_no_other() {
     fn property(seed: u64) -> bool {
@@ -59,15 +59,15 @@
     check(property);
 }
 
-/// Story: a VM's host moves and pauses it for a minute. Others take it as dead.
-/// On waking, its socket is empty and its timers have all run out; it must take nobody as dead, must say that it
-/// lives under the start it has, and be everyone's member again.
+/// A VM is paused for a minute while its host is migrated, and others declare it
+/// dead. When it resumes, its socket is empty and all its timers have expired. It
+/// must declare nobody dead, and must refute and rejoin in the same incarnation.
 #[test]
 fn a_paused_vm_returns_and_removes_nobody() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(6, seed);
-        net.faults.deaf_pause = true;
-        // It pauses while it suspects another that is away only for a moment.
+        net.faults.pause_drops = true;
+        // Node 5 pauses while it suspects node 4, which is paused only briefly.
         net.nodes[4].paused = true;
         let suspects = |net: &Net| !net.nodes[5].state.suspects.is_empty();
         while !suspects(&net) {
@@ -76,21 +76,21 @@
         net.nodes[5].paused = true;
         net.nodes[4].paused = false;
         net.run(60);
-        let gone = net.nodes[0].state.view().get(&net::vm(5)).is_none();
+        let removed = net.nodes[0].state.view().get(&net::vm(5)).is_none();
         net.nodes[5].paused = false;
         let back = net.converges(20);
         let own = net.nodes[5].state.own();
         let same = own.incarnation == ids::Incarnation(1) && own.refutation > 0;
-        gone && back && same && net.nodes[5].state.figures.deaths == 0
+        removed && back && same && net.nodes[5].state.stats.deaths == 0
     }
     check(property);
 }
 
-/// Story: a VM is replaced under its own name and address within a second,
-/// while records of its first start still travel. They must not unseat the
-/// second, and a leaving of the first must not stick to it.
+/// A VM restarts under its name and address within a second, while records of its
+/// first incarnation are still being gossiped. They must not replace those of the
+/// second, nor may the first one's `leaving` carry over.
 #[test]
-fn a_restarted_vm_is_a_member_anew() {
+fn a_restarted_vm_is_a_member_again() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(5, seed);
         net.faults = lossy();
@@ -107,10 +107,10 @@
     check(property);
 }
 
-/// Story: a VM starts again with its clock set back, so that its start counts
-/// as older than the one before. Others would ignore it for ever.
+/// A VM restarts with its clock set back, so its new incarnation is lower than the
+/// one before. Without a correction others would ignore it for good.
 #[test]
-fn a_restart_with_a_clock_behind_outbids_its_earlier_start() {
+fn a_restart_with_a_clock_set_back_raises_its_incarnation() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(4, seed);
         net.restart(2, 100);
@@ -124,18 +124,17 @@
     check(property);
 }
 
-/// Story: two regions lose each other for an hour. Each takes the other as
-/// dead and goes on alone. When the way is open again, nobody restarts
-/// anything, so they must find each other by themselves.
+/// During a long network partition each side declares the other dead and works on.
+/// Afterwards they must find each other without a restart.
 #[test]
-fn parted_regions_go_on_and_meet_again() {
+fn partitioned_regions_go_on_and_find_each_other_again() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(6, seed);
-        // Neither the store's list nor a seed tells them of each other again.
+        // Neither the store's list nor a seed names the other side.
         let contacts =
             |node: &mut net::Node| node.state.contacts = join::Contacts::new(vec![], net::START);
         net.nodes.iter_mut().for_each(contacts);
-        net.part(0..3);
+        net.partition(0..3);
         net.run(600);
         let alone = net
             .nodes
@@ -149,9 +148,9 @@
         .quickcheck(property as fn(u64) -> bool);
 }
 
-/// Story: a roll-out stops two VMs at the same time. Each must be known as
-/// leaving by all others before it closes its doors, though each may have told
-/// the other.
+/// When a roll-out stops two VMs at the same time, all others must know each of them
+/// as leaving before it stops, though the two may have confirmed each other's
+/// announcement.
 #[test]
 fn two_vms_that_leave_at_once_are_both_known_as_leaving() {
     fn property(seed: u64) -> bool {
@@ -170,16 +169,16 @@
     check(property);
 }
 
-/// Story: a firewall drops what one VM sends to another, and nothing else. The
-/// two reach each other through the rest, so neither may be suspected.
+/// A firewall drops datagrams from one VM to one other. Relayed probes still reach
+/// it, so neither may be suspected.
 #[test]
-fn a_one_way_loss_between_two_vms_accuses_nobody() {
+fn a_one_way_loss_between_two_vms_makes_nobody_suspect() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(6, seed);
         let failed = |net: &Net| {
             net.nodes
                 .iter()
-                .map(|n| n.state.figures.failed)
+                .map(|n| n.state.stats.probes_failed)
                 .sum::<u64>()
         };
         let before = failed(&net);
@@ -190,10 +189,10 @@
     check(property);
 }
 
-/// Story: a VM hears nothing for a while but can still send. It takes all
-/// others as dead, and they it; that must not outlast the fault.
+/// A VM that can send but not receive declares all others dead, and they it. Both
+/// must end with the fault.
 #[test]
-fn a_deaf_vm_is_a_member_again_once_it_hears() {
+fn a_vm_that_received_nothing_is_a_member_again_once_it_receives() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(5, seed);
         net.faults.cut.extend((0..4).map(|from| (from, 4)));
@@ -204,10 +203,10 @@
     check(property);
 }
 
-/// Under any order of loss, delay, doubling, pauses and cuts: once a member is
-/// seen leaving in one start, it's never seen staying in that start.
+/// Under any sequence of loss, delay, duplication, pauses and partitions, a member
+/// seen leaving in an incarnation is never seen otherwise in that incarnation.
 #[test]
-fn leaving_is_never_undone_within_a_start() {
+fn leaving_is_never_undone_within_an_incarnation() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(5, seed);
         net.faults = lossy();
@@ -219,7 +218,7 @@
             match rng.random_range(0..5) {
                 0 => net.nodes[node].paused = true,
                 1 => net.nodes.iter_mut().for_each(|node| node.paused = false),
-                2 => net.part(0..node),
+                2 => net.partition(0..node),
                 3 => net.faults.cut.clear(),
                 _ => net.event(node, Event::Leave),
             }
@@ -240,10 +239,9 @@
     check(property);
 }
 
-/// Story: after any trouble that ends, operators must not have to restart
-/// anything: views agree again within a bounded time.
+/// Views must agree again within a bounded time after faults end, without restarts.
 #[test]
-fn views_converge_once_links_heal() {
+fn views_converge_once_the_network_recovers() {
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(6, seed);
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
@@ -253,7 +251,7 @@
         };
         for _ in 0..6 {
             let node = rng.random_range(0..6);
-            net.part(0..node);
+            net.partition(0..node);
             net.nodes[node].paused = !net.nodes[node].paused;
             net.run(rng.random_range(1..15));
             net.faults.cut.clear();
@@ -265,10 +263,10 @@
     check(property);
 }
 
-/// Story: a platform list that lags still calls a VM leaving that has started
-/// again. The flag may count for the start it was seen with, not for the new.
+/// A lagging platform list still marks a VM as leaving that has restarted. The flag
+/// must apply only to the incarnation that it was first seen with.
 #[test]
-fn a_lagging_leaving_flag_does_not_stick_to_the_next_start() {
+fn a_lagging_leaving_flag_does_not_apply_to_the_next_incarnation() {
     let mut net = Net::settled(3, 3);
     let listed = store::Vm {
         vm: net::vm(2),
@@ -285,32 +283,32 @@
     assert_eq!(seen(&net), Some(member::State::Alive));
 }
 
-/// Story: two VMs are given one name by mistake. The earlier one must say so
-/// and not raise its start above the other's for ever.
+/// When two VMs are given the same name by mistake, the earlier one must report it
+/// and not raise its incarnation above the other's without end.
 #[test]
-fn a_vm_whose_name_another_bears_says_so_and_yields() {
+fn a_vm_whose_name_is_duplicated_reports_it_and_keeps_its_incarnation() {
     let mut net = Net::settled(3, 5);
     let mut other = net::record(2, 9);
     other.address = net::address(1);
     let datagram = wire::Datagram {
-        from: Some(wire::Saying::from(&other)),
+        from: Some(wire::Record::from(&other)),
         ..wire::Datagram::default()
     };
     let from = net::address(1);
     net.event(2, Event::Datagram { from, datagram });
-    assert!(net.nodes[2].twin);
+    assert!(net.nodes[2].duplicate_name);
     assert_eq!(net.nodes[2].state.own().incarnation, ids::Incarnation(1));
 }
 
 #[test]
-fn a_long_dead_member_is_forgotten_with_what_it_applied() {
+fn a_long_dead_member_is_forgotten_with_its_applied_updates() {
     let mut net = Net::settled(3, 5);
     net.event(2, Event::Publish(rumour(member::Topic::Applied, "vm-2", 1)));
     net.run(5);
     net.nodes[2].up = false;
     net.run(15);
     assert!(net.nodes[0].state.record(&net::vm(2)).is_some());
-    net.now = net.now + settings::Settings::default().tombstone;
+    net.now = net.now + settings::Settings::default().tombstone_lifetime;
     net.run(2);
     assert!(net.nodes[0].state.record(&net::vm(2)).is_none());
     let held = net.nodes[0].state.rumour(member::Topic::Applied, "vm-2");
--- a/crates/geraniumgauge/src/member/view.rs
+++ b/crates/geraniumgauge/src/member/view.rs
@@ -1,44 +1,44 @@
-//! An immutable picture of the membership.
+//! Immutable snapshots of the membership.
 
 use std::net;
 use std::sync;
 
 use crate::ids;
 
-/// What this VM holds of another.
+/// State of a member as this VM sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 pub enum State {
-    /// It answers, and takes duties.
+    /// The VM answers probes and takes work.
     #[display("alive")]
     Alive,
-    /// It has missed probes; it keeps its duties until it is taken as dead.
+    /// The VM has not answered a probe. It keeps its work until it is declared dead.
     #[display("suspect")]
     Suspect,
-    /// It has announced its stop; it finishes what it has and takes nothing new.
+    /// The VM is leaving: it finishes its work and takes no more.
     #[display("leaving")]
     Leaving,
 }
 
-/// One VM of the view.
+/// A member of the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the VM.
     pub vm: ids::Vm,
-    /// Which start of it.
+    /// Incarnation of the VM: a number that rises with each start.
     pub incarnation: ids::Incarnation,
-    /// Where it runs.
+    /// Data centre of the VM.
     pub data_centre: ids::DataCentre,
-    /// Where its mesh listens: TCP for links, UDP for probes, the same port.
+    /// Address of its mesh (TCP) and its probes (UDP, same port).
     pub address: net::SocketAddr,
-    /// What this VM holds of it.
+    /// State of the VM.
     pub state: State,
 }
 
-/// All VMs that are not dead, ordered by name, this VM among them.
+/// All VMs that are not dead, this VM included.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
-    /// This VM.
+    /// Name of this VM.
     pub local: ids::Vm,
     /// The members, ordered by name.
     pub members: Vec<Member>,
@@ -48,19 +48,19 @@
 pub type Shared = sync::Arc<View>;
 
 impl View {
-    /// A view of `members`, which it orders by name.
+    /// Creates a view of `members` and sorts them by name.
     pub fn new(local: ids::Vm, mut members: Vec<Member>) -> Self {
         members.sort_by(|a, b| a.vm.cmp(&b.vm));
         Self { local, members }
     }
 
-    /// The member named `vm`.
+    /// Returns the member named `vm`.
     pub fn get(&self, vm: &ids::Vm) -> Option<&Member> {
         let at = self.members.binary_search_by(|member| member.vm.cmp(vm));
         at.ok().map(|at| &self.members[at])
     }
 
-    /// Members that take duties: alive or suspect, not leaving.
+    /// Returns the members that take work: alive or suspect, not leaving.
     pub fn holders(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
--- a/crates/geraniumgauge/src/member/wire.rs
+++ b/crates/geraniumgauge/src/member/wire.rs
@@ -1,7 +1,7 @@
 //! Datagrams between members. Prost derives the encoding.
 //!
-//! Each carries its sender's own record first: whatever else it says, it is a
-//! sign of life and tells a leaving VM from one that stays.
+//! Each datagram carries its sender's own record, so it always shows that the
+//! sender is alive and whether it is leaving.
 
 use std::net;
 
@@ -13,142 +13,143 @@
 use crate::member;
 use crate::member::record;
 
-/// Largest datagram, in bytes: it fits one Ethernet packet with its headers.
-pub const MAX: usize = 1400;
+/// Largest datagram, in bytes. With headers it fits one Ethernet frame.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// Bytes of IP and UDP headers, which count into what gossip spends.
-pub const HEADERS: usize = 28;
+/// Bytes of the IP and UDP headers, which count towards the gossip budget.
+pub const HEADER_BYTES: usize = 28;
 
-/// Why a datagram couldn't be read or written.
+/// Error of reading or writing a datagram.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
     /// The socket failed.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// The bytes are no datagram of ours.
+    /// The bytes are not a valid datagram.
     #[display("undecodable datagram: {_0}")]
-    Garbled(prost::DecodeError),
+    Decode(prost::DecodeError),
 }
 
-/// One datagram.
+/// A datagram between members.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Datagram {
-    /// The sender.
+    /// Record of the sender.
     #[prost(message, optional, tag = "1")]
-    pub from: Option<Saying>,
-    /// What it asks or answers; plain gossip where none.
+    pub from: Option<Record>,
+    /// The request or answer; absent in a datagram of gossip only.
     #[prost(oneof = "Kind", tags = "2, 3, 4, 5")]
     pub kind: Option<Kind>,
-    /// What the sender has heard of VMs.
+    /// Records of other VMs.
     #[prost(message, repeated, tag = "6")]
-    pub sayings: Vec<Saying>,
-    /// What the sender has heard of duties.
+    pub records: Vec<Record>,
+    /// Gossip updates.
     #[prost(message, repeated, tag = "7")]
     pub rumours: Vec<Rumour>,
 }
 
-/// The kinds of datagram.
+/// Requests and answers between members.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Oneof)]
 pub enum Kind {
-    /// Asks a VM for an [`Kind::Ack`].
+    /// Asks a VM for a [`Kind::Ack`].
     #[prost(message, tag = "2")]
     Ping(Probe),
-    /// Answers a ping, or passes the answer of another VM on.
+    /// Answers a ping, or forwards another VM's answer.
     #[prost(message, tag = "3")]
     Ack(Probe),
-    /// Asks for a ping of another VM on the sender's behalf.
+    /// Asks the receiver to ping another VM on the sender's behalf.
     #[prost(message, tag = "4")]
     Relay(Relay),
-    /// What the sender holds, as hashes.
+    /// Hashes of everything the sender holds.
     #[prost(message, tag = "5")]
     Digest(Digest),
 }
 
-/// One probe.
+/// A probe, or the answer to one.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Probe {
-    /// Chosen by who asks.
+    /// Number chosen by the prober and echoed in the answer.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The VM that is asked; another one at its address stays mute.
+    /// Name of the probed VM. Another VM at its address doesn't answer; empty
+    /// addresses any VM.
     #[prost(string, tag = "2")]
     pub vm: String,
 }
 
-/// A probe through another member.
+/// A request to probe another VM.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Relay {
-    /// The probe.
+    /// The probe to make.
     #[prost(message, optional, tag = "1")]
     pub probe: Option<Probe>,
-    /// Where the probed VM listens.
+    /// Address of the probed VM.
     #[prost(string, tag = "2")]
     pub address: String,
 }
 
-/// Hashes of what a VM holds, by bucket.
+/// Hashes of everything a VM holds, by bucket.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Digest {
-    /// Four bytes each, big-endian.
+    /// One hash per bucket, four bytes each, big-endian.
     #[prost(bytes = "bytes", tag = "1")]
     pub hashes: Bytes,
-    /// It answers a digest, and must not be answered by another.
+    /// Set if this answers a digest; it must not be answered with another.
     #[prost(bool, tag = "2")]
     pub answer: bool,
 }
 
-/// [`record::Record`] on the wire.
+/// Wire form of [`record::Record`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct Saying {
-    /// The VM.
+pub struct Record {
+    /// Name of the VM.
     #[prost(string, tag = "1")]
     pub vm: String,
-    /// Which start of it.
+    /// Incarnation of the VM.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// How often it has refuted.
+    /// Number of suspicions refuted in this incarnation.
     #[prost(uint32, tag = "3")]
     pub refutation: u32,
-    /// Where it runs.
+    /// Data centre of the VM.
     #[prost(string, tag = "4")]
     pub data_centre: String,
-    /// Where it listens.
+    /// Address of its mesh and probes, as `ip:port`.
     #[prost(string, tag = "5")]
     pub address: String,
-    /// It has announced its stop.
+    /// Set once the VM has announced that it is leaving.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// 0 alive, 1 suspect, 2 dead.
+    /// Health: 0 alive, 1 suspect, 2 dead.
     #[prost(uint32, tag = "7")]
     pub health: u32,
 }
 
-/// [`member::Rumour`] on the wire.
+/// Wire form of [`member::Rumour`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Rumour {
-    /// 1 catalog, 2 applied, 3 mark.
+    /// Topic: 1 catalog, 2 applied, 3 mark.
     #[prost(uint32, tag = "1")]
     pub topic: u32,
-    /// What it is about.
+    /// Identifies what the update is about within its topic.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// Higher replaces lower.
+    /// A higher version replaces a lower one.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The fact.
+    /// The fact, in the subsystem's own encoding.
     #[prost(bytes = "bytes", tag = "4")]
     pub body: Bytes,
 }
 
-impl From<&record::Record> for Saying {
+impl From<&record::Record> for Record {
     fn from(record: &record::Record) -> Self {
         Self {
             vm: record.vm.to_string(),
@@ -162,8 +163,9 @@
     }
 }
 
-impl Saying {
-    /// The record; `None` where a field makes no sense, as from a newer version.
+impl Record {
+    /// Decodes the record. Returns `None` if a field is invalid, as it may be from a
+    /// newer version.
     pub fn record(&self) -> Option<record::Record> {
         let health = match self.health {
             0 => record::Health::Alive,
@@ -200,7 +202,7 @@
 }
 
 impl Rumour {
-    /// The rumour; `None` for a topic of a newer version.
+    /// Decodes the update. Returns `None` for the topic of a newer version.
     pub fn rumour(self) -> Option<member::Rumour> {
         let topic = match self.topic {
             1 => member::Topic::Catalog,
@@ -217,7 +219,7 @@
     }
 }
 
-/// One datagram, one message.
+/// Decodes and encodes one message per datagram.
 #[derive(Debug, Default)]
 pub struct Codec;
 
