--- a/crates/geraniumgauge/src/mesh/codec.rs
+++ b/crates/geraniumgauge/src/mesh/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream: a length of four bytes, then the prost message.
+//! Framing on a byte stream: a length of four bytes, then the prost message.
 
 use std::io;
 
@@ -8,19 +8,19 @@
 
 use crate::mesh::message;
 
-/// Bytes of the length before each frame.
-pub(super) const HEAD: usize = 4;
+/// Size of the length prefix of a frame.
+pub(super) const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no frame. The link they came over can't be read any further.
+/// Error of reading or writing a frame. Nothing more can be read from the link.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
     /// The stream failed, or a frame exceeds the size limit.
     #[display("{_0}")]
     Io(io::Error),
-    /// The bytes are no message.
+    /// The bytes are not a valid message.
     #[display("undecodable frame: {_0}")]
-    Garbled(prost::DecodeError),
+    Decode(prost::DecodeError),
 }
 
 /// Encodes and decodes frames of a bounded size.
@@ -31,10 +31,12 @@
 }
 
 impl Codec {
-    /// A codec that takes frames of at most `limit` bytes.
+    /// Creates a codec for frames of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         let mut builder = codec::LengthDelimitedCodec::builder();
-        let lengths = builder.length_field_length(HEAD).max_frame_length(limit);
+        let lengths = builder
+            .length_field_length(LENGTH_BYTES)
+            .max_frame_length(limit);
         Self {
             lengths: lengths.new_codec(),
             limit,
@@ -43,7 +45,7 @@
 }
 
 impl codec::Decoder for Codec {
-    /// `None` for a frame of a newer kind, which the caller skips.
+    /// The message; `None` for a kind of a newer version, which the caller skips.
     type Item = Option<message::Body>;
     type Error = Error;
 
@@ -60,15 +62,15 @@
     type Error = Error;
 
     fn encode(&mut self, body: &message::Body, into: &mut bytes::BytesMut) -> Result<(), Error> {
-        put(body, body.encoded_len(), self.limit, into)
+        encode_frame(body, body.encoded_len(), self.limit, into)
     }
 }
 
-/// Appends `body`, whose encoded size is `size`, to `into`.
+/// Appends a frame with `body`, whose encoded size is `size` bytes, to `into`.
 ///
 /// # Errors
-/// Where `size` exceeds `limit`; nothing is appended then.
-pub(super) fn put(
+/// If `size` exceeds `limit`; nothing is appended then.
+pub(super) fn encode_frame(
     body: &message::Body,
     size: usize,
     limit: usize,
@@ -76,10 +78,10 @@
 ) -> Result<(), Error> {
     let length = u32::try_from(size).ok().filter(|_| size <= limit);
     let Some(length) = length else {
-        let text = format!("a frame of {size} bytes exceeds the limit of {limit}");
+        let text = format!("a frame of {size} bytes exceeds the limit of {limit} bytes");
         return Err(io::Error::new(io::ErrorKind::InvalidInput, text).into());
     };
-    into.reserve(HEAD + size);
+    into.reserve(LENGTH_BYTES + size);
     into.put_u32(length);
     body.encode(into);
     Ok(())
--- a/crates/geraniumgauge/src/mesh/link.rs
+++ b/crates/geraniumgauge/src/mesh/link.rs
@@ -1,5 +1,5 @@
-//! A link that this VM opened: it connects, greets, writes what its queue
-//! holds, and reads the peer's replies to heartbeats.
+//! A link opened by this VM: connects, exchanges hellos, writes the queued frames,
+//! and reads the peer's replies to heartbeats.
 
 use std::net;
 use std::sync;
@@ -15,41 +15,41 @@
 
 use crate::ids;
 use crate::mesh::codec;
-use crate::mesh::count;
+use crate::mesh::heartbeat;
+use crate::mesh::instruments;
 use crate::mesh::message;
 use crate::mesh::outbox;
-use crate::mesh::pulse;
 
-/// How a link ended.
+/// Reason why a link ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub(super) enum End {
-    /// Everything queued was written and the peer told.
-    #[display("closed in order")]
-    Orderly,
-    /// The peer is no member any more.
-    #[display("{_0} is no member any more")]
-    Gone(ids::Vm),
-    /// The peer has not answered heartbeats.
-    #[display("silent: heartbeats were not answered")]
+    /// All queued frames were written, followed by a bye.
+    #[display("closed")]
+    Closed,
+    /// The peer is no longer a member.
+    #[display("VM {_0} is no longer a member")]
+    NotMember(ids::Vm),
+    /// The peer has not answered heartbeats in time.
+    #[display("the peer did not answer heartbeats")]
     Silent,
-    /// The peer has started again, so this link leads to nobody.
-    #[display("the peer has started again")]
+    /// The peer has restarted; this link was to its earlier process.
+    #[display("the peer has restarted")]
     Restarted,
-    /// Connecting, greeting, reading or writing failed.
+    /// Connecting, exchanging hellos, reading or writing failed.
     #[display("{_0}")]
-    Broken(String),
+    Failed(String),
 }
 
-/// Where a link leads and how patient it is.
+/// Address, hello, timeouts and limits of a link.
 #[derive(Debug, Clone)]
 pub(super) struct Settings {
     pub(super) address: net::SocketAddr,
     pub(super) hello: message::Hello,
-    /// For connecting, and again for the peer's greeting.
-    pub(super) connect: time::Duration,
+    /// Timeout of connecting, and again of the peer's hello.
+    pub(super) connect_timeout: time::Duration,
     pub(super) queue: outbox::Limits,
-    pub(super) pulse: pulse::Limits,
+    pub(super) heartbeat: heartbeat::Limits,
 }
 
 /// One link, shared by its task and the senders.
@@ -58,157 +58,166 @@
     pub(super) peer: ids::Vm,
     settings: Settings,
     pub(super) outbox: outbox::Outbox,
-    pulse: sync::Mutex<pulse::Pulse>,
-    killed: signals::CancellationToken,
+    heartbeat: sync::Mutex<heartbeat::Monitor>,
+    aborted: signals::CancellationToken,
     end: sync::OnceLock<End>,
-    /// The peer's start, once it has greeted.
-    started: sync::OnceLock<ids::Incarnation>,
-    count: sync::Arc<count::Count>,
+    /// The peer's incarnation, set once its hello has arrived.
+    peer_incarnation: sync::OnceLock<ids::Incarnation>,
+    instruments: sync::Arc<instruments::Instruments>,
 }
 
 impl Link {
-    pub(super) fn new(peer: ids::Vm, settings: Settings, count: sync::Arc<count::Count>) -> Self {
+    pub(super) fn new(
+        peer: ids::Vm,
+        settings: Settings,
+        instruments: sync::Arc<instruments::Instruments>,
+    ) -> Self {
         Self {
             peer,
             outbox: outbox::Outbox::new(settings.queue),
-            pulse: sync::Mutex::new(pulse::Pulse::new(settings.pulse)),
-            killed: signals::CancellationToken::new(),
+            heartbeat: sync::Mutex::new(heartbeat::Monitor::new(settings.heartbeat)),
+            aborted: signals::CancellationToken::new(),
             end: sync::OnceLock::new(),
-            started: sync::OnceLock::new(),
+            peer_incarnation: sync::OnceLock::new(),
             settings,
-            count,
+            instruments,
         }
     }
 
     /// Queues a frame.
     pub(super) fn send(&self, body: &message::Body, size: usize) -> Result<(), outbox::Refusal> {
         self.outbox.push(body, size)?;
-        outbox::locked(&self.pulse).handle(pulse::Event::Sent);
+        outbox::lock(&self.heartbeat).handle(heartbeat::Event::FrameQueued);
         Ok(())
     }
 
-    /// Lets a tick pass.
+    /// Handles a tick of the heartbeat timer.
     pub(super) fn tick(&self) {
-        let action = outbox::locked(&self.pulse).handle(pulse::Event::Tick);
+        let action = outbox::lock(&self.heartbeat).handle(heartbeat::Event::Tick);
         match action {
-            Some(pulse::Action::Beat(beat)) => self.beat(beat),
-            Some(pulse::Action::Silent) => self.kill(End::Silent),
-            Some(pulse::Action::Idle) => drop(self.outbox.retire()),
+            Some(heartbeat::Action::Send(number)) => self.send_heartbeat(number),
+            Some(heartbeat::Action::Silent) => self.abort(End::Silent),
+            Some(heartbeat::Action::Idle) => drop(self.outbox.close_if_empty()),
             None => {}
         }
     }
 
-    /// A heartbeat that finds the queue full isn't sent and so not answered:
-    /// a queue that stays full for that long belongs to a silent link as well.
-    fn beat(&self, beat: u64) {
-        let body = message::Body::Beat(beat);
+    /// Queues a heartbeat. If the queue is full, the heartbeat is dropped and so goes
+    /// unanswered; a link whose queue stays full that long counts as silent too.
+    fn send_heartbeat(&self, number: u64) {
+        let body = message::Body::Beat(number);
         drop(self.outbox.push(&body, body.encoded_len()));
     }
 
-    /// Ends the link at once; what waits is lost.
-    pub(super) fn kill(&self, end: End) {
+    /// Ends the link at once; queued frames are lost.
+    pub(super) fn abort(&self, end: End) {
         drop(self.end.set(end));
-        self.killed.cancel();
+        self.aborted.cancel();
     }
 
-    /// Whether the peer greeted over this link in an earlier start than `now`.
-    pub(super) fn is_older(&self, now: ids::Incarnation) -> bool {
-        self.started.get().is_some_and(|started| *started < now)
+    /// Whether the peer of this link has an earlier incarnation than `incarnation`.
+    pub(super) fn is_older(&self, incarnation: ids::Incarnation) -> bool {
+        self.peer_incarnation
+            .get()
+            .is_some_and(|known| *known < incarnation)
     }
 
-    /// Runs the link to its end.
+    /// Runs the link until it ends.
     pub(super) async fn run(&self) -> End {
         let ended = tokio::select! {
             biased;
-            () = self.killed.cancelled() => None,
-            ended = self.converse() => ended.err().map(End::Broken),
+            () = self.aborted.cancelled() => None,
+            ended = self.run_connection() => ended.err().map(End::Failed),
         };
-        self.outbox.abandon();
-        let killed = self.end.get().cloned();
-        killed.or(ended).unwrap_or(End::Orderly)
+        self.outbox.discard();
+        let abort_reason = self.end.get().cloned();
+        abort_reason.or(ended).unwrap_or(End::Closed)
     }
 
-    async fn converse(&self) -> Result<(), String> {
-        let patience = self.settings.connect;
+    async fn run_connection(&self) -> Result<(), String> {
+        let timeout = self.settings.connect_timeout;
         let connect = sockets::TcpStream::connect(self.settings.address);
-        let connected = tokio::time::timeout(patience, connect).await;
-        let stream = connected.map_err(|_| "connecting took too long".to_owned())?;
+        let connected = tokio::time::timeout(timeout, connect).await;
+        let stream = connected.map_err(|_| "connecting timed out".to_owned())?;
         let stream = stream.map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
         let (read, mut write) = stream.into_split();
-        let codec = codec::Codec::new(self.settings.queue.frame);
+        let codec = codec::Codec::new(self.settings.queue.max_frame_bytes);
         let mut reader = framing::FramedRead::new(read, codec);
-        let greeting = self.greet(&mut reader, &mut write);
-        let greeted = tokio::time::timeout(patience, greeting).await;
-        greeted.map_err(|_| "no greeting came".to_owned())??;
-        count::up(&self.count.opened);
+        let handshake = self.exchange_hello(&mut reader, &mut write);
+        let done = tokio::time::timeout(timeout, handshake).await;
+        done.map_err(|_| "no hello arrived in time".to_owned())??;
+        instruments::increment(&self.instruments.opened);
         let reading = self.read(reader);
         tokio::pin!(reading);
         tokio::select! {
             ended = &mut reading => return Err(ended),
             written = self.write(&mut write) => written.map_err(text)?,
         }
-        // The peer closes after the last frame. Closing earlier, with its
-        // replies unread, would reset the connection and drop what is in flight.
-        drop(tokio::time::timeout(patience, reading).await);
+        // The peer closes after the last frame. Closing first, with its replies
+        // unread, would reset the connection and drop frames in flight.
+        drop(tokio::time::timeout(timeout, reading).await);
         Ok(())
     }
 
-    /// Frames wait until the peer has said who it is: an address that a new VM
-    /// took over must not be sent what was meant for the old one.
-    async fn greet(
+    /// Exchanges hellos and checks the peer's name. Frames are held back until then,
+    /// since the address may have been taken over by another VM.
+    async fn exchange_hello(
         &self,
         reader: &mut framing::FramedRead<tcp::OwnedReadHalf, codec::Codec>,
         write: &mut tcp::OwnedWriteHalf,
     ) -> Result<(), String> {
-        let codec = codec::Codec::new(self.settings.queue.frame);
+        let codec = codec::Codec::new(self.settings.queue.max_frame_bytes);
         let mut writer = framing::FramedWrite::new(write, codec);
         let hello = message::Body::Hello(self.settings.hello.clone());
         writer.send(&hello).await.map_err(text)?;
         let hello = match reader.next().await {
             Some(Ok(Some(message::Body::Hello(hello)))) => hello,
-            Some(Ok(_)) => return Err("the first frame was no greeting".to_owned()),
+            Some(Ok(_)) => return Err("the first frame was not a hello".to_owned()),
             Some(Err(error)) => return Err(text(error)),
-            None => return Err("closed before a greeting".to_owned()),
+            None => return Err("the peer closed the link before its hello".to_owned()),
         };
-        super::inbound::check(&hello)?;
+        super::inbound::check_protocol(&hello)?;
         if hello.vm != self.peer.as_str() {
-            return Err(format!("{} answers there", hello.vm));
+            return Err(format!("the peer at this address is VM {}", hello.vm));
         }
-        let _ = self.started.set(ids::Incarnation(hello.incarnation));
+        let _ = self
+            .peer_incarnation
+            .set(ids::Incarnation(hello.incarnation));
         Ok(())
     }
 
+    /// Writes queued frames until the queue is closed and empty, and then a bye.
     async fn write(&self, write: &mut tcp::OwnedWriteHalf) -> std::io::Result<()> {
         let mut batch = bytes::BytesMut::new();
         while let Some(frames) = self.outbox.take(&mut batch).await {
             write.write_all(&batch).await?;
-            count::up(&self.count.writes);
-            count::add(&self.count.frames_sent, frames as u64);
-            count::add(&self.count.bytes_sent, batch.len() as u64);
+            instruments::increment(&self.instruments.writes);
+            instruments::add(&self.instruments.frames_sent, frames as u64);
+            instruments::add(&self.instruments.bytes_sent, batch.len() as u64);
         }
         let bye = message::Body::Bye(message::Bye {});
-        let limit = self.settings.queue.frame;
+        let limit = self.settings.queue.max_frame_bytes;
         batch.clear();
-        if codec::put(&bye, bye.encoded_len(), limit, &mut batch).is_ok() {
+        if codec::encode_frame(&bye, bye.encoded_len(), limit, &mut batch).is_ok() {
             write.write_all(&batch).await?;
         }
         write.shutdown().await
     }
 
-    /// Reads until the stream ends and says why.
+    /// Reads replies to heartbeats until the stream ends. Returns the reason.
     async fn read(
         &self,
         mut reader: framing::FramedRead<tcp::OwnedReadHalf, codec::Codec>,
     ) -> String {
         loop {
             match reader.next().await {
-                Some(Ok(Some(message::Body::BeatReply(beat)))) => {
-                    outbox::locked(&self.pulse).handle(pulse::Event::Answered(beat));
+                Some(Ok(Some(message::Body::BeatReply(number)))) => {
+                    outbox::lock(&self.heartbeat).handle(heartbeat::Event::Answered(number));
                 }
                 Some(Ok(_)) => {}
                 Some(Err(error)) => return text(error),
-                None => return "the peer closed it".to_owned(),
+                None => return "the peer closed the link".to_owned(),
             }
         }
     }
--- a/crates/geraniumgauge/src/mesh/message/mod.rs
+++ b/crates/geraniumgauge/src/mesh/message/mod.rs
@@ -1,6 +1,7 @@
-//! The messages of the mesh. Prost derives the encoding; no generator is used.
+//! The messages of the mesh. Prost derives the encoding from the structs; there are
+//! no `.proto` files.
 //!
-//! Times on the wire are always time left, in microseconds, never clock times.
+//! Deadlines are sent as the time left in microseconds, never as clock times.
 
 mod document;
 mod record;
@@ -24,103 +25,104 @@
 
 use bytes::Bytes;
 
-/// One frame on a link.
+/// A frame on a link.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Frame {
-    /// What it carries; a frame of a newer kind decodes as none and is skipped.
+    /// The message. `None` for a kind of a newer version, which is skipped.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14")]
     pub body: Option<Body>,
 }
 
-/// The kinds of frame.
+/// The kinds of message.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Oneof)]
 pub enum Body {
     /// First frame on a link, in each direction.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// Asks for [`Body::BeatReply`]; sent where a link has been quiet.
+    /// Heartbeat: asks for a [`Body::BeatReply`] on a link that has carried frames.
     #[prost(uint64, tag = "2")]
     Beat(u64),
     /// Echoes the number of a [`Body::Beat`].
     #[prost(uint64, tag = "3")]
     BeatReply(u64),
-    /// Entry to home: shard calls of one query.
+    /// Coordinator to home: shard calls of one query.
     #[prost(message, tag = "4")]
     Batch(Batch),
-    /// Home to entry: what became of shard calls.
+    /// Home to coordinator: outcomes of shard calls.
     #[prost(message, tag = "5")]
     Replies(Replies),
-    /// Entry to home: these attempts are no longer wanted.
+    /// Coordinator to home: cancels attempts.
     #[prost(message, tag = "6")]
     Cancel(Cancel),
-    /// Claimant to home: send this record to the upstream, once.
+    /// Claimant to home: a record to send to its upstream once.
     #[prost(message, tag = "7")]
     Record(Record),
-    /// Home to claimant: what became of the record.
+    /// Home to claimant: outcome of a record.
     #[prost(message, tag = "8")]
     RecordReply(RecordReply),
-    /// Entry to the key's claimant: run this registration.
+    /// Coordinator to the claimant of the key: a registration to run.
     #[prost(message, tag = "9")]
     Register(Register),
-    /// Claimant to entry: what to tell the caller.
+    /// Claimant to coordinator: the answer to the caller.
     #[prost(message, tag = "10")]
     Registered(Registered),
     /// Asks a peer for documents and layouts.
     #[prost(message, tag = "11")]
     Pull(Pull),
-    /// Documents and layouts.
+    /// Answers a [`Body::Pull`] with documents and layouts.
     #[prost(message, tag = "12")]
     Pulled(Pulled),
-    /// Last frame on a link whose opener closes it in order; tells an orderly
-    /// close from a process that died, which looks the same to a socket.
+    /// Last frame on a link that its opener closes. Distinguishes a close from the
+    /// death of the process, which look the same to a socket.
     #[prost(message, tag = "13")]
     Bye(Bye),
-    /// To every VM: a request that may crash upstreams.
+    /// To every VM: a request that is suspected of crashing upstreams.
     #[prost(message, tag = "14")]
     Mark(Mark),
 }
 
-/// Who opens a link.
+/// Identifies the sender at the start of a link.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Hello {
-    /// The sender's name.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub vm: String,
-    /// Which start of it.
+    /// Incarnation of the sender.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Version of this protocol.
+    /// Protocol version of the sender; see [`crate::mesh::PROTOCOL`].
     #[prost(uint32, tag = "3")]
     pub protocol: u32,
-    /// Where the sender's mesh listens, as `ip:port`; for replies to a VM that
-    /// the receiver's view doesn't hold yet.
+    /// Address of the sender's mesh, as `ip:port`, for replies while the receiver's
+    /// view doesn't contain the sender yet.
     #[prost(string, tag = "4")]
     pub address: String,
 }
 
-/// Ends a link in order: every frame before it has been sent.
+/// Announces the close of a link, after all frames have been sent.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Bye {}
 
-/// A request that may crash upstreams, told directly; the same as its rumour.
+/// A request that is suspected of crashing upstreams. Carries the same content as
+/// its gossip update, but is sent directly.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Mark {
-    /// As [`crate::member::Rumour::key`].
+    /// See [`crate::member::Rumour::key`].
     #[prost(string, tag = "1")]
     pub key: String,
-    /// As [`crate::member::Rumour::version`].
+    /// See [`crate::member::Rumour::version`].
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// As [`crate::member::Rumour::body`].
+    /// See [`crate::member::Rumour::body`].
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
-    /// The receiver passes it on to this many members from itself on, by the
-    /// view's order; 0 where it keeps it.
+    /// Size of the group of consecutive members in the view, starting with the
+    /// receiver, to which the receiver forwards the mark; 0 if it doesn't forward.
     #[prost(uint32, tag = "4")]
     pub relay: u32,
 }
--- a/crates/geraniumgauge/src/mesh/message/record.rs
+++ b/crates/geraniumgauge/src/mesh/message/record.rs
@@ -1,26 +1,26 @@
-//! Registrations, between entry, claimant and home.
+//! Messages of registrations, between coordinator, claimant and home.
 
 use bytes::Bytes;
 
 use super::Outcome;
 
-/// A record to be sent to an upstream once, by the VM that created its claim.
+/// A record to send to an upstream once, from the VM that created its claim.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Record {
     /// The claimant's [`crate::ids::Attempt`].
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// The caller's request.
+    /// Id of the caller's request.
     #[prost(string, tag = "2")]
     pub request: String,
     /// The service.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// The upstream to send to.
+    /// The upstream to send the record to.
     #[prost(string, tag = "4")]
     pub upstream: String,
-    /// The shard that takes the record.
+    /// The shard that stores the record.
     #[prost(string, tag = "5")]
     pub shard: String,
     /// The caller's idempotency key.
@@ -35,22 +35,23 @@
     /// Time left, in microseconds.
     #[prost(uint64, tag = "9")]
     pub time_left_us: u64,
-    /// The layout by which the shard was chosen.
+    /// Version of the layout by which the shard was chosen.
     #[prost(uint64, tag = "10")]
     pub layout: u64,
-    /// A suspect request's lone trial: it runs alone on its upstream.
+    /// Set for the isolated trial of a suspect request, which runs alone on its
+    /// upstream.
     #[prost(bool, tag = "11")]
     pub trial: bool,
 }
 
-/// What became of a record.
+/// Outcome of a [`Record`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct RecordReply {
     /// The attempt that this answers.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// What happened; [`Outcome::Hits`] where it ran and `body` holds the result.
+    /// The outcome; [`Outcome::Hits`] if the record ran and `body` holds the result.
     #[prost(enumeration = "Outcome", tag = "2")]
     pub outcome: i32,
     /// The upstream's result, as JSON.
@@ -58,14 +59,14 @@
     pub body: Bytes,
 }
 
-/// A registration, handed to the VM that claims for its key.
+/// A registration, sent to the VM that makes the claims for its key.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Register {
-    /// The entry's number for this registration.
+    /// The coordinator's number for this registration.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// The caller's request.
+    /// Id of the caller's request.
     #[prost(string, tag = "2")]
     pub request: String,
     /// The service.
@@ -82,29 +83,29 @@
     pub time_left_us: u64,
 }
 
-/// What to tell the caller of a registration.
+/// Answer to a [`Register`]: the result or refusal to send to the caller.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Registered {
     /// The attempt that this answers.
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
-    /// Whether it is done and `body` holds its result.
+    /// Whether the registration is done and `body` holds its result.
     #[prost(bool, tag = "2")]
     pub done: bool,
-    /// The result as JSON, where done.
+    /// The result as JSON, if done.
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
-    /// [`crate::query::Code`] of a refusal, as text.
+    /// The [`crate::query::Code`] of a refusal, as text.
     #[prost(string, tag = "4")]
     pub code: String,
-    /// What the caller reads of a refusal.
+    /// The message of a refusal for the caller.
     #[prost(string, tag = "5")]
     pub message: String,
     /// Whether a refused registration is known not to have run.
     #[prost(bool, tag = "6")]
     pub not_run: bool,
-    /// When to come back, in milliseconds; 0 where that makes no sense.
+    /// Milliseconds after which the caller may retry; 0 if not applicable.
     #[prost(uint64, tag = "7")]
     pub retry_after_ms: u64,
 }
--- a/crates/geraniumgauge/src/mesh/message/search.rs
+++ b/crates/geraniumgauge/src/mesh/message/search.rs
@@ -1,18 +1,18 @@
-//! Shard calls of searches, and what became of them.
+//! Messages of searches: shard calls, their outcomes and cancels.
 
 use bytes::Bytes;
 
-/// Shard calls of one query to upstreams of one home.
+/// Shard calls of one query to upstreams of the same home.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Batch {
-    /// The caller's request.
+    /// Id of the caller's request.
     #[prost(string, tag = "1")]
     pub request: String,
-    /// The service asked.
+    /// The service searched.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The upstream request's body, the same for each shard.
+    /// Body of the upstream requests, the same for each shard.
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
     /// [`crate::ids::Fingerprint`] of the query.
@@ -21,10 +21,10 @@
     /// Time left until the answer is due, in microseconds.
     #[prost(uint64, tag = "5")]
     pub time_left_us: u64,
-    /// The pinned index version; none where the upstream is to pick its newest.
+    /// The pinned index version; absent if the upstream is to use its newest.
     #[prost(uint64, optional, tag = "6")]
     pub index_version: Option<u64>,
-    /// The pinned layout's version.
+    /// Version of the pinned layout.
     #[prost(uint64, tag = "7")]
     pub layout: u64,
     /// The calls.
@@ -32,11 +32,11 @@
     pub calls: Vec<Call>,
 }
 
-/// One shard call.
+/// A call of one shard at one upstream.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Call {
-    /// The entry's [`crate::ids::Attempt`].
+    /// The coordinator's [`crate::ids::Attempt`].
     #[prost(uint64, tag = "1")]
     pub attempt: u64,
     /// The upstream to call.
@@ -45,37 +45,37 @@
     /// The shard to search there.
     #[prost(string, tag = "3")]
     pub shard: String,
-    /// Why the call is made.
+    /// Reason for the call.
     #[prost(enumeration = "Kind", tag = "4")]
     pub kind: i32,
 }
 
-/// Why a call is made.
+/// Reason for a shard call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(prost::Enumeration)]
 pub enum Kind {
-    /// The first for its shard and pin.
+    /// First call for its shard and pinned version.
     First = 0,
-    /// A second one beside a slow one, paid from the hedge budget.
+    /// Second call while the first is slow, charged to the hedge budget.
     Hedge = 1,
-    /// One after a failed one, paid from the retry budget.
+    /// Call after a failed one, charged to the retry budget.
     Retry = 2,
-    /// The first shard of a wide fan-out, ahead of the rest.
+    /// Call of the first shard of a wide fan-out, made before the others.
     Canary = 3,
-    /// A suspect request's lone trial: it runs alone on its upstream.
+    /// Isolated trial of a suspect request: it runs alone on its upstream.
     Trial = 4,
 }
 
-/// What became of shard calls.
+/// Outcomes of shard calls.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Replies {
-    /// One for each call; calls of a batch may be answered in several frames.
+    /// One reply for each call; a batch may be answered in several frames.
     #[prost(message, repeated, tag = "1")]
     pub replies: Vec<Reply>,
 }
 
-/// What became of one shard call.
+/// Outcome of one shard call.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Reply {
@@ -85,76 +85,78 @@
     /// The upstream that was called.
     #[prost(string, tag = "2")]
     pub upstream: String,
-    /// The shard, as the upstream echoed it.
+    /// The shard, as echoed by the upstream.
     #[prost(string, tag = "3")]
     pub shard: String,
-    /// What happened.
+    /// The outcome.
     #[prost(enumeration = "Outcome", tag = "4")]
     pub outcome: i32,
-    /// Index version of the hits, as the upstream echoed it.
+    /// Index version of the hits, as echoed by the upstream.
     #[prost(uint64, tag = "5")]
     pub index_version: u64,
-    /// Layout of the hits, as the upstream echoed it.
+    /// Layout version of the hits, as echoed by the upstream.
     #[prost(uint64, tag = "6")]
     pub layout: u64,
-    /// Oldest index version the upstream still offers; 0 where not known.
+    /// Oldest index version that the upstream offers; 0 if unknown.
     #[prost(uint64, tag = "7")]
     pub oldest: u64,
-    /// Newest index version the upstream offers; 0 where not known.
+    /// Newest index version that the upstream offers; 0 if unknown.
     #[prost(uint64, tag = "8")]
     pub newest: u64,
-    /// The upstream's reply body, JSON `{"hits": […]}`, where the outcome is [`Outcome::Hits`].
+    /// The upstream's reply body, JSON `{"hits": […]}`, if the outcome is
+    /// [`Outcome::Hits`].
     #[prost(bytes = "bytes", tag = "9")]
     pub body: Bytes,
-    /// Time the call waited at the home, in microseconds.
+    /// Time that the call was queued at the home, in microseconds.
     #[prost(uint64, tag = "10")]
     pub queued_us: u64,
-    /// Time the upstream took, in microseconds.
+    /// Time that the upstream took, in microseconds.
     #[prost(uint64, tag = "11")]
     pub upstream_us: u64,
-    /// How long until another try may fit, in microseconds; 0 where not known.
+    /// Time after which a retry may succeed, in microseconds; 0 if unknown.
     #[prost(uint64, tag = "12")]
     pub retry_after_us: u64,
 }
 
-/// What became of a call at an upstream.
+/// Outcome of a call to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(prost::Enumeration)]
 pub enum Outcome {
-    /// Unset or of a newer kind: treated as [`Outcome::Lost`].
+    /// Unset, or a value of a newer version: treated as [`Outcome::Lost`].
     Unknown = 0,
-    /// It ran, and the hits are here.
+    /// The call ran, and the reply holds the hits.
     Hits = 1,
-    /// Not run: the home's queue would not reach it in time.
+    /// Not run: the call would not have left the home's queue in time.
     Late = 2,
     /// Not run: the upstream sheds load.
     Shed = 3,
-    /// Not run: the upstream is leaving.
+    /// Not run: the upstream is draining.
     Draining = 4,
-    /// Not run: no connection could be had.
+    /// Not run: no connection to the upstream could be made.
     Unreachable = 5,
     /// Not run: the upstream doesn't offer this index version or layout.
     Version = 6,
-    /// Not run: this VM is no home of the upstream; look at the view again.
+    /// Not run: this VM is not a home of the upstream; the sender should check its
+    /// view again.
     NotHome = 7,
-    /// The connection was lost while the call ran: it may have crashed the upstream.
+    /// The connection was lost while the call ran, so it may have crashed the upstream.
     Lost = 8,
-    /// The connection stayed silent; whether the call ran isn't known.
+    /// The connection stayed silent; it is unknown whether the call ran.
     Silent = 9,
-    /// A reply that answers something else; it was dropped and its connection closed.
+    /// The reply belongs to another request; it was dropped and the connection closed.
     Crossed = 10,
-    /// The upstream answered with an error of its own.
+    /// The upstream answered with an error.
     Failed = 11,
-    /// The deadline passed while the call ran; it was cancelled.
+    /// The deadline passed while the call ran, and the call was cancelled.
     Deadline = 12,
-    /// It was cancelled on request.
+    /// The call was cancelled on request.
     Cancelled = 13,
     /// Not run: this VM is stopping.
     Stopping = 14,
 }
 
 impl Outcome {
-    /// Whether no upstream has run any of the call.
+    /// Whether it is certain that the call did not run.
     pub fn not_run(self) -> bool {
         use Outcome::{Draining, Late, NotHome, Shed, Stopping, Unreachable, Version};
         matches!(
@@ -164,11 +166,11 @@
     }
 }
 
-/// Attempts that are no longer wanted.
+/// Cancels attempts.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Cancel {
-    /// The attempts, as their entry numbered them.
+    /// The coordinator's numbers of the attempts.
     #[prost(uint64, repeated, tag = "1")]
     pub attempts: Vec<u64>,
 }
--- a/crates/geraniumgauge/src/mesh/mod.rs
+++ b/crates/geraniumgauge/src/mesh/mod.rs
@@ -1,17 +1,17 @@
-//! Frames between VMs: one TCP link for each pair and direction.
+//! Frames between VMs over TCP: one link for each pair of VMs and direction.
 //!
-//! A VM sends over links that it opened and receives over links that it
-//! accepted, so two VMs that call each other at once need no rule about whose
-//! link survives, and a link that fails in one direction says nothing of the
-//! other. The acceptor writes only its greeting and replies to heartbeats.
+//! A VM sends over the links that it opened and receives over those that it
+//! accepted. Two VMs that connect to each other at the same time therefore need no
+//! tie-break, and a failure in one direction doesn't affect the other. The
+//! accepting side writes only its hello and replies to heartbeats.
 
 mod codec;
-mod count;
+mod heartbeat;
 mod inbound;
+mod instruments;
 mod link;
 pub mod message;
 mod outbox;
-mod pulse;
 mod service;
 
 pub use codec::Codec;
@@ -20,62 +20,62 @@
 
 use crate::ids;
 
-/// Version of the frames; a peer of another version is refused on its greeting.
+/// Protocol version. A peer whose hello has another version is refused.
 pub const PROTOCOL: u32 = 1;
 
-/// Why a frame was not taken for sending. Nothing of it has left this VM.
+/// Error of queueing a frame. Nothing of the frame has left this VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Error {
-    /// No live member has this name.
-    #[display("{vm} is no live member")]
+    /// The receiver is not a live member.
+    #[display("VM {vm} is not a live member")]
     Unknown {
-        /// The name.
+        /// Name of the receiver.
         vm: ids::Vm,
     },
     /// The link's queue is full.
-    #[display("the queue to {vm} is full")]
+    #[display("the send queue to VM {vm} is full")]
     Full {
-        /// The peer.
+        /// Name of the receiver.
         vm: ids::Vm,
     },
     /// The frame exceeds the size limit.
-    #[display("a frame of {size} bytes to {vm} exceeds the limit of {limit}")]
+    #[display("a frame of {size} bytes to VM {vm} exceeds the limit of {limit} bytes")]
     Large {
-        /// The peer.
+        /// Name of the receiver.
         vm: ids::Vm,
         /// Encoded size, in bytes.
         size: usize,
         /// The limit, in bytes.
         limit: usize,
     },
-    /// This VM's mesh is closed: the VM is stopping.
-    #[display("the mesh is closed; nothing was sent to {vm}")]
+    /// The mesh is closed because this VM is stopping.
+    #[display("the mesh is closed; nothing was sent to VM {vm}")]
     Closed {
-        /// The peer.
+        /// Name of the receiver.
         vm: ids::Vm,
     },
 }
 
-/// Sends frames to other VMs. Sending to this VM itself delivers locally, in
-/// order, without a socket. Never blocks; a frame taken may still be lost, and
-/// then [`Receive::lost`] is called for its link.
+/// Sends frames to VMs. Frames to this VM itself are delivered locally, in order
+/// and without a socket. Sending never blocks. A queued frame may still be lost, in
+/// which case [`Receive::lost`] is called for its link.
 pub trait Post: Send + Sync {
-    /// Takes one frame for sending.
+    /// Queues one frame.
     ///
     /// # Errors
-    /// Where nothing was taken and nothing will be sent.
+    /// If the frame was not queued and will not be sent.
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), Error>;
 }
 
-/// Takes frames from other VMs. Called from the links' tasks: it must hand on
-/// quickly and never block.
+/// Receives frames from VMs. The methods are called from the links' tasks: they
+/// must return quickly and never block.
 pub trait Receive: Send + Sync {
-    /// One frame from `from`.
+    /// Handles one frame from `from`.
     fn receive(&self, from: &ids::Vm, body: message::Body);
 
-    /// A link from or to `vm` went down or silent: frames sent over it may or
-    /// may not have arrived, and replies to earlier frames may never come.
-    /// Replies that do come late must be dropped by their attempt.
+    /// Handles the loss of a link from or to `vm`. Frames sent over it may or may
+    /// not have arrived, and replies to earlier frames may never come. Replies that
+    /// still arrive must be dropped by their attempt number.
     fn lost(&self, vm: &ids::Vm);
 }
--- a/crates/geraniumgauge/src/mesh/outbox.rs
+++ b/crates/geraniumgauge/src/mesh/outbox.rs
@@ -1,34 +1,34 @@
-//! The queue of one link: encoded frames, one after another in one buffer.
+//! The send queue of one link: encoded frames, concatenated in one buffer.
 //!
-//! Senders encode straight into the buffer and the link's task writes what has
-//! gathered with one system call, so frames of many queries share a packet.
+//! Senders encode directly into the buffer, and the link's task writes all queued
+//! frames with one system call, so frames of many queries share a packet.
 
 use std::sync;
 
 use crate::mesh::codec;
 use crate::mesh::message;
 
-/// Why a frame wasn't queued.
+/// Reason why a frame was not queued.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// Too many frames or bytes wait.
+    /// The queue holds too many frames or bytes.
     Full,
-    /// The link is closing; a fresh one takes the frame.
+    /// The link is closing; the frame has to go over a new one.
     Closed,
 }
 
-/// Bounds of a queue.
+/// Limits of a queue.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limits {
-    /// Frames that may wait.
-    pub(super) frames: usize,
-    /// Bytes that may wait.
-    pub(super) bytes: usize,
+    /// Most frames queued.
+    pub(super) max_frames: usize,
+    /// Most bytes queued or being written.
+    pub(super) max_bytes: usize,
     /// Largest frame, in bytes.
-    pub(super) frame: usize,
+    pub(super) max_frame_bytes: usize,
 }
 
-/// What waits on a link.
+/// The send queue of one link, shared by the senders and the link's task.
 #[derive(Debug)]
 pub(super) struct Outbox {
     limits: Limits,
@@ -41,13 +41,13 @@
 struct Queue {
     buffer: bytes::BytesMut,
     frames: usize,
-    /// Bytes handed to the writer that it hasn't reported written.
+    /// Bytes taken by the writer and not yet written.
     writing: usize,
     closed: bool,
 }
 
-/// Locks a mutex whose data stays sound when a holder panics.
-pub(super) fn locked<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
+/// Locks a mutex and ignores poisoning: its data stays valid if a holder panics.
+pub(super) fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
 
@@ -61,18 +61,19 @@
         }
     }
 
-    /// Queues `body`, whose encoded size is `size`.
+    /// Queues `body`, whose encoded size is `size` bytes.
     pub(super) fn push(&self, body: &message::Body, size: usize) -> Result<(), Refusal> {
-        let mut queue = locked(&self.queue);
+        let mut queue = lock(&self.queue);
         if queue.closed {
             return Err(Refusal::Closed);
         }
         let waiting = queue.buffer.len() + queue.writing;
-        let full = waiting + size + codec::HEAD > self.limits.bytes;
-        if (full && waiting > 0) || queue.frames >= self.limits.frames {
+        let full = waiting + size + codec::LENGTH_BYTES > self.limits.max_bytes;
+        if (full && waiting > 0) || queue.frames >= self.limits.max_frames {
             return Err(Refusal::Full);
         }
-        if codec::put(body, size, self.limits.frame, &mut queue.buffer).is_err() {
+        if codec::encode_frame(body, size, self.limits.max_frame_bytes, &mut queue.buffer).is_err()
+        {
             return Err(Refusal::Full);
         }
         queue.frames += 1;
@@ -82,7 +83,7 @@
     }
 
     /// Waits for frames and moves all of them into `into`, which is cleared
-    /// first. Returns their number; `None` once closed and empty.
+    /// first. Returns their number, or `None` once the queue is closed and empty.
     pub(super) async fn take(&self, into: &mut bytes::BytesMut) -> Option<usize> {
         loop {
             let notified = self.ready.notified();
@@ -95,7 +96,7 @@
 
     fn try_take(&self, into: &mut bytes::BytesMut) -> Option<Option<usize>> {
         into.clear();
-        let mut queue = locked(&self.queue);
+        let mut queue = lock(&self.queue);
         queue.writing = 0;
         if queue.buffer.is_empty() {
             self.drained.notify_waiters();
@@ -106,29 +107,30 @@
         Some(Some(std::mem::take(&mut queue.frames)))
     }
 
-    /// Takes no more frames; those that wait are still written.
+    /// Closes the queue. Frames already queued are still written.
     pub(super) fn close(&self) {
-        locked(&self.queue).closed = true;
+        lock(&self.queue).closed = true;
         self.ready.notify_one();
     }
 
-    /// Closes where nothing waits; false where something does.
-    pub(super) fn retire(&self) -> bool {
-        let mut queue = locked(&self.queue);
+    /// Closes the queue if nothing is queued or being written. Returns whether it is
+    /// closed.
+    pub(super) fn close_if_empty(&self) -> bool {
+        let mut queue = lock(&self.queue);
         if queue.buffer.is_empty() && queue.writing == 0 {
             queue.closed = true;
         }
-        let retired = queue.closed;
+        let closed = queue.closed;
         drop(queue);
-        if retired {
+        if closed {
             self.ready.notify_one();
         }
-        retired
+        closed
     }
 
-    /// Closes and forgets what waits, since its link is lost.
-    pub(super) fn abandon(&self) {
-        let mut queue = locked(&self.queue);
+    /// Closes the queue and discards its frames after the loss of the link.
+    pub(super) fn discard(&self) {
+        let mut queue = lock(&self.queue);
         queue.closed = true;
         queue.buffer.clear();
         queue.frames = 0;
@@ -137,8 +139,8 @@
         self.drained.notify_waiters();
     }
 
-    /// Waits until nothing waits and nothing is being written.
-    pub(super) async fn flushed(&self) {
+    /// Waits until nothing is queued or being written.
+    pub(super) async fn wait_flushed(&self) {
         loop {
             let notified = self.drained.notified();
             tokio::pin!(notified);
@@ -151,7 +153,7 @@
     }
 
     fn is_empty(&self) -> bool {
-        let queue = locked(&self.queue);
+        let queue = lock(&self.queue);
         queue.buffer.is_empty() && queue.writing == 0
     }
 }
--- a/crates/geraniumgauge/src/mesh/service.rs
+++ b/crates/geraniumgauge/src/mesh/service.rs
@@ -1,4 +1,4 @@
-//! The mesh of one VM: its links, opened on first use.
+//! The mesh of one VM: its links to other VMs, opened on first use.
 
 use std::collections;
 use std::net;
@@ -16,42 +16,42 @@
 use crate::ids;
 use crate::member;
 use crate::mesh;
-use crate::mesh::count;
+use crate::mesh::heartbeat;
 use crate::mesh::inbound;
+use crate::mesh::instruments;
 use crate::mesh::link;
 use crate::mesh::message;
 use crate::mesh::outbox;
-use crate::mesh::pulse;
 use crate::timer;
 
-/// How the mesh of a VM is set up.
+/// Configuration of a VM's mesh.
 #[derive(Debug)]
 pub struct Config {
-    /// This VM.
+    /// Name of this VM.
     pub vm: ids::Vm,
-    /// Which start of it.
+    /// Incarnation of this VM: a number that rises with each start.
     pub incarnation: ids::Incarnation,
-    /// Where links are accepted, already bound.
+    /// Bound listener for links from other VMs.
     pub listen: sockets::TcpListener,
     /// Largest frame, in bytes.
     pub frame_bytes: usize,
-    /// Frames that may wait on one link.
+    /// Most frames queued on one link.
     pub queue_frames: usize,
-    /// Bytes that may wait on one link.
+    /// Most bytes queued on one link.
     pub queue_bytes: usize,
-    /// Time for connecting and for the greeting, each.
-    pub connect: time::Duration,
-    /// How often links that carry frames are asked for a sign of life.
-    pub beat: time::Duration,
-    /// Heartbeats that may go unanswered before a link counts as silent.
-    pub silent_beats: u32,
+    /// Timeout of connecting and, separately, of the exchange of hellos.
+    pub connect_timeout: time::Duration,
+    /// Interval of heartbeats on links that carry frames.
+    pub heartbeat_interval: time::Duration,
+    /// Heartbeat intervals without an answer after which a link counts as silent.
+    pub max_missed_heartbeats: u32,
     /// Time without frames after which a link is closed.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 impl Config {
-    /// Defaults: frames of 8 MiB, queues of 16,384 frames or 16 MiB, silent
-    /// after a second, idle after two minutes.
+    /// Returns the defaults: frames of 8 MiB, queues of 16,384 frames or 16 MiB,
+    /// links silent after a second and idle after two minutes.
     pub fn new(vm: ids::Vm, incarnation: ids::Incarnation, listen: sockets::TcpListener) -> Self {
         Self {
             vm,
@@ -60,32 +60,32 @@
             frame_bytes: 8 << 20,
             queue_frames: 16_384,
             queue_bytes: 16 << 20,
-            connect: time::Duration::from_secs(1),
-            beat: time::Duration::from_millis(250),
-            silent_beats: 4,
-            idle: time::Duration::from_secs(120),
+            connect_timeout: time::Duration::from_secs(1),
+            heartbeat_interval: time::Duration::from_millis(250),
+            max_missed_heartbeats: 4,
+            idle_timeout: time::Duration::from_secs(120),
         }
     }
 }
 
-/// The limits that tasks of the mesh need.
+/// Limits and timeouts that the mesh's tasks use.
 #[derive(Debug)]
 pub(super) struct Limits {
-    pub(super) frame: usize,
-    pub(super) connect: time::Duration,
+    pub(super) frame_bytes: usize,
+    pub(super) connect_timeout: time::Duration,
     queue: outbox::Limits,
-    pulse: pulse::Limits,
+    heartbeat: heartbeat::Limits,
 }
 
-/// How long a close waits for peers to take the last frames.
-const CLOSE: time::Duration = time::Duration::from_secs(5);
+/// Longest time that a close waits for peers to take the last frames.
+const CLOSE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Links between this VM and the others.
+/// The links between this VM and the others.
 pub struct Mesh {
     pub(super) hello: message::Hello,
     pub(super) limits: Limits,
     pub(super) receive: sync::Arc<dyn mesh::Receive>,
-    pub(super) count: sync::Arc<count::Count>,
+    pub(super) instruments: sync::Arc<instruments::Instruments>,
     pub(super) inbound: inbound::Inbound,
     pub(super) inbound_tasks: task::TaskTracker,
     vm: ids::Vm,
@@ -96,12 +96,12 @@
     runtime: tokio::runtime::Handle,
     closed: atomic::AtomicBool,
     stop: signals::CancellationToken,
-    /// For tasks of links that are opened on a shared reference.
-    this: sync::Weak<Self>,
+    /// Reference to this mesh for the tasks of new links.
+    weak_self: sync::Weak<Self>,
 }
 
 impl Mesh {
-    /// Starts accepting links. Call within a tokio runtime.
+    /// Starts the mesh and accepts links. Must be called within a tokio runtime.
     pub fn start(
         config: Config,
         view: watch::Receiver<member::Shared>,
@@ -118,11 +118,11 @@
             protocol: mesh::PROTOCOL,
             address: address.map_or_else(|_| String::new(), |address| address.to_string()),
         };
-        let mesh = sync::Arc::new_cyclic(|this| Self {
+        let mesh = sync::Arc::new_cyclic(|weak_self| Self {
             hello,
             limits,
             receive,
-            count: count::Count::shown(meter),
+            instruments: instruments::Instruments::register(meter),
             inbound: inbound::Inbound::default(),
             inbound_tasks: task::TaskTracker::new(),
             vm: config.vm,
@@ -133,45 +133,45 @@
             runtime: tokio::runtime::Handle::current(),
             closed: atomic::AtomicBool::new(false),
             stop: timer.stop().child_token(),
-            this: sync::Weak::clone(this),
+            weak_self: sync::Weak::clone(weak_self),
         });
         tokio::spawn(inbound::accept(sync::Arc::clone(&mesh), config.listen));
-        tokio::spawn(deliver(sync::Arc::clone(&mesh), delivered));
-        let beats = timer.every(config.beat, config.beat);
-        tokio::spawn(tick(sync::Arc::clone(&mesh), beats));
-        tokio::spawn(prune(sync::Arc::clone(&mesh)));
+        tokio::spawn(deliver_local(sync::Arc::clone(&mesh), delivered));
+        let ticks = timer.every(config.heartbeat_interval, config.heartbeat_interval);
+        tokio::spawn(tick_links(sync::Arc::clone(&mesh), ticks));
+        tokio::spawn(prune_links(sync::Arc::clone(&mesh)));
         mesh
     }
 
-    /// Waits until every frame taken so far is written, or its link lost.
+    /// Waits until every frame queued so far is written or its link is lost.
     pub async fn flushed(&self) {
-        for link in self.all() {
-            link.outbox.flushed().await;
+        for link in self.all_links() {
+            link.outbox.wait_flushed().await;
         }
     }
 
-    /// Takes no more frames, writes those that wait, tells the peers and
-    /// closes all links. Bounded: a peer that doesn't read is given up.
+    /// Accepts no more frames, writes the queued ones followed by a bye, and closes
+    /// all links. Peers that don't read are given up after [`CLOSE_TIMEOUT`].
     pub async fn close(&self) {
         self.closed.store(true, atomic::Ordering::SeqCst);
-        for link in self.all() {
+        for link in self.all_links() {
             link.outbox.close();
         }
         self.link_tasks.close();
-        if tokio::time::timeout(CLOSE, self.link_tasks.wait())
+        if tokio::time::timeout(CLOSE_TIMEOUT, self.link_tasks.wait())
             .await
             .is_err()
         {
-            log::warn!("mesh: some links didn't take their last frames in time");
+            log::warn!("mesh: some peers did not take their last frames in time");
         }
         self.stop.cancel();
         self.inbound_tasks.close();
         self.inbound_tasks.wait().await;
     }
 
-    /// Links open now, of both directions.
+    /// Returns the number of open links in both directions.
     pub fn links(&self) -> u64 {
-        let open = self.count.open.load(atomic::Ordering::Relaxed);
+        let open = self.instruments.open.load(atomic::Ordering::Relaxed);
         u64::try_from(open).unwrap_or(0)
     }
 
@@ -179,42 +179,44 @@
         &self.stop
     }
 
-    /// Counts a link as open while the guard lives.
-    pub(super) fn opened(&self) -> Open {
-        self.count.open.fetch_add(1, atomic::Ordering::Relaxed);
-        Open(sync::Arc::clone(&self.count))
+    /// Counts a link as open until the guard is dropped.
+    pub(super) fn count_open(&self) -> OpenGuard {
+        self.instruments
+            .open
+            .fetch_add(1, atomic::Ordering::Relaxed);
+        OpenGuard(sync::Arc::clone(&self.instruments))
     }
 
-    /// `vm` has greeted from this start: a link to an earlier one leads nowhere.
-    pub(super) fn restarted(&self, vm: &ids::Vm, incarnation: ids::Incarnation) {
-        let link = self.linked(vm);
+    /// Ends the link to an earlier incarnation of `vm` after a hello from a later one.
+    pub(super) fn peer_restarted(&self, vm: &ids::Vm, incarnation: ids::Incarnation) {
+        let link = self.existing_link(vm);
         if let Some(link) = link.filter(|link| link.is_older(incarnation)) {
-            link.kill(link::End::Restarted);
+            link.abort(link::End::Restarted);
         }
     }
 
-    /// A link ended out of order.
-    pub(super) fn lost(&self, vm: &ids::Vm, direction: &str, reason: &str) {
-        count::up(&self.count.lost);
-        log::info!("mesh: the link {direction} {vm} was lost: {reason}");
+    /// Logs the loss of a link and reports it to the receiver.
+    pub(super) fn link_lost(&self, vm: &ids::Vm, direction: &str, reason: &str) {
+        instruments::increment(&self.instruments.lost);
+        log::info!("mesh: lost the link {direction} VM {vm}: {reason}");
         self.receive.lost(vm);
     }
 
-    fn all(&self) -> Vec<sync::Arc<link::Link>> {
+    fn all_links(&self) -> Vec<sync::Arc<link::Link>> {
         let links = self.links.read();
         let links = links.unwrap_or_else(sync::PoisonError::into_inner);
         links.values().cloned().collect()
     }
 
-    fn linked(&self, to: &ids::Vm) -> Option<sync::Arc<link::Link>> {
+    fn existing_link(&self, to: &ids::Vm) -> Option<sync::Arc<link::Link>> {
         let links = self.links.read();
         let links = links.unwrap_or_else(sync::PoisonError::into_inner);
         links.get(to).cloned()
     }
 
-    /// The link to `to`, opened where there is none.
+    /// Returns the link to `to`; opens one if there is none.
     fn link(&self, to: &ids::Vm) -> Result<sync::Arc<link::Link>, mesh::Error> {
-        if let Some(link) = self.linked(to) {
+        if let Some(link) = self.existing_link(to) {
             return Ok(link);
         }
         let unknown = || mesh::Error::Unknown { vm: to.clone() };
@@ -224,12 +226,12 @@
         if let Some(link) = links.get(to) {
             return Ok(sync::Arc::clone(link));
         }
-        let mesh = self.this.upgrade().ok_or_else(unknown)?;
+        let mesh = self.weak_self.upgrade().ok_or_else(unknown)?;
         let settings = self.settings(address);
-        let count = sync::Arc::clone(&self.count);
-        let link = sync::Arc::new(link::Link::new(to.clone(), settings, count));
+        let instruments = sync::Arc::clone(&self.instruments);
+        let link = sync::Arc::new(link::Link::new(to.clone(), settings, instruments));
         links.insert(to.clone(), sync::Arc::clone(&link));
-        let task = run(mesh, sync::Arc::clone(&link));
+        let task = run_link(mesh, sync::Arc::clone(&link));
         self.link_tasks.spawn_on(task, &self.runtime);
         Ok(link)
     }
@@ -238,30 +240,31 @@
         link::Settings {
             address,
             hello: self.hello.clone(),
-            connect: self.limits.connect,
+            connect_timeout: self.limits.connect_timeout,
             queue: self.limits.queue,
-            pulse: self.limits.pulse,
+            heartbeat: self.limits.heartbeat,
         }
     }
 
-    /// From the view; else from the peer's own greeting, so that a VM whose
-    /// view lags behind can still answer what it was asked.
+    /// Returns the address of `to` from the view, or else from its hello, so that a
+    /// VM whose view lags can still answer requests.
     fn address(&self, to: &ids::Vm) -> Option<net::SocketAddr> {
         let known = self.view.borrow().get(to).map(|member| member.address);
         known.or_else(|| self.inbound.address(to))
     }
 
-    fn forget(&self, gone: &sync::Arc<link::Link>) {
+    /// Removes `link`, unless a new one has replaced it.
+    fn remove_link(&self, link: &sync::Arc<link::Link>) {
         let links = self.links.write();
         let mut links = links.unwrap_or_else(sync::PoisonError::into_inner);
-        let current = links.get(&gone.peer);
-        if current.is_some_and(|link| sync::Arc::ptr_eq(link, gone)) {
-            links.remove(&gone.peer);
+        let current = links.get(&link.peer);
+        if current.is_some_and(|current| sync::Arc::ptr_eq(current, link)) {
+            links.remove(&link.peer);
         }
     }
 
-    fn refused(&self, error: mesh::Error) -> mesh::Error {
-        count::up(&self.count.refused);
+    fn count_refused(&self, error: mesh::Error) -> mesh::Error {
+        instruments::increment(&self.instruments.refused);
         error
     }
 
@@ -274,18 +277,18 @@
         if *to == self.vm {
             return self.local.try_send(body).map_err(|_| full);
         }
-        let (size, limit) = (body.encoded_len(), self.limits.frame);
+        let (size, limit) = (body.encoded_len(), self.limits.frame_bytes);
         if size > limit {
             return Err(mesh::Error::Large { vm, size, limit });
         }
-        // A link may close in order between the look-up and the push; the
-        // second round opens a fresh one.
+        // A link may close between the lookup and the push; the second pass opens
+        // a new one.
         for _ in 0..2 {
             let link = self.link(to)?;
             match link.send(&body, size) {
                 Ok(()) => return Ok(()),
                 Err(outbox::Refusal::Full) => return Err(full),
-                Err(outbox::Refusal::Closed) => self.forget(&link),
+                Err(outbox::Refusal::Closed) => self.remove_link(&link),
             }
         }
         Err(full)
@@ -295,63 +298,64 @@
 impl mesh::Post for Mesh {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         let sent = self.try_send(to, body);
-        sent.map_err(|error| self.refused(error))
+        sent.map_err(|error| self.count_refused(error))
     }
 }
 
 impl Limits {
     fn of(config: &Config) -> Self {
-        let beat = config.beat.as_micros().max(1);
-        let idle = u32::try_from(config.idle.as_micros() / beat).unwrap_or(u32::MAX);
+        let interval_us = config.heartbeat_interval.as_micros().max(1);
+        let idle_ticks =
+            u32::try_from(config.idle_timeout.as_micros() / interval_us).unwrap_or(u32::MAX);
         Self {
-            frame: config.frame_bytes,
-            connect: config.connect,
+            frame_bytes: config.frame_bytes,
+            connect_timeout: config.connect_timeout,
             queue: outbox::Limits {
-                frames: config.queue_frames,
-                bytes: config.queue_bytes,
-                frame: config.frame_bytes,
+                max_frames: config.queue_frames,
+                max_bytes: config.queue_bytes,
+                max_frame_bytes: config.frame_bytes,
             },
-            pulse: pulse::Limits {
-                silent: config.silent_beats,
-                idle,
+            heartbeat: heartbeat::Limits {
+                silent_ticks: config.max_missed_heartbeats,
+                idle_ticks,
             },
         }
     }
 }
 
-/// Counts one link as open.
-pub(super) struct Open(sync::Arc<count::Count>);
+/// Counts one link as open until dropped.
+pub(super) struct OpenGuard(sync::Arc<instruments::Instruments>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
 
-/// Runs a link to its end and says so to the receiver where frames may be lost.
-async fn run(mesh: sync::Arc<Mesh>, link: sync::Arc<link::Link>) {
-    let open = mesh.opened();
+/// Runs a link until it ends, and reports the loss if frames may be lost.
+async fn run_link(mesh: sync::Arc<Mesh>, link: sync::Arc<link::Link>) {
+    let open = mesh.count_open();
     let end = tokio::select! {
         end = link.run() => end,
         () = mesh.stop.cancelled() => return,
     };
     drop(open);
-    mesh.forget(&link);
-    if end == link::End::Orderly {
+    mesh.remove_link(&link);
+    if end == link::End::Closed {
         return;
     }
-    mesh.lost(&link.peer, "to", &end.to_string());
+    mesh.link_lost(&link.peer, "to", &end.to_string());
     if end == link::End::Silent {
-        count::up(&mesh.count.silent);
-        // The peer may wait for replies that the silent link swallowed. It
-        // learns from the greeting on a fresh link that the old one is dead.
+        instruments::increment(&mesh.instruments.silent);
+        // The peer may wait for replies that were lost with the silent link. A
+        // hello on a new link tells it that the old one has ended.
         drop(mesh.link(&link.peer));
     }
 }
 
-/// Frames to this VM itself go through a task, so that a receiver that sends
+/// Delivers frames to this VM itself. Runs as a task, so that a receiver that sends
 /// from within its own call isn't called recursively.
-async fn deliver(mesh: sync::Arc<Mesh>, mut delivered: mpsc::Receiver<message::Body>) {
+async fn deliver_local(mesh: sync::Arc<Mesh>, mut delivered: mpsc::Receiver<message::Body>) {
     loop {
         let body = tokio::select! {
             () = mesh.stop.cancelled() => return,
@@ -362,16 +366,17 @@
     }
 }
 
-async fn tick(mesh: sync::Arc<Mesh>, mut beats: timer::Subscription) {
-    while beats.tick().await.is_some() {
-        for link in mesh.all() {
+/// Passes heartbeat ticks to all links.
+async fn tick_links(mesh: sync::Arc<Mesh>, mut ticks: timer::Subscription) {
+    while ticks.tick().await.is_some() {
+        for link in mesh.all_links() {
             link.tick();
         }
     }
 }
 
-/// Closes links to VMs that are members no more.
-async fn prune(mesh: sync::Arc<Mesh>) {
+/// Aborts links to VMs that are no longer members.
+async fn prune_links(mesh: sync::Arc<Mesh>) {
     let mut view = mesh.view.clone();
     loop {
         let changed = tokio::select! {
@@ -382,12 +387,12 @@
             return;
         }
         let members = sync::Arc::clone(&view.borrow_and_update());
-        let links = mesh.all();
-        let gone = |link: &&sync::Arc<link::Link>| {
+        let links = mesh.all_links();
+        let removed = |link: &&sync::Arc<link::Link>| {
             members.get(&link.peer).is_none() && mesh.inbound.address(&link.peer).is_none()
         };
-        for link in links.iter().filter(gone) {
-            link.kill(link::End::Gone(link.peer.clone()));
+        for link in links.iter().filter(removed) {
+            link.abort(link::End::NotMember(link.peer.clone()));
         }
     }
 }
--- a/crates/geraniumgauge/src/mesh/tests/service.rs
+++ b/crates/geraniumgauge/src/mesh/tests/service.rs
@@ -8,7 +8,7 @@
 use crate::mesh::codec;
 use crate::metrics;
 
-/// What a receiver was called with.
+/// A call of the receiver.
 #[derive(Debug, Clone, PartialEq)]
 enum Call {
     Frame(ids::Vm, message::Body),
@@ -38,7 +38,7 @@
     })
 }
 
-/// A VM of the tests: its mesh, its view and what it received.
+/// A test VM: its mesh, its view and the calls of its receiver.
 struct Node {
     vm: ids::Vm,
     address: net::SocketAddr,
@@ -51,7 +51,7 @@
     let listen = sockets::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listen.local_addr().unwrap();
     let mut config = Config::new(vm(name), ids::Incarnation(incarnation), listen);
-    config.beat = time::Duration::from_millis(10);
+    config.heartbeat_interval = time::Duration::from_millis(10);
     adjust(&mut config);
     let empty = member::View::new(vm(name), Vec::new());
     let (view, seen) = watch::channel(sync::Arc::new(empty));
@@ -121,15 +121,15 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_sent_is_refused_at_once() {
+async fn frames_that_cannot_be_sent_are_refused_at_once() {
     let a = node("a", 1, |config| {
         config.frame_bytes = 100;
         config.queue_frames = 3;
     })
     .await;
-    let gone = a.mesh.send(&vm("z"), pull(1));
-    assert_eq!(gone, Err(mesh::Error::Unknown { vm: vm("z") }));
-    // Nobody accepts there, so frames wait in the queue.
+    let unknown = a.mesh.send(&vm("z"), pull(1));
+    assert_eq!(unknown, Err(mesh::Error::Unknown { vm: vm("z") }));
+    // Nothing accepts connections there, so frames stay in the queue.
     let silent = sockets::TcpListener::bind("127.0.0.1:0").await.unwrap();
     a.knows(&[("b", silent.local_addr().unwrap())]);
     let large = a.mesh.send(&vm("b"), pull("x".repeat(100)));
@@ -142,11 +142,10 @@
     );
 }
 
-/// Story: a VM stops while replies for other VMs still wait in its queues.
-/// Callers would see them missing. A close writes them out first, and the
-/// peers see an orderly end, not a loss.
+/// When a VM stops while replies are queued, it must write them before it closes, and
+/// the peers must not see the close as a loss.
 #[tokio::test]
-async fn a_close_delivers_what_waits_and_is_no_loss() {
+async fn a_close_delivers_queued_frames_and_is_no_loss() {
     let (a, mut b) = pair().await;
     for number in 0..5000 {
         a.mesh.send(&b.vm, pull(number)).unwrap();
@@ -163,17 +162,17 @@
 
 type Framed = framing::Framed<sockets::TcpStream, codec::Codec>;
 
-/// Accepts one link as a peer under `name` would, and reads its greeting.
+/// Accepts one link as the peer `name`, reads its hello and answers it.
 async fn accept(listener: &sockets::TcpListener, name: &str, incarnation: u64) -> Framed {
     let (stream, _) = listener.accept().await.unwrap();
     let mut framed = framing::Framed::new(stream, codec::Codec::new(1 << 20));
     let hello = framed.next().await.unwrap().unwrap();
     assert!(matches!(hello, Some(message::Body::Hello(_))));
-    framed.send(&greeting(name, incarnation)).await.unwrap();
+    framed.send(&hello_frame(name, incarnation)).await.unwrap();
     framed
 }
 
-fn greeting(name: &str, incarnation: u64) -> message::Body {
+fn hello_frame(name: &str, incarnation: u64) -> message::Body {
     message::Body::Hello(message::Hello {
         vm: name.to_owned(),
         incarnation,
@@ -182,25 +181,24 @@
     })
 }
 
-/// Story: a connection between two VMs goes silent for good while new ones
-/// work. Searches over it would wait for their deadlines until the process
-/// restarts. The link is given up and the peer greeted again at once, so that
-/// both ends know.
+/// A connection stops delivering for good while new ones work, and searches over it
+/// would run into their deadlines until a restart. The link must be given up and a
+/// new one opened at once, so that both ends know.
 #[tokio::test]
-async fn a_silent_link_is_lost_and_a_fresh_one_opened() {
+async fn a_silent_link_is_lost_and_a_new_one_opened() {
     let mut a = node("a", 1, |_| {}).await;
     let listener = sockets::TcpListener::bind("127.0.0.1:0").await.unwrap();
     a.knows(&[("b", listener.local_addr().unwrap())]);
     a.mesh.send(&vm("b"), pull(1)).unwrap();
     let _silent = accept(&listener, "b", 1).await;
     assert_eq!(a.next().await, Call::Lost(vm("b")));
-    let mut fresh = accept(&listener, "b", 1).await;
+    let mut replacement = accept(&listener, "b", 1).await;
     a.mesh.send(&vm("b"), pull(2)).unwrap();
-    assert_eq!(fresh.next().await.unwrap().unwrap(), Some(pull(2)));
+    assert_eq!(replacement.next().await.unwrap().unwrap(), Some(pull(2)));
 }
 
-/// Story: a paused VM is replaced under its name and address; a late frame for
-/// the first one must not reach a VM that never heard of the request.
+/// Another VM takes over a paused VM's address. Frames for the old one must not reach
+/// the new one.
 #[tokio::test]
 async fn a_peer_under_another_name_is_sent_nothing() {
     let mut a = node("a", 1, |_| {}).await;
@@ -212,12 +210,12 @@
     assert_eq!(a.next().await, Call::Lost(vm("b")));
 }
 
-/// Story: a VM dies and starts again under its name at once. The link to its
-/// first start may hang for long; calls over it would wait for nothing. Its new
-/// greeting ends the old link.
+/// A VM dies and restarts at once. The link to its first process may hang for a long
+/// time, and calls over it would get no reply. The hello of the new process must end
+/// that link.
 #[tokio::test]
-async fn a_greeting_of_a_later_start_ends_links_to_the_earlier() {
-    let mut a = node("a", 1, |config| config.silent_beats = u32::MAX).await;
+async fn a_hello_of_a_later_incarnation_ends_links_to_the_earlier() {
+    let mut a = node("a", 1, |config| config.max_missed_heartbeats = u32::MAX).await;
     let listener = sockets::TcpListener::bind("127.0.0.1:0").await.unwrap();
     a.knows(&[("b", listener.local_addr().unwrap())]);
     a.mesh.send(&vm("b"), pull(1)).unwrap();
@@ -225,21 +223,21 @@
     assert_eq!(first.next().await.unwrap().unwrap(), Some(pull(1)));
     let stream = sockets::TcpStream::connect(a.address).await.unwrap();
     let mut second = framing::Framed::new(stream, codec::Codec::new(1 << 20));
-    second.send(&greeting("b", 2)).await.unwrap();
+    second.send(&hello_frame("b", 2)).await.unwrap();
     assert_eq!(a.next().await, Call::Lost(vm("b")));
 }
 
-/// Story: a peer dies without a word. Its kernel closes the connection as it
-/// does for an orderly close, but what it had queued is gone.
+/// When a peer's process dies, its kernel closes the connection as in a regular
+/// close, but the frames it had queued are lost. Only a bye marks a regular close.
 #[tokio::test]
-async fn an_end_without_goodbye_is_a_loss_and_one_with_it_is_none() {
+async fn an_end_without_a_bye_is_a_loss_and_one_with_it_is_none() {
     let mut a = node("a", 1, |_| {}).await;
-    for (last, name) in [(true, "b"), (false, "c")] {
+    for (sends_bye, name) in [(true, "b"), (false, "c")] {
         let stream = sockets::TcpStream::connect(a.address).await.unwrap();
         let mut peer = framing::Framed::new(stream, codec::Codec::new(1 << 20));
-        peer.send(&greeting(name, 1)).await.unwrap();
+        peer.send(&hello_frame(name, 1)).await.unwrap();
         peer.send(&pull(1)).await.unwrap();
-        if last {
+        if sends_bye {
             let bye = message::Body::Bye(message::Bye {});
             peer.send(&bye).await.unwrap();
         }
@@ -254,13 +252,13 @@
     let mut a = node("a", 1, |config| config.frame_bytes = 100).await;
     let stream = sockets::TcpStream::connect(a.address).await.unwrap();
     let mut peer = framing::Framed::new(stream, codec::Codec::new(1 << 20));
-    peer.send(&greeting("b", 1)).await.unwrap();
+    peer.send(&hello_frame("b", 1)).await.unwrap();
     peer.send(&pull("x".repeat(200))).await.unwrap();
     assert_eq!(a.next().await, Call::Lost(vm("b")));
 }
 
 #[tokio::test]
-async fn a_peer_of_another_protocol_is_told_ours_and_refused() {
+async fn a_peer_of_another_protocol_gets_a_hello_and_is_refused() {
     let a = node("a", 1, |_| {}).await;
     let stream = sockets::TcpStream::connect(a.address).await.unwrap();
     let mut peer = framing::Framed::new(stream, codec::Codec::new(1 << 20));
@@ -276,10 +274,10 @@
     assert!(peer.next().await.is_none());
 }
 
-/// Story: a fresh VM asks a home before the home has heard of it. Without a
-/// way back the search would miss those shards until gossip has caught up.
+/// A new VM calls a home whose view doesn't contain it yet. If the home couldn't
+/// reply, searches would miss those shards until gossip catches up.
 #[tokio::test]
-async fn a_vm_that_the_view_lacks_is_answered_at_the_address_it_greeted_with() {
+async fn a_vm_that_the_view_lacks_is_answered_at_the_address_in_its_hello() {
     let (mut a, mut b) = pair().await;
     b.knows(&[]);
     a.mesh.send(&b.vm, pull(1)).unwrap();
@@ -289,7 +287,7 @@
 }
 
 #[tokio::test]
-async fn links_to_vms_that_are_members_no_more_are_closed() {
+async fn links_to_vms_that_are_no_longer_members_are_closed() {
     let mut a = node("a", 1, |_| {}).await;
     let listener = sockets::TcpListener::bind("127.0.0.1:0").await.unwrap();
     a.knows(&[("b", listener.local_addr().unwrap())]);
@@ -301,9 +299,9 @@
 }
 
 #[tokio::test]
-async fn an_idle_link_is_closed_in_order_and_opened_again_on_use() {
+async fn an_idle_link_is_closed_without_loss_and_opened_again_on_use() {
     let a = node("a", 1, |config| {
-        config.idle = time::Duration::from_millis(30);
+        config.idle_timeout = time::Duration::from_millis(30);
     })
     .await;
     let mut b = node("b", 1, |_| {}).await;
@@ -313,7 +311,7 @@
         assert_eq!(b.next().await, Call::Frame(vm("a"), pull(number)));
         a.mesh.link_tasks.close();
         a.mesh.link_tasks.wait().await;
-        assert!(a.mesh.all().is_empty());
+        assert!(a.mesh.all_links().is_empty());
     }
     assert!(b.calls.try_recv().is_err());
 }
