--- a/crates/geraniumgauge/src/document/frames.rs
+++ b/crates/geraniumgauge/src/document/frames.rs
@@ -50,8 +50,8 @@
 
 /// Tells of a version. The two parts of a service grow apart, so each has its
 /// own key.
-pub(super) fn rumour(kind: held::Kind, service: &ids::Service, version: u64) -> member::Rumour {
-    member::Rumour {
+pub(super) fn rumour(kind: held::Kind, service: &ids::Service, version: u64) -> member::Update {
+    member::Update {
         topic: member::Topic::Catalog,
         key: format!("{kind}/{service}"),
         version,
--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -38,10 +38,10 @@
 /// Passes rumours on; the membership service does.
 pub trait Gossip: Send + Sync {
     /// Starts a rumour at this VM.
-    fn publish(&self, rumour: member::Rumour);
+    fn publish(&self, rumour: member::Update);
 
     /// Rumours that this VM hears for the first time.
-    fn rumours(&self) -> channel::broadcast::Receiver<member::Rumour>;
+    fn rumours(&self) -> channel::broadcast::Receiver<member::Update>;
 }
 
 /// One VM's document service; clones share it. It ends with its timer service.
--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -37,7 +37,7 @@
     /// The membership changed.
     View(roles::Roles),
     /// A member passed something on.
-    Rumour(member::Rumour),
+    Rumour(member::Update),
     /// A peer asks.
     Pull(ids::Vm, message::Pull),
     /// A peer answers.
@@ -60,7 +60,7 @@
     /// Tell a peer.
     Send(ids::Vm, message::Body),
     /// Tell everybody.
-    Publish(member::Rumour),
+    Publish(member::Update),
     /// Read both parts of a service from the store.
     Fetch(ids::Service),
     /// This VM may take requests.
@@ -165,7 +165,7 @@
         self.roles = roles;
     }
 
-    fn rumour(&mut self, rumour: &member::Rumour, now: clock::Moment) {
+    fn rumour(&mut self, rumour: &member::Update, now: clock::Moment) {
         if rumour.topic != member::Topic::Catalog {
             return;
         }
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -32,14 +32,14 @@
     }
 }
 
-struct Talk(channel::broadcast::Sender<member::Rumour>);
+struct Talk(channel::broadcast::Sender<member::Update>);
 
 impl Gossip for Talk {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         let _ = self.0.send(rumour);
     }
 
-    fn rumours(&self) -> channel::broadcast::Receiver<member::Rumour> {
+    fn rumours(&self) -> channel::broadcast::Receiver<member::Update> {
         self.0.subscribe()
     }
 }
--- a/crates/geraniumgauge/src/document/tests/spread.rs
+++ b/crates/geraniumgauge/src/document/tests/spread.rs
@@ -9,7 +9,7 @@
 struct World {
     vms: Vec<Spread>,
     frames: Vec<(usize, ids::Vm, message::Body)>,
-    rumours: Vec<(usize, member::Rumour)>,
+    rumours: Vec<(usize, member::Update)>,
     stored: collections::BTreeMap<(ids::Service, held::Kind), held::Part>,
     applied: Vec<collections::BTreeMap<(ids::Service, held::Kind), u64>>,
     fell_back: bool,
--- a/crates/geraniumgauge/src/member/instruments.rs
+++ b/crates/geraniumgauge/src/member/instruments.rs
@@ -27,7 +27,7 @@
     ("member_news_queued", "News waiting to be told", |stats| {
         stats.queued
     }),
-    ("member_rumours", "Rumours held", |stats| stats.rumours),
+    ("member_rumours", "Rumours held", |stats| stats.updates),
 ];
 
 const COUNTERS: [(&str, &str, Read); 8] = [
--- a/crates/geraniumgauge/src/member/mod.rs
+++ b/crates/geraniumgauge/src/member/mod.rs
@@ -22,7 +22,7 @@
 /// probes. For a given topic and key the highest version wins; an equal version
 /// is a duplicate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Rumour {
+pub struct Update {
     /// The subsystem that the update belongs to.
     pub topic: Topic,
     /// Identifies what the update is about within its topic.
--- a/crates/geraniumgauge/src/member/queue.rs
+++ b/crates/geraniumgauge/src/member/queue.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Subject {
     Vm(ids::Vm),
-    Rumour(member::Topic, sync::Arc<str>),
+    Update(member::Topic, sync::Arc<str>),
 }
 
 impl Subject {
@@ -21,10 +21,10 @@
     /// wait behind them. What each VM applies is only counted, so it goes last.
     fn priority(&self) -> u8 {
         match self {
-            Self::Rumour(member::Topic::Mark, _) => 0,
-            Self::Rumour(member::Topic::Catalog, _) => 1,
+            Self::Update(member::Topic::Mark, _) => 0,
+            Self::Update(member::Topic::Catalog, _) => 1,
             Self::Vm(_) => 2,
-            Self::Rumour(member::Topic::Applied, _) => 3,
+            Self::Update(member::Topic::Applied, _) => 3,
         }
     }
 
--- a/crates/geraniumgauge/src/member/service.rs
+++ b/crates/geraniumgauge/src/member/service.rs
@@ -28,8 +28,8 @@
 use crate::timer;
 
 /// Updates that a slow subscriber may lag behind. Beyond that it receives the
-/// number it missed and catches up with [`Service::all_rumours`].
-const MAX_UNREAD_RUMOURS: usize = 4096;
+/// number it missed and catches up with [`Service::all_updates`].
+const MAX_UNREAD_UPDATES: usize = 4096;
 
 /// First delay after a failed read of the platform's list.
 const LIST_RETRY_INTERVAL: spans::Duration = spans::Duration::from_secs(1);
@@ -84,17 +84,17 @@
 #[derive(Debug, Clone)]
 pub struct Service {
     view: watch::Receiver<member::Shared>,
-    rumours: broadcast::Sender<member::Rumour>,
-    newest: Rumours,
+    updates: broadcast::Sender<member::Update>,
+    newest: Updates,
     commands: mpsc::UnboundedSender<Command>,
 }
 
-type Rumours =
-    sync::Arc<sync::Mutex<collections::BTreeMap<(member::Topic, String), member::Rumour>>>;
+type Updates =
+    sync::Arc<sync::Mutex<collections::BTreeMap<(member::Topic, String), member::Update>>>;
 
 #[derive(Debug)]
 enum Command {
-    Publish(member::Rumour),
+    Publish(member::Update),
     Listed(Vec<store::Vm>),
     Leave(oneshot::Sender<()>),
 }
@@ -124,8 +124,8 @@
         let (commands, received) = mpsc::unbounded_channel();
         let service = Self {
             view,
-            rumours: broadcast::channel(MAX_UNREAD_RUMOURS).0,
-            newest: Rumours::default(),
+            updates: broadcast::channel(MAX_UNREAD_UPDATES).0,
+            newest: Updates::default(),
             commands,
         };
         let worker = Worker {
@@ -133,7 +133,7 @@
             clock,
             socket: udp::UdpFramed::new(config.socket, wire::Codec),
             view: sender,
-            rumours: service.rumours.clone(),
+            updates: service.updates.clone(),
             newest: sync::Arc::clone(&service.newest),
             stats: instruments::register(meter),
             leave_waiters: Vec::new(),
@@ -151,20 +151,20 @@
 
     /// Publishes an update to all members and to this VM's own subscribers. It is
     /// dropped if its version isn't higher than the one held for its topic and key.
-    pub fn publish(&self, rumour: member::Rumour) {
-        drop(self.commands.send(Command::Publish(rumour)));
+    pub fn publish(&self, update: member::Update) {
+        drop(self.commands.send(Command::Publish(update)));
     }
 
     /// Returns a receiver of updates that are new to this VM from now on.
-    pub fn rumours(&self) -> broadcast::Receiver<member::Rumour> {
-        self.rumours.subscribe()
+    pub fn updates(&self) -> broadcast::Receiver<member::Update> {
+        self.updates.subscribe()
     }
 
     /// Returns the newest update for each key of `topic`, for late subscribers.
-    pub fn all_rumours(&self, topic: member::Topic) -> Vec<member::Rumour> {
+    pub fn all_updates(&self, topic: member::Topic) -> Vec<member::Update> {
         let newest = self.newest.lock();
         let newest = newest.unwrap_or_else(sync::PoisonError::into_inner);
-        let of_topic = newest.values().filter(|rumour| rumour.topic == topic);
+        let of_topic = newest.values().filter(|update| update.topic == topic);
         of_topic.cloned().collect()
     }
 
@@ -184,8 +184,8 @@
     clock: time::Clock,
     socket: udp::UdpFramed<wire::Codec>,
     view: watch::Sender<member::Shared>,
-    rumours: broadcast::Sender<member::Rumour>,
-    newest: Rumours,
+    updates: broadcast::Sender<member::Update>,
+    newest: Updates,
     stats: instruments::Shared,
     leave_waiters: Vec<oneshot::Sender<()>>,
 }
@@ -210,7 +210,7 @@
                     None => return,
                 },
                 command = commands.recv() => match command {
-                    Some(Command::Publish(rumour)) => state::Event::Publish(rumour),
+                    Some(Command::Publish(update)) => state::Event::Publish(update),
                     Some(Command::Listed(vms)) => state::Event::Listed(vms),
                     Some(Command::Leave(done)) => {
                         self.leave_waiters.push(done);
@@ -243,7 +243,7 @@
                 }
             }
             state::Action::View(view) => drop(self.view.send_replace(view)),
-            state::Action::Received(rumour) => self.deliver(rumour),
+            state::Action::Received(update) => self.deliver(update),
             state::Action::Announced => {
                 for done in self.leave_waiters.drain(..) {
                     // An error means that the caller no longer waits.
@@ -257,13 +257,13 @@
         }
     }
 
-    fn deliver(&mut self, rumour: member::Rumour) {
+    fn deliver(&mut self, update: member::Update) {
         let newest = self.newest.lock();
         let mut newest = newest.unwrap_or_else(sync::PoisonError::into_inner);
-        newest.insert((rumour.topic, rumour.key.clone()), rumour.clone());
+        newest.insert((update.topic, update.key.clone()), update.clone());
         drop(newest);
         // An error means that there are no subscribers.
-        drop(self.rumours.send(rumour));
+        drop(self.updates.send(update));
     }
 }
 
--- a/crates/geraniumgauge/src/member/settings.rs
+++ b/crates/geraniumgauge/src/member/settings.rs
@@ -42,7 +42,7 @@
     /// A longer gap between ticks means that this process was paused.
     pub pause_threshold: time::Duration,
     /// Number of updates kept of each topic.
-    pub max_rumours_per_topic: usize,
+    pub max_updates_per_topic: usize,
 }
 
 impl Default for Settings {
@@ -64,7 +64,7 @@
             burst_bytes: 16_000.0,
             urgent_byte_rate: rate::PerSecond(2_000.0),
             pause_threshold: time::Duration::from_secs(1),
-            max_rumours_per_topic: 8192,
+            max_updates_per_topic: 8192,
         }
     }
 }
--- a/crates/geraniumgauge/src/member/state/gossip.rs
+++ b/crates/geraniumgauge/src/member/state/gossip.rs
@@ -19,61 +19,61 @@
 const EMBEDDED_OVERHEAD_BYTES: usize = 3;
 
 /// Largest encoded update. A larger one would leave no room for others in a datagram.
-const MAX_RUMOUR_BYTES: usize = 1024;
+const MAX_UPDATE_BYTES: usize = 1024;
 
 impl state::State {
     /// Stores an update from this VM's own subsystems or from another member.
-    pub(super) fn receive_update(&mut self, rumour: member::Rumour) {
-        if wire::Rumour::from(&rumour).encoded_len() > MAX_RUMOUR_BYTES {
+    pub(super) fn receive_update(&mut self, update: member::Update) {
+        if wire::Update::from(&update).encoded_len() > MAX_UPDATE_BYTES {
             log::error!(
                 "membership: dropped an update for key {} with a body of {} bytes: \
-                 the encoded limit is {MAX_RUMOUR_BYTES} bytes",
-                rumour.key,
-                rumour.body.len()
+                 the encoded limit is {MAX_UPDATE_BYTES} bytes",
+                update.key,
+                update.body.len()
             );
             return;
         }
-        let key: sync::Arc<str> = rumour.key.as_str().into();
-        let held = self.rumours.get(&(rumour.topic, sync::Arc::clone(&key)));
-        if held.is_some_and(|held| held.version >= rumour.version) {
+        let key: sync::Arc<str> = update.key.as_str().into();
+        let held = self.updates.get(&(update.topic, sync::Arc::clone(&key)));
+        if held.is_some_and(|held| held.version >= update.version) {
             return;
         }
-        let (name_hash, new) = (name_hash(&rumour), fingerprint(&rumour));
+        let (name_hash, new) = (name_hash(&update), fingerprint(&update));
         if let Some(held) = held {
             self.digest.toggle(name_hash, fingerprint(held));
         } else {
-            self.evict_if_full(rumour.topic);
+            self.evict_if_full(update.topic);
         }
         self.digest.toggle(name_hash, new);
-        let topic = rumour.topic;
+        let topic = update.topic;
         self.urgent |= topic != member::Topic::Applied;
         self.queue
-            .add(queue::Subject::Rumour(topic, sync::Arc::clone(&key)));
-        self.rumours.insert((topic, key), rumour.clone());
-        self.actions.push(state::Action::Received(rumour));
+            .add(queue::Subject::Update(topic, sync::Arc::clone(&key)));
+        self.updates.insert((topic, key), update.clone());
+        self.actions.push(state::Action::Received(update));
     }
 
     /// Removes the first key of a topic that holds the maximum number of updates.
     fn evict_if_full(&mut self, topic: member::Topic) {
-        if self.rumours.len() < self.settings.max_rumours_per_topic {
+        if self.updates.len() < self.settings.max_updates_per_topic {
             return;
         }
         let first = (topic, sync::Arc::from(""));
-        let of_topic = self.rumours.range(first..);
+        let of_topic = self.updates.range(first..);
         let of_topic = of_topic.take_while(|((held, _), _)| *held == topic);
         let keys: Vec<_> = of_topic
             .map(|((_, key), _)| sync::Arc::clone(key))
             .collect();
-        if keys.len() >= self.settings.max_rumours_per_topic {
-            self.remove_rumour(topic, &keys[0]);
+        if keys.len() >= self.settings.max_updates_per_topic {
+            self.remove_update(topic, &keys[0]);
         }
     }
 
-    pub(super) fn remove_rumour(&mut self, topic: member::Topic, key: &str) {
+    pub(super) fn remove_update(&mut self, topic: member::Topic, key: &str) {
         let key: sync::Arc<str> = key.into();
-        if let Some(held) = self.rumours.remove(&(topic, sync::Arc::clone(&key))) {
+        if let Some(held) = self.updates.remove(&(topic, sync::Arc::clone(&key))) {
             self.digest.toggle(name_hash(&held), fingerprint(&held));
-            self.queue.remove(&queue::Subject::Rumour(topic, key));
+            self.queue.remove(&queue::Subject::Update(topic, key));
         }
     }
 
@@ -198,9 +198,9 @@
                 let record = self.record(vm);
                 record.is_none_or(|record| builder.add_record(record))
             }
-            queue::Subject::Rumour(topic, key) => {
-                let held = self.rumours.get(&(*topic, sync::Arc::clone(key)));
-                held.is_none_or(|rumour| builder.add_rumour(rumour))
+            queue::Subject::Update(topic, key) => {
+                let held = self.updates.get(&(*topic, sync::Arc::clone(key)));
+                held.is_none_or(|update| builder.add_update(update))
             }
         }
     }
@@ -250,11 +250,11 @@
         fits
     }
 
-    fn add_rumour(&mut self, rumour: &member::Rumour) -> bool {
-        let rumour = wire::Rumour::from(rumour);
-        let fits = self.reserve(rumour.encoded_len());
+    fn add_update(&mut self, update: &member::Update) -> bool {
+        let update = wire::Update::from(update);
+        let fits = self.reserve(update.encoded_len());
         if fits {
-            self.datagram.rumours.push(rumour);
+            self.datagram.updates.push(update);
         }
         fits
     }
@@ -272,11 +272,11 @@
 }
 
 /// Returns the hash that places an update in a digest bucket.
-pub(super) fn name_hash(rumour: &member::Rumour) -> u64 {
-    digest::name_hash(1 + rumour.topic as u64, &rumour.key)
+pub(super) fn name_hash(update: &member::Update) -> u64 {
+    digest::name_hash(1 + update.topic as u64, &update.key)
 }
 
-fn fingerprint(rumour: &member::Rumour) -> u64 {
-    let version = rumour.version.to_be_bytes();
-    xxhash_rust::xxh3::xxh3_64_with_seed(&version, name_hash(rumour))
+fn fingerprint(update: &member::Update) -> u64 {
+    let version = update.version.to_be_bytes();
+    xxhash_rust::xxh3::xxh3_64_with_seed(&version, name_hash(update))
 }
--- a/crates/geraniumgauge/src/member/state/mod.rs
+++ b/crates/geraniumgauge/src/member/state/mod.rs
@@ -50,7 +50,7 @@
     /// The platform's list of VMs was read.
     Listed(Vec<store::Vm>),
     /// A subsystem of this VM publishes an update.
-    Publish(member::Rumour),
+    Publish(member::Update),
     /// This VM is about to stop.
     Leave,
 }
@@ -68,14 +68,14 @@
     /// The view has changed.
     View(member::Shared),
     /// An update that is new to this VM.
-    Received(member::Rumour),
+    Received(member::Update),
     /// Enough members have confirmed that this VM is leaving, or the time for it is up.
     Announced,
     /// A live process at this address has this VM's name and a later incarnation.
     DuplicateName(net::SocketAddr),
 }
 
-/// Statistics. `live`, `suspect`, `leaving`, `dead`, `queued` and `rumours` are
+/// Statistics. `live`, `suspect`, `leaving`, `dead`, `queued` and `updates` are
 /// current values; the others count since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
@@ -90,7 +90,7 @@
     /// Updates and records waiting to be gossiped.
     pub queued: u64,
     /// Gossip updates held.
-    pub rumours: u64,
+    pub updates: u64,
     /// Probes sent.
     pub probes: u64,
     /// Probes that nobody answered.
@@ -131,7 +131,7 @@
     live: usize,
     /// Time at which each suspect is declared dead.
     suspects: collections::BTreeMap<ids::Vm, time::Moment>,
-    rumours: collections::BTreeMap<(member::Topic, shared::Arc<str>), member::Rumour>,
+    updates: collections::BTreeMap<(member::Topic, shared::Arc<str>), member::Update>,
     digest: digest::Digest,
     queue: queue::Queue,
     budget: rate::Bucket,
@@ -178,7 +178,7 @@
             members: collections::BTreeMap::new(),
             live: 0,
             suspects: collections::BTreeMap::new(),
-            rumours: collections::BTreeMap::new(),
+            updates: collections::BTreeMap::new(),
             digest,
             queue: queue::Queue::default(),
             budget,
@@ -208,7 +208,7 @@
             Event::Tick => self.tick(now),
             Event::Datagram { from, datagram } => self.receive(from, datagram, now),
             Event::Listed(vms) => self.listed(vms),
-            Event::Publish(rumour) => self.receive_update(rumour),
+            Event::Publish(update) => self.receive_update(update),
             Event::Leave => self.leave(now),
         }
         if std::mem::take(&mut self.urgent) {
@@ -228,7 +228,7 @@
             leaving: count(leaving.count()) + u64::from(self.own.leaving),
             dead: count(self.members.len() - self.live),
             queued: count(self.queue.len()),
-            rumours: count(self.rumours.len()),
+            updates: count(self.updates.len()),
             ..self.stats
         }
     }
@@ -253,8 +253,8 @@
     }
 
     /// Returns the newest update of `topic` and `key`.
-    pub fn rumour(&self, topic: member::Topic, key: &str) -> Option<&member::Rumour> {
-        self.rumours.get(&(topic, key.into()))
+    pub fn update(&self, topic: member::Topic, key: &str) -> Option<&member::Update> {
+        self.updates.get(&(topic, key.into()))
     }
 
     fn tick(&mut self, now: time::Moment) {
@@ -291,7 +291,7 @@
     }
 
     fn receive(&mut self, from: net::SocketAddr, datagram: wire::Datagram, now: time::Moment) {
-        let Some(sender) = datagram.from.as_ref().and_then(wire::Record::record) else {
+        let Some(sender) = datagram.from.as_ref().and_then(wire::Record::to_record) else {
             return;
         };
         if sender.vm == self.own.vm && sender.incarnation == self.own.incarnation {
@@ -299,14 +299,14 @@
         }
         self.apply_record(sender.clone(), now);
         for record in &datagram.records {
-            if let Some(record) = record.record() {
+            if let Some(record) = record.to_record() {
                 self.apply_record(record, now);
             }
         }
-        let rumours = datagram.rumours.into_iter();
-        rumours
-            .filter_map(wire::Rumour::rumour)
-            .for_each(|rumour| self.receive_update(rumour));
+        let updates = datagram.updates.into_iter();
+        updates
+            .filter_map(wire::Update::into_update)
+            .for_each(|update| self.receive_update(update));
         match datagram.kind {
             Some(wire::Kind::Ping(probe)) => self.answer_ping(from, &sender.vm, probe, now),
             Some(wire::Kind::Ack(probe)) => self.receive_ack(&sender.vm, &probe, now),
--- a/crates/geraniumgauge/src/member/state/records.rs
+++ b/crates/geraniumgauge/src/member/state/records.rs
@@ -139,7 +139,7 @@
         for vm in expired {
             self.members.remove(&vm);
             self.queue.remove(&queue::Subject::Vm(vm.clone()));
-            self.remove_rumour(member::Topic::Applied, vm.as_str());
+            self.remove_update(member::Topic::Applied, vm.as_str());
         }
     }
 
--- a/crates/geraniumgauge/src/member/state/sync.rs
+++ b/crates/geraniumgauge/src/member/state/sync.rs
@@ -144,11 +144,11 @@
             let rank = rank[digest::bucket(entry.name_hash)];
             (rank, queue::Subject::Vm(vm.clone()))
         });
-        let rumours = self.rumours.iter().map(|((topic, key), rumour)| {
-            let rank = rank[digest::bucket(gossip::name_hash(rumour))];
-            (rank, queue::Subject::Rumour(*topic, key.clone()))
+        let updates = self.updates.iter().map(|((topic, key), update)| {
+            let rank = rank[digest::bucket(gossip::name_hash(update))];
+            (rank, queue::Subject::Update(*topic, key.clone()))
         });
-        let all = vms.chain(rumours);
+        let all = vms.chain(updates);
         let mut ranked: Vec<_> = all.filter(|(rank, _)| *rank != usize::MAX).collect();
         ranked.sort_by_key(|(rank, _)| *rank);
         ranked.into_iter().map(|(_, subject)| subject).collect()
--- a/crates/geraniumgauge/src/member/tests/gossip.rs
+++ b/crates/geraniumgauge/src/member/tests/gossip.rs
@@ -9,13 +9,13 @@
         net.faults = lossy();
         for version in 1..20 {
             let publisher = net.nodes.len() * version as usize % 5;
-            let published = rumour(member::Topic::Catalog, "label-printing", version);
+            let published = update(member::Topic::Catalog, "label-printing", version);
             net.event(publisher, Event::Publish(published));
             net.run(version % 3);
         }
         net.run(10);
         net.nodes.iter().all(|node| {
-            let versions: Vec<_> = node.received.iter().map(|rumour| rumour.version).collect();
+            let versions: Vec<_> = node.received.iter().map(|update| update.version).collect();
             versions.is_sorted_by(|a, b| a < b) && versions.last() == Some(&19)
         })
     }
@@ -32,15 +32,15 @@
         for node in 0..4 {
             net.faults.cut.extend([(node, 4), (4, node)]);
         }
-        let published = rumour(member::Topic::Catalog, "landing-intake", 7);
+        let published = update(member::Topic::Catalog, "landing-intake", 7);
         net.event(0, Event::Publish(published));
         net.run(2);
         net.faults.cut.clear();
         net.run(10);
         let held = net.nodes[4]
             .state
-            .rumour(member::Topic::Catalog, "landing-intake");
-        held.is_some_and(|rumour| rumour.version == 7)
+            .update(member::Topic::Catalog, "landing-intake");
+        held.is_some_and(|update| update.version == 7)
     }
     check(property);
 }
@@ -52,7 +52,7 @@
     fn property(seed: u64) -> bool {
         let mut net = Net::settled(12, seed);
         net.run(20);
-        net.event(0, Event::Publish(rumour(member::Topic::Mark, "77", 1)));
+        net.event(0, Event::Publish(update(member::Topic::Mark, "77", 1)));
         net.step();
         let received = net.nodes.iter().filter(|node| !node.received.is_empty());
         received.count() >= 9
@@ -127,15 +127,15 @@
         node.state.budget = rate::Bucket::new(rate::PerSecond(100.0), 600.0, net.now);
     }
     for n in 0..200 {
-        let published = rumour(member::Topic::Applied, &format!("vm-{n}"), 1);
+        let published = update(member::Topic::Applied, &format!("vm-{n}"), 1);
         net.event(n % 12, Event::Publish(published));
     }
     net.run(2);
-    let published = rumour(member::Topic::Catalog, "label-printing", 1);
+    let published = update(member::Topic::Catalog, "label-printing", 1);
     net.event(0, Event::Publish(published));
     net.run(3);
     let held = |node: &net::Node| {
-        let held = node.state.rumour(member::Topic::Catalog, "label-printing");
+        let held = node.state.update(member::Topic::Catalog, "label-printing");
         held.is_some()
     };
     net.nodes.iter().all(held)
--- a/crates/geraniumgauge/src/member/tests/net.rs
+++ b/crates/geraniumgauge/src/member/tests/net.rs
@@ -35,7 +35,7 @@
     pub(super) state: State,
     pub(super) up: bool,
     pub(super) paused: bool,
-    pub(super) received: Vec<member::Rumour>,
+    pub(super) received: Vec<member::Update>,
     pub(super) announced: bool,
     pub(super) duplicate_name: bool,
     socket: Vec<(addresses::SocketAddr, wire::Datagram)>,
@@ -133,7 +133,7 @@
         for action in actions {
             match action {
                 Action::Send { to, datagram } => self.transmit(node, to, datagram),
-                Action::Received(rumour) => self.nodes[node].received.push(rumour),
+                Action::Received(update) => self.nodes[node].received.push(update),
                 Action::Announced => self.nodes[node].announced = true,
                 Action::DuplicateName(_) => self.nodes[node].duplicate_name = true,
                 Action::View(_) => {}
--- a/crates/geraniumgauge/src/member/tests/service.rs
+++ b/crates/geraniumgauge/src/member/tests/service.rs
@@ -60,17 +60,17 @@
     }]);
     let second = start("b", Vec::new(), &store).await;
     sees(&first, |view| view.members.len() == 2).await;
-    let mut received = second.service.rumours();
-    let rumour = member::Rumour {
+    let mut received = second.service.updates();
+    let update = member::Update {
         topic: member::Topic::Mark,
         key: "77".to_owned(),
         version: 1,
         body: bytes::Bytes::from_static(b"suspect"),
     };
-    first.service.publish(rumour.clone());
-    assert_eq!(received.recv().await.unwrap(), rumour);
-    let held = second.service.all_rumours(member::Topic::Mark);
-    assert_eq!(held, [rumour]);
+    first.service.publish(update.clone());
+    assert_eq!(received.recv().await.unwrap(), update);
+    let held = second.service.all_updates(member::Topic::Mark);
+    assert_eq!(held, [update]);
 }
 
 #[tokio::test]
--- a/crates/geraniumgauge/src/member/tests/state.rs
+++ b/crates/geraniumgauge/src/member/tests/state.rs
@@ -9,8 +9,8 @@
 
 use net::Net;
 
-fn rumour(topic: member::Topic, key: &str, version: u64) -> member::Rumour {
-    member::Rumour {
+fn update(topic: member::Topic, key: &str, version: u64) -> member::Update {
+    member::Update {
         topic,
         key: key.to_owned(),
         version,
@@ -303,7 +303,7 @@
 #[test]
 fn a_long_dead_member_is_forgotten_with_its_applied_updates() {
     let mut net = Net::settled(3, 5);
-    net.event(2, Event::Publish(rumour(member::Topic::Applied, "vm-2", 1)));
+    net.event(2, Event::Publish(update(member::Topic::Applied, "vm-2", 1)));
     net.run(5);
     net.nodes[2].up = false;
     net.run(15);
@@ -311,6 +311,6 @@
     net.now = net.now + settings::Settings::default().tombstone_lifetime;
     net.run(2);
     assert!(net.nodes[0].state.record(&net::vm(2)).is_none());
-    let held = net.nodes[0].state.rumour(member::Topic::Applied, "vm-2");
+    let held = net.nodes[0].state.update(member::Topic::Applied, "vm-2");
     assert!(held.is_none());
 }
--- a/crates/geraniumgauge/src/member/wire.rs
+++ b/crates/geraniumgauge/src/member/wire.rs
@@ -46,7 +46,7 @@
     pub records: Vec<Record>,
     /// Gossip updates.
     #[prost(message, repeated, tag = "7")]
-    pub rumours: Vec<Rumour>,
+    pub updates: Vec<Update>,
 }
 
 /// Requests and answers between members.
@@ -131,10 +131,10 @@
     pub health: u32,
 }
 
-/// Wire form of [`member::Rumour`].
+/// Wire form of [`member::Update`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct Rumour {
+pub struct Update {
     /// Topic: 1 catalog, 2 applied, 3 mark.
     #[prost(uint32, tag = "1")]
     pub topic: u32,
@@ -166,7 +166,7 @@
 impl Record {
     /// Decodes the record. Returns `None` if a field is invalid, as it may be from a
     /// newer version.
-    pub fn record(&self) -> Option<record::Record> {
+    pub fn to_record(&self) -> Option<record::Record> {
         let health = match self.health {
             0 => record::Health::Alive,
             1 => record::Health::Suspect,
@@ -185,32 +185,32 @@
     }
 }
 
-impl From<&member::Rumour> for Rumour {
-    fn from(rumour: &member::Rumour) -> Self {
-        let topic = match rumour.topic {
+impl From<&member::Update> for Update {
+    fn from(update: &member::Update) -> Self {
+        let topic = match update.topic {
             member::Topic::Catalog => 1,
             member::Topic::Applied => 2,
             member::Topic::Mark => 3,
         };
         Self {
             topic,
-            key: rumour.key.clone(),
-            version: rumour.version,
-            body: rumour.body.clone(),
+            key: update.key.clone(),
+            version: update.version,
+            body: update.body.clone(),
         }
     }
 }
 
-impl Rumour {
+impl Update {
     /// Decodes the update. Returns `None` for the topic of a newer version.
-    pub fn rumour(self) -> Option<member::Rumour> {
+    pub fn into_update(self) -> Option<member::Update> {
         let topic = match self.topic {
             1 => member::Topic::Catalog,
             2 => member::Topic::Applied,
             3 => member::Topic::Mark,
             _ => return None,
         };
-        Some(member::Rumour {
+        Some(member::Update {
             topic,
             key: self.key,
             version: self.version,
--- a/crates/geraniumgauge/src/mesh/message/mod.rs
+++ b/crates/geraniumgauge/src/mesh/message/mod.rs
@@ -112,13 +112,13 @@
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Mark {
-    /// See [`crate::member::Rumour::key`].
+    /// See [`crate::member::Update::key`].
     #[prost(string, tag = "1")]
     pub key: String,
-    /// See [`crate::member::Rumour::version`].
+    /// See [`crate::member::Update::version`].
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// See [`crate::member::Rumour::body`].
+    /// See [`crate::member::Update::body`].
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
     /// Size of the group of consecutive members in the view, starting with the
--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/direct.rs
@@ -55,7 +55,7 @@
 }
 
 impl quarantine::Spread for Direct {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         let view = self.view.borrow().clone();
         let stride = view.members.len().div_ceil(FANOUT).max(1);
         let mark = message::Mark {
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -22,7 +22,7 @@
 /// Tells every VM of a mark, by rumour at least.
 pub trait Spread: Send + Sync {
     /// Hands one rumour of [`member::Topic::Mark`] on. Must not block.
-    fn publish(&self, rumour: member::Rumour);
+    fn publish(&self, rumour: member::Update);
 }
 
 /// Settings.
@@ -155,7 +155,7 @@
     }
 
     /// A rumour of [`member::Topic::Mark`]. Others are passed over.
-    pub fn heard(&self, rumour: &member::Rumour) {
+    pub fn heard(&self, rumour: &member::Update) {
         if rumour.topic == member::Topic::Mark {
             self.read(&rumour.body);
         }
@@ -196,7 +196,7 @@
             mark.state
         );
         let body = serde_json::to_vec(&mark).unwrap_or_default();
-        self.inner.spread.publish(member::Rumour {
+        self.inner.spread.publish(member::Update {
             topic: member::Topic::Mark,
             key: mark.key(),
             version: mark.version,
--- a/crates/geraniumgauge/src/quarantine/tests/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/direct.rs
@@ -27,7 +27,7 @@
 struct Gossip;
 
 impl quarantine::Spread for Gossip {
-    fn publish(&self, _: member::Rumour) {}
+    fn publish(&self, _: member::Update) {}
 }
 
 fn vm(number: usize) -> ids::Vm {
@@ -57,7 +57,7 @@
 fn every_member_hears_a_mark_in_two_frames_at_most() {
     for count in [1, 8, 48, 49, 500, 2200] {
         let sent = sync::Arc::<Sent>::default();
-        direct(3 % count, count, &sent).publish(member::Rumour {
+        direct(3 % count, count, &sent).publish(member::Update {
             topic: member::Topic::Mark,
             key: "port/7".to_owned(),
             version: 1,
--- a/crates/geraniumgauge/src/quarantine/tests/service.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/service.rs
@@ -16,10 +16,10 @@
 const QUERY: ids::Fingerprint = ids::Fingerprint(7);
 
 #[derive(Default)]
-struct Told(sync::Mutex<Vec<member::Rumour>>);
+struct Told(sync::Mutex<Vec<member::Update>>);
 
 impl quarantine::Spread for Told {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         self.0.lock().unwrap().push(rumour);
     }
 }
--- a/crates/geraniumgauge/src/query/tests/service.rs
+++ b/crates/geraniumgauge/src/query/tests/service.rs
@@ -82,7 +82,7 @@
 struct Silent;
 
 impl quarantine::Spread for Silent {
-    fn publish(&self, _: member::Rumour) {}
+    fn publish(&self, _: member::Update) {}
 }
 
 struct Site {
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -78,7 +78,7 @@
 
 /// Hands marks of suspect requests to the quarantine until `stop`.
 pub(super) async fn marks(
-    mut rumours: broadcast::Receiver<member::Rumour>,
+    mut rumours: broadcast::Receiver<member::Update>,
     book: quarantine::Service,
     stop: CancellationToken,
 ) {
@@ -96,17 +96,17 @@
 }
 
 impl quarantine::Spread for member::Service {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         self.publish(rumour);
     }
 }
 
 impl document::Gossip for member::Service {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         self.publish(rumour);
     }
 
-    fn rumours(&self) -> broadcast::Receiver<member::Rumour> {
-        self.rumours()
+    fn rumours(&self) -> broadcast::Receiver<member::Update> {
+        self.updates()
     }
 }
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -91,7 +91,7 @@
             book: book.clone(),
             direct,
         });
-        tokio::spawn(dispatch::marks(member.rumours(), book, self.stop.clone()));
+        tokio::spawn(dispatch::marks(member.updates(), book, self.stop.clone()));
         let metrics = self.metrics.clone();
         vm::Duties {
             mesh,
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -56,7 +56,7 @@
 struct Member {
     service: member::Service,
     metrics: metrics::Metrics,
-    rumours: broadcast::Receiver<member::Rumour>,
+    rumours: broadcast::Receiver<member::Update>,
     address: net::SocketAddr,
     stop: CancellationToken,
 }
@@ -112,7 +112,7 @@
         &metrics.meter(),
     );
     Ok(Member {
-        rumours: service.rumours(),
+        rumours: service.updates(),
         service,
         metrics,
         address,
@@ -196,8 +196,8 @@
     usage::Spread::of(processor).figure("change_processor_ms", out);
 }
 
-fn rumour(topic: member::Topic, key: &str, version: u64) -> member::Rumour {
-    member::Rumour {
+fn rumour(topic: member::Topic, key: &str, version: u64) -> member::Update {
+    member::Update {
         topic,
         key: key.to_owned(),
         version,
