--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -61,7 +61,7 @@
     pub(super) reads: load::Reads,
     /// Services whose record the store lacks or holds in an older state.
     pub(super) looks: channel::mpsc::Sender<ids::Service>,
-    post: sync::Arc<dyn mesh::Post>,
+    post: sync::Arc<dyn mesh::Sender>,
     gossip: sync::Arc<dyn Gossip>,
     spread: sync::Mutex<spread::Spread>,
     ready: channel::watch::Sender<bool>,
@@ -75,7 +75,7 @@
     /// The membership.
     pub view: channel::watch::Receiver<member::Shared>,
     /// Frames to other VMs.
-    pub post: sync::Arc<dyn mesh::Post>,
+    pub post: sync::Arc<dyn mesh::Sender>,
     /// Rumours to and from other VMs.
     pub gossip: sync::Arc<dyn Gossip>,
     /// The platform's object API.
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -14,7 +14,7 @@
     local: ids::Vm,
 }
 
-impl mesh::Post for Link {
+impl mesh::Sender for Link {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         let service = self.hub.services.lock().unwrap().get(to).cloned();
         let Some(service) = service else {
--- a/crates/geraniumgauge/src/home/outbox.rs
+++ b/crates/geraniumgauge/src/home/outbox.rs
@@ -25,7 +25,7 @@
 /// a frame to this VM itself is delivered at once, and its receiver may call
 /// back into the state that has just answered.
 pub(super) struct Outbox {
-    post: sync::Arc<dyn mesh::Post>,
+    post: sync::Arc<dyn mesh::Sender>,
     timer: timer::Service,
     waiting: sync::Mutex<Waiting>,
     filled: tokio::sync::Notify,
@@ -40,7 +40,7 @@
 }
 
 impl Outbox {
-    pub(super) fn new(post: sync::Arc<dyn mesh::Post>, timer: timer::Service) -> Self {
+    pub(super) fn new(post: sync::Arc<dyn mesh::Sender>, timer: timer::Service) -> Self {
         Self {
             post,
             timer,
--- a/crates/geraniumgauge/src/home/service.rs
+++ b/crates/geraniumgauge/src/home/service.rs
@@ -64,7 +64,7 @@
         config: Config,
         catalog: document::Catalog,
         view: watch::Receiver<member::Shared>,
-        post: sync::Arc<dyn mesh::Post>,
+        post: sync::Arc<dyn mesh::Sender>,
         clock: Clock,
         timer: timer::Service,
         meter: &metrics::Meter,
--- a/crates/geraniumgauge/src/ledger/tests/link.rs
+++ b/crates/geraniumgauge/src/ledger/tests/link.rs
@@ -121,7 +121,7 @@
     }
 }
 
-impl mesh::Post for Link {
+impl mesh::Sender for Link {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         if self.node.is_dead() {
             return Ok(());
--- a/crates/geraniumgauge/src/mesh/mod.rs
+++ b/crates/geraniumgauge/src/mesh/mod.rs
@@ -60,7 +60,7 @@
 /// Sends frames to VMs. Frames to this VM itself are delivered locally, in order
 /// and without a socket. Sending never blocks. A queued frame may still be lost, in
 /// which case [`Receive::lost`] is called for its link.
-pub trait Post: Send + Sync {
+pub trait Sender: Send + Sync {
     /// Queues one frame.
     ///
     /// # Errors
--- a/crates/geraniumgauge/src/mesh/service.rs
+++ b/crates/geraniumgauge/src/mesh/service.rs
@@ -295,7 +295,7 @@
     }
 }
 
-impl mesh::Post for Mesh {
+impl mesh::Sender for Mesh {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         let sent = self.try_send(to, body);
         sent.map_err(|error| self.count_refused(error))
--- a/crates/geraniumgauge/src/mesh/tests/service.rs
+++ b/crates/geraniumgauge/src/mesh/tests/service.rs
@@ -4,7 +4,7 @@
 use futures_util::StreamExt as _;
 use tokio_util::codec as framing;
 
-use crate::mesh::Post as _;
+use crate::mesh::Sender as _;
 use crate::mesh::codec;
 use crate::metrics;
 
--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/direct.rs
@@ -20,7 +20,7 @@
     /// The members' gossip.
     pub gossip: sync::Arc<dyn quarantine::Spread>,
     /// The links.
-    pub post: sync::Arc<dyn mesh::Post>,
+    pub post: sync::Arc<dyn mesh::Sender>,
     /// The members.
     pub view: watch::Receiver<member::Shared>,
 }
--- a/crates/geraniumgauge/src/quarantine/tests/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/direct.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct Sent(sync::Mutex<Vec<(ids::Vm, message::Mark)>>);
 
-impl mesh::Post for Sent {
+impl mesh::Sender for Sent {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         if let message::Body::Mark(mark) = body {
             self.0.lock().unwrap().push((to.clone(), mark));
--- a/crates/geraniumgauge/src/query/service.rs
+++ b/crates/geraniumgauge/src/query/service.rs
@@ -62,7 +62,7 @@
 
 pub(super) struct Inner {
     pub(super) config: Config,
-    pub(super) post: sync::Arc<dyn mesh::Post>,
+    pub(super) post: sync::Arc<dyn mesh::Sender>,
     pub(super) book: quarantine::Service,
     pub(super) slo: sync::Arc<dyn slo::Record>,
     pub(super) clock: clock::Clock,
@@ -87,7 +87,7 @@
         config: Config,
         catalog: document::Catalog,
         view: watch::Receiver<member::Shared>,
-        post: sync::Arc<dyn mesh::Post>,
+        post: sync::Arc<dyn mesh::Sender>,
         book: quarantine::Service,
         slo: sync::Arc<dyn slo::Record>,
         clock: clock::Clock,
--- a/crates/geraniumgauge/src/query/tests/service.rs
+++ b/crates/geraniumgauge/src/query/tests/service.rs
@@ -30,7 +30,7 @@
     cancelled: sync::Mutex<collections::BTreeSet<u64>>,
 }
 
-impl mesh::Post for Homes {
+impl mesh::Sender for Homes {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         match body {
             message::Body::Batch(batch) => self.batch(to, batch),
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -70,7 +70,7 @@
         tokio::spawn(self.client.clone().follow(member.view()));
         let dispatch = sync::Arc::new(dispatch::Dispatch::default());
         let mesh = self.mesh(listener, &member, sync::Arc::clone(&dispatch) as _);
-        let post: sync::Arc<dyn mesh::Post> = sync::Arc::clone(&mesh) as _;
+        let post: sync::Arc<dyn mesh::Sender> = sync::Arc::clone(&mesh) as _;
         let slo = self.slo();
         let record: sync::Arc<dyn slo::Record> = sync::Arc::new(slo.clone());
         let direct = sync::Arc::new(quarantine::Direct {
@@ -162,7 +162,7 @@
         )
     }
 
-    fn home(&self, member: &member::Service, post: &sync::Arc<dyn mesh::Post>) -> home::Service {
+    fn home(&self, member: &member::Service, post: &sync::Arc<dyn mesh::Sender>) -> home::Service {
         let (vm, data_centre) = (self.config.vm.clone(), self.config.data_centre.clone());
         home::Service::start(
             home::Config {
@@ -182,7 +182,7 @@
     fn query(
         &self,
         member: &member::Service,
-        post: &sync::Arc<dyn mesh::Post>,
+        post: &sync::Arc<dyn mesh::Sender>,
         book: &quarantine::Service,
         record: &sync::Arc<dyn slo::Record>,
     ) -> query::Service {
@@ -207,7 +207,7 @@
     fn ledger(
         &self,
         member: &member::Service,
-        post: &sync::Arc<dyn mesh::Post>,
+        post: &sync::Arc<dyn mesh::Sender>,
         book: &quarantine::Service,
         record: &sync::Arc<dyn slo::Record>,
     ) -> ledger::Service {
@@ -233,7 +233,7 @@
     fn document(
         &self,
         member: &member::Service,
-        post: &sync::Arc<dyn mesh::Post>,
+        post: &sync::Arc<dyn mesh::Sender>,
     ) -> document::Service {
         let (vm, data_centre) = (self.config.vm.clone(), self.config.data_centre.clone());
         let parts = document::Parts {
--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -11,7 +11,7 @@
 use geraniumgauge::layout;
 use geraniumgauge::member;
 use geraniumgauge::mesh;
-use geraniumgauge::mesh::Post as _;
+use geraniumgauge::mesh::Sender as _;
 use geraniumgauge::mesh::message;
 use geraniumgauge::metrics;
 use geraniumgauge::query;
--- a/crates/standin/tests/home.rs
+++ b/crates/standin/tests/home.rs
@@ -24,7 +24,7 @@
 /// Collects frames in place of a mesh.
 struct Post(tokio::sync::mpsc::UnboundedSender<message::Body>);
 
-impl mesh::Post for Post {
+impl mesh::Sender for Post {
     fn send(&self, _: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         self.0.send(body).unwrap();
         Ok(())
