--- a/crates/geraniumgauge/src/mesh/inbound.rs
+++ b/crates/geraniumgauge/src/mesh/inbound.rs
@@ -224,7 +224,7 @@
             Some(Ok(Some(message::Body::Hello(_) | message::Body::BeatReply(_)) | None)) => {}
             Some(Ok(Some(body))) => {
                 instruments::increment(&mesh.instruments.frames_received);
-                mesh.receive.receive(vm, body);
+                mesh.receiver.receive(vm, body);
             }
             Some(Err(error)) => return Err(error.to_string()),
             None => return Err("the peer closed the link without a bye".to_owned()),
--- a/crates/geraniumgauge/src/mesh/mod.rs
+++ b/crates/geraniumgauge/src/mesh/mod.rs
@@ -59,7 +59,7 @@
 
 /// Sends frames to VMs. Frames to this VM itself are delivered locally, in order
 /// and without a socket. Sending never blocks. A queued frame may still be lost, in
-/// which case [`Receive::lost`] is called for its link.
+/// which case [`Receiver::link_lost`] is called for its link.
 pub trait Sender: Send + Sync {
     /// Queues one frame.
     ///
@@ -70,12 +70,12 @@
 
 /// Receives frames from VMs. The methods are called from the links' tasks: they
 /// must return quickly and never block.
-pub trait Receive: Send + Sync {
+pub trait Receiver: Send + Sync {
     /// Handles one frame from `from`.
     fn receive(&self, from: &ids::Vm, body: message::Body);
 
     /// Handles the loss of a link from or to `vm`. Frames sent over it may or may
     /// not have arrived, and replies to earlier frames may never come. Replies that
     /// still arrive must be dropped by their attempt number.
-    fn lost(&self, vm: &ids::Vm);
+    fn link_lost(&self, vm: &ids::Vm);
 }
--- a/crates/geraniumgauge/src/mesh/service.rs
+++ b/crates/geraniumgauge/src/mesh/service.rs
@@ -84,7 +84,7 @@
 pub struct Mesh {
     pub(super) hello: message::Hello,
     pub(super) limits: Limits,
-    pub(super) receive: sync::Arc<dyn mesh::Receive>,
+    pub(super) receiver: sync::Arc<dyn mesh::Receiver>,
     pub(super) instruments: sync::Arc<instruments::Instruments>,
     pub(super) inbound: inbound::Inbound,
     pub(super) inbound_tasks: task::TaskTracker,
@@ -105,7 +105,7 @@
     pub fn start(
         config: Config,
         view: watch::Receiver<member::Shared>,
-        receive: sync::Arc<dyn mesh::Receive>,
+        receiver: sync::Arc<dyn mesh::Receiver>,
         timer: timer::Service,
         meter: &metrics::Meter,
     ) -> sync::Arc<Self> {
@@ -121,7 +121,7 @@
         let mesh = sync::Arc::new_cyclic(|weak_self| Self {
             hello,
             limits,
-            receive,
+            receiver,
             instruments: instruments::Instruments::register(meter),
             inbound: inbound::Inbound::default(),
             inbound_tasks: task::TaskTracker::new(),
@@ -199,7 +199,7 @@
     pub(super) fn link_lost(&self, vm: &ids::Vm, direction: &str, reason: &str) {
         instruments::increment(&self.instruments.lost);
         log::info!("mesh: lost the link {direction} VM {vm}: {reason}");
-        self.receive.lost(vm);
+        self.receiver.link_lost(vm);
     }
 
     fn all_links(&self) -> Vec<sync::Arc<link::Link>> {
@@ -362,7 +362,7 @@
             body = delivered.recv() => body,
         };
         let Some(body) = body else { return };
-        mesh.receive.receive(&mesh.vm, body);
+        mesh.receiver.receive(&mesh.vm, body);
     }
 }
 
--- a/crates/geraniumgauge/src/mesh/tests/service.rs
+++ b/crates/geraniumgauge/src/mesh/tests/service.rs
@@ -17,12 +17,12 @@
 
 struct Calls(mpsc::UnboundedSender<Call>);
 
-impl mesh::Receive for Calls {
+impl mesh::Receiver for Calls {
     fn receive(&self, from: &ids::Vm, body: message::Body) {
         drop(self.0.send(Call::Frame(from.clone(), body)));
     }
 
-    fn lost(&self, vm: &ids::Vm) {
+    fn link_lost(&self, vm: &ids::Vm) {
         drop(self.0.send(Call::Lost(vm.clone())));
     }
 }
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -40,7 +40,7 @@
     }
 }
 
-impl mesh::Receive for Dispatch {
+impl mesh::Receiver for Dispatch {
     fn receive(&self, from: &ids::Vm, body: message::Body) {
         let Some(targets) = self.targets.get() else {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    fn lost(&self, vm: &ids::Vm) {
+    fn link_lost(&self, vm: &ids::Vm) {
         let Some(targets) = self.targets.get() else {
             return;
         };
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -122,7 +122,7 @@
         &self,
         listener: tokio::net::TcpListener,
         member: &member::Service,
-        receive: sync::Arc<dyn mesh::Receive>,
+        receive: sync::Arc<dyn mesh::Receiver>,
     ) -> sync::Arc<mesh::Mesh> {
         let mut config = mesh::Config::new(self.config.vm.clone(), self.incarnation, listener);
         config.frame_bytes = usize::try_from(self.config.frame.0).unwrap_or(usize::MAX);
--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -96,12 +96,12 @@
 #[derive(Default)]
 struct Sink(atomic::AtomicU64);
 
-impl mesh::Receive for Sink {
+impl mesh::Receiver for Sink {
     fn receive(&self, _: &ids::Vm, _: message::Body) {
         self.0.fetch_add(1, atomic::Ordering::Relaxed);
     }
 
-    fn lost(&self, _: &ids::Vm) {}
+    fn link_lost(&self, _: &ids::Vm) {}
 }
 
 struct Peer {
@@ -148,7 +148,7 @@
     let metrics = metrics::Metrics::new().map_err(|error| other(error.to_string()))?;
     let config = mesh::Config::new(member.vm.clone(), member.incarnation, listen);
     let timer = timer::Service::new(stop.clone());
-    let receive: sync::Arc<dyn mesh::Receive> = sync::Arc::clone(&sink) as _;
+    let receive: sync::Arc<dyn mesh::Receiver> = sync::Arc::clone(&sink) as _;
     let mesh = mesh::Mesh::start(config, seen, receive, timer, &metrics.meter());
     Ok(Peer {
         mesh,
