--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -73,7 +73,7 @@
     /// What is in force on this VM; the service fills it.
     pub catalog: document::Catalog,
     /// The membership.
-    pub view: channel::watch::Receiver<member::Shared>,
+    pub view: channel::watch::Receiver<member::SharedView>,
     /// Frames to other VMs.
     pub post: sync::Arc<dyn mesh::Sender>,
     /// Rumours to and from other VMs.
@@ -207,7 +207,7 @@
     }
 }
 
-async fn drive(inner: sync::Arc<Inner>, mut view: channel::watch::Receiver<member::Shared>) {
+async fn drive(inner: sync::Arc<Inner>, mut view: channel::watch::Receiver<member::SharedView>) {
     let mut ticks = inner.timer.every(TICK, TICK.mul_f64(rand::random()));
     let mut rumours = inner.gossip.rumours();
     let mut views = true;
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -49,7 +49,7 @@
     store: store::Fake,
     hub: sync::Arc<Hub>,
     talk: sync::Arc<Talk>,
-    view: channel::watch::Sender<member::Shared>,
+    view: channel::watch::Sender<member::SharedView>,
     catalogs: Vec<document::Catalog>,
     clock: clock::Clock,
     timer: timer::Service,
@@ -65,7 +65,7 @@
     "desk".parse().unwrap()
 }
 
-fn view(count: usize) -> member::Shared {
+fn view(count: usize) -> member::SharedView {
     let member = |index| member::Member {
         vm: vm(index),
         incarnation: ids::Incarnation(1),
--- a/crates/geraniumgauge/src/home/placement.rs
+++ b/crates/geraniumgauge/src/home/placement.rs
@@ -118,7 +118,7 @@
 #[derive(Debug, Default)]
 struct Known {
     /// Kept alive, so that its address names this view only.
-    view: Option<member::Shared>,
+    view: Option<member::SharedView>,
     homes: collections::HashMap<Place, Homes>,
     roles: collections::HashMap<Place, Option<Role>>,
 }
@@ -133,7 +133,7 @@
 
 impl Known {
     /// Forgets what it knows of another view.
-    fn follow(&mut self, view: &member::Shared) {
+    fn follow(&mut self, view: &member::SharedView) {
         let seen = self.view.as_ref();
         if seen.is_some_and(|seen| sync::Arc::ptr_eq(seen, view)) {
             return;
@@ -158,7 +158,7 @@
     /// As [`Homes::of`].
     pub fn of(
         &self,
-        view: &member::Shared,
+        view: &member::SharedView,
         upstream: &layout::Upstream,
         service: &ids::Service,
     ) -> Homes {
@@ -178,7 +178,7 @@
     /// As [`role`], for one and the same `vm`.
     pub fn role(
         &self,
-        view: &member::Shared,
+        view: &member::SharedView,
         upstream: &layout::Upstream,
         service: &ids::Service,
         vm: &ids::Vm,
@@ -191,7 +191,7 @@
         *known.or_insert_with(|| role(view, upstream, service, vm))
     }
 
-    fn known(&self, view: &member::Shared) -> sync::MutexGuard<'_, Known> {
+    fn known(&self, view: &member::SharedView) -> sync::MutexGuard<'_, Known> {
         let known = self.known.lock();
         let mut known = known.unwrap_or_else(sync::PoisonError::into_inner);
         known.follow(view);
--- a/crates/geraniumgauge/src/home/service.rs
+++ b/crates/geraniumgauge/src/home/service.rs
@@ -49,7 +49,7 @@
 struct Inner {
     config: Config,
     catalog: document::Catalog,
-    view: watch::Receiver<member::Shared>,
+    view: watch::Receiver<member::SharedView>,
     placement: placement::Cache,
     means: sync::Arc<worker::Means>,
     workers: sync::RwLock<Workers>,
@@ -63,7 +63,7 @@
     pub fn start(
         config: Config,
         catalog: document::Catalog,
-        view: watch::Receiver<member::Shared>,
+        view: watch::Receiver<member::SharedView>,
         post: sync::Arc<dyn mesh::Sender>,
         clock: Clock,
         timer: timer::Service,
--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -57,7 +57,7 @@
 pub(super) struct Inner {
     pub(super) config: Config,
     pub(super) catalog: document::Catalog,
-    pub(super) view: watch::Receiver<member::Shared>,
+    pub(super) view: watch::Receiver<member::SharedView>,
     pub(super) post: sync::Arc<dyn mesh::Sender>,
     store: sync::Arc<dyn store::Api>,
     pub(super) book: sync::Arc<dyn book::Book>,
@@ -98,7 +98,7 @@
     pub fn start(
         config: Config,
         catalog: document::Catalog,
-        view: watch::Receiver<member::Shared>,
+        view: watch::Receiver<member::SharedView>,
         post: sync::Arc<dyn mesh::Sender>,
         store: sync::Arc<dyn store::Api>,
         book: sync::Arc<dyn book::Book>,
--- a/crates/geraniumgauge/src/ledger/tests/world.rs
+++ b/crates/geraniumgauge/src/ledger/tests/world.rs
@@ -201,7 +201,7 @@
     }
 
     /// Each VM's own view: now and then one that lacks another VM.
-    fn view(&self, local: &ids::Vm, alone: bool) -> watch::Receiver<member::Shared> {
+    fn view(&self, local: &ids::Vm, alone: bool) -> watch::Receiver<member::SharedView> {
         let member = |number: usize| member::Member {
             vm: vm(number),
             incarnation: ids::Incarnation(1),
--- a/crates/geraniumgauge/src/member/mod.rs
+++ b/crates/geraniumgauge/src/member/mod.rs
@@ -14,7 +14,7 @@
 pub use service::Config;
 pub use service::Service;
 pub use view::Member;
-pub use view::Shared;
+pub use view::SharedView;
 pub use view::State;
 pub use view::View;
 
--- a/crates/geraniumgauge/src/member/service.rs
+++ b/crates/geraniumgauge/src/member/service.rs
@@ -83,7 +83,7 @@
 /// Handle of the membership service; clones share it.
 #[derive(Debug, Clone)]
 pub struct Service {
-    view: watch::Receiver<member::Shared>,
+    view: watch::Receiver<member::SharedView>,
     updates: broadcast::Sender<member::Update>,
     newest: Updates,
     commands: mpsc::UnboundedSender<Command>,
@@ -145,7 +145,7 @@
     }
 
     /// Returns a receiver of the current view and its changes.
-    pub fn view(&self) -> watch::Receiver<member::Shared> {
+    pub fn view(&self) -> watch::Receiver<member::SharedView> {
         self.view.clone()
     }
 
@@ -183,7 +183,7 @@
     state: state::State,
     clock: time::Clock,
     socket: udp::UdpFramed<wire::Codec>,
-    view: watch::Sender<member::Shared>,
+    view: watch::Sender<member::SharedView>,
     updates: broadcast::Sender<member::Update>,
     newest: Updates,
     stats: instruments::Shared,
--- a/crates/geraniumgauge/src/member/state/mod.rs
+++ b/crates/geraniumgauge/src/member/state/mod.rs
@@ -66,7 +66,7 @@
         datagram: wire::Datagram,
     },
     /// The view has changed.
-    View(member::Shared),
+    View(member::SharedView),
     /// An update that is new to this VM.
     Received(member::Update),
     /// Enough members have confirmed that this VM is leaving, or the time for it is up.
--- a/crates/geraniumgauge/src/member/view.rs
+++ b/crates/geraniumgauge/src/member/view.rs
@@ -45,7 +45,7 @@
 }
 
 /// A view shared between tasks.
-pub type Shared = sync::Arc<View>;
+pub type SharedView = sync::Arc<View>;
 
 impl View {
     /// Creates a view of `members` and sorts them by name.
--- a/crates/geraniumgauge/src/mesh/service.rs
+++ b/crates/geraniumgauge/src/mesh/service.rs
@@ -89,7 +89,7 @@
     pub(super) inbound: inbound::Inbound,
     pub(super) inbound_tasks: task::TaskTracker,
     vm: ids::Vm,
-    view: watch::Receiver<member::Shared>,
+    view: watch::Receiver<member::SharedView>,
     links: sync::RwLock<collections::HashMap<ids::Vm, sync::Arc<link::Link>>>,
     local: mpsc::Sender<message::Body>,
     link_tasks: task::TaskTracker,
@@ -104,7 +104,7 @@
     /// Starts the mesh and accepts links. Must be called within a tokio runtime.
     pub fn start(
         config: Config,
-        view: watch::Receiver<member::Shared>,
+        view: watch::Receiver<member::SharedView>,
         receiver: sync::Arc<dyn mesh::Receiver>,
         timer: timer::Service,
         meter: &metrics::Meter,
--- a/crates/geraniumgauge/src/mesh/tests/service.rs
+++ b/crates/geraniumgauge/src/mesh/tests/service.rs
@@ -43,7 +43,7 @@
     vm: ids::Vm,
     address: net::SocketAddr,
     mesh: sync::Arc<Mesh>,
-    view: watch::Sender<member::Shared>,
+    view: watch::Sender<member::SharedView>,
     calls: mpsc::UnboundedReceiver<Call>,
 }
 
--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/direct.rs
@@ -22,7 +22,7 @@
     /// The links.
     pub post: sync::Arc<dyn mesh::Sender>,
     /// The members.
-    pub view: watch::Receiver<member::Shared>,
+    pub view: watch::Receiver<member::SharedView>,
 }
 
 impl Direct {
--- a/crates/geraniumgauge/src/query/desk.rs
+++ b/crates/geraniumgauge/src/query/desk.rs
@@ -28,13 +28,13 @@
 struct Ready {
     generation: ids::Generation,
     layout: layout::Shared,
-    view: member::Shared,
+    view: member::SharedView,
     plan: sync::Arc<plan::Plan>,
 }
 
 struct Source<'a> {
     desk: &'a Desk,
-    view: &'a member::Shared,
+    view: &'a member::SharedView,
     homes: &'a placement::Cache,
     links: &'a links::Links,
 }
@@ -53,7 +53,7 @@
     pub(super) fn plan(
         &self,
         in_force: &document::InForce,
-        view: &member::Shared,
+        view: &member::SharedView,
         homes: &placement::Cache,
         links: &links::Links,
     ) -> sync::Arc<plan::Plan> {
@@ -85,7 +85,7 @@
 }
 
 impl Ready {
-    fn fits(&self, in_force: &document::InForce, view: &member::Shared) -> bool {
+    fn fits(&self, in_force: &document::InForce, view: &member::SharedView) -> bool {
         self.generation == in_force.generation
             && sync::Arc::ptr_eq(&self.layout, &in_force.layout)
             && sync::Arc::ptr_eq(&self.view, view)
--- a/crates/geraniumgauge/src/query/service.rs
+++ b/crates/geraniumgauge/src/query/service.rs
@@ -69,7 +69,7 @@
     pub(super) route: route::Route,
     pub(super) figures: figures::Figures,
     pub(super) catalog: document::Catalog,
-    pub(super) view: watch::Receiver<member::Shared>,
+    pub(super) view: watch::Receiver<member::SharedView>,
     pub(super) desks: sync::RwLock<collections::HashMap<ids::Service, sync::Arc<desk::Desk>>>,
     pub(super) homes: placement::Cache,
     pub(super) links: links::Links,
@@ -86,7 +86,7 @@
     pub fn start(
         config: Config,
         catalog: document::Catalog,
-        view: watch::Receiver<member::Shared>,
+        view: watch::Receiver<member::SharedView>,
         post: sync::Arc<dyn mesh::Sender>,
         book: quarantine::Service,
         slo: sync::Arc<dyn slo::Record>,
--- a/crates/geraniumgauge/src/query/tests/service.rs
+++ b/crates/geraniumgauge/src/query/tests/service.rs
@@ -90,7 +90,7 @@
     service: query::Service,
     book: quarantine::Service,
     events: sync::Arc<Events>,
-    _view: watch::Sender<member::Shared>,
+    _view: watch::Sender<member::SharedView>,
 }
 
 fn layout() -> layout::Layout {
--- a/crates/geraniumgauge/src/store/client.rs
+++ b/crates/geraniumgauge/src/store/client.rs
@@ -76,7 +76,7 @@
     }
 
     /// Shares the store's rates among the members of `view`, until it ends.
-    pub async fn follow(self, mut view: watch::Receiver<member::Shared>) {
+    pub async fn follow(self, mut view: watch::Receiver<member::SharedView>) {
         let mut known = FLEET;
         loop {
             let vms = view.borrow_and_update().members.len();
--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -109,7 +109,7 @@
     sink: sync::Arc<Sink>,
     metrics: metrics::Metrics,
     member: member::Member,
-    view: watch::Sender<member::Shared>,
+    view: watch::Sender<member::SharedView>,
     stop: CancellationToken,
 }
 
--- a/crates/standin/tests/home.rs
+++ b/crates/standin/tests/home.rs
@@ -37,7 +37,7 @@
     frames: tokio::sync::mpsc::UnboundedReceiver<message::Body>,
     replies: std::collections::HashMap<u64, message::Outcome>,
     vm: ids::Vm,
-    _view: tokio::sync::watch::Sender<member::Shared>,
+    _view: tokio::sync::watch::Sender<member::SharedView>,
     _stop: tokio_util::sync::DropGuard,
 }
 
