--- a/crates/geraniumgauge/src/document/roles.rs
+++ b/crates/geraniumgauge/src/document/roles.rs
@@ -28,7 +28,7 @@
 impl Roles {
     /// The roles in `view`, as a VM of `data_centre` sees it.
     pub(super) fn of(view: &member::View, data_centre: &ids::DataCentre) -> Self {
-        let peers = || view.holders().filter(|member| member.vm != view.local);
+        let peers = || view.assignable().filter(|member| member.vm != view.local);
         let near = peers().filter(|member| member.data_centre == *data_centre);
         let peers: Vec<_> = peers().map(|member| member.vm.clone()).collect();
         let watchers = watchers(view);
@@ -64,7 +64,7 @@
 
 fn watchers(view: &member::View) -> Vec<ids::Vm> {
     let mut places = collections::BTreeMap::<_, Vec<&ids::Vm>>::new();
-    for member in view.holders() {
+    for member in view.assignable() {
         places
             .entry(&member.data_centre)
             .or_default()
--- a/crates/geraniumgauge/src/home/placement.rs
+++ b/crates/geraniumgauge/src/home/placement.rs
@@ -50,12 +50,12 @@
     service: &ids::Service,
     vm: &ids::Vm,
 ) -> Option<Role> {
-    let own = view.holders().find(|member| member.vm == *vm)?;
+    let own = view.assignable().find(|member| member.vm == *vm)?;
     let duty = duty(upstream, service);
     let rank = |member: &member::Member| rank(member, &upstream.data_centre, &duty);
     let own = (rank(own), vm);
     let ahead = view
-        .holders()
+        .assignable()
         .filter(|member| (rank(member), &member.vm) > own);
     match ahead.take(3).count() {
         0 => Some(Role::Primary),
@@ -81,7 +81,7 @@
     fn of_group(view: &member::View, data_centre: &ids::DataCentre, duty: &str) -> Self {
         let mut first = None;
         let mut second = None;
-        for member in view.holders() {
+        for member in view.assignable() {
             let ranked = Some((rank(member, data_centre, duty), &member.vm));
             if ranked > first {
                 second = first;
--- a/crates/geraniumgauge/src/ledger/plan.rs
+++ b/crates/geraniumgauge/src/ledger/plan.rs
@@ -92,7 +92,7 @@
 /// The VM that claims for the keys of a bucket.
 pub(super) fn claimant(service: &ids::Service, slot: u64, view: &crate::member::View) -> ids::Vm {
     let duty = format!("ledger/{service}/{slot}");
-    let vms = view.holders().map(|member| &member.vm);
+    let vms = view.assignable().map(|member| &member.vm);
     let picked = rendezvous::pick(&duty, vms, 1);
     picked.first().map_or(&view.local, |vm| *vm).clone()
 }
--- a/crates/geraniumgauge/src/member/view.rs
+++ b/crates/geraniumgauge/src/member/view.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the members that take work: alive or suspect, not leaving.
-    pub fn holders(&self) -> impl Iterator<Item = &Member> {
+    pub fn assignable(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
             .filter(|member| member.state != State::Leaving)
