--- a/crates/geraniumgauge/src/mesh/inbound.rs
+++ b/crates/geraniumgauge/src/mesh/inbound.rs
@@ -215,13 +215,13 @@
 ) -> Result<(), String> {
     loop {
         match reader.next().await {
-            Some(Ok(Some(message::Body::Beat(number)))) => {
-                let reply = message::Body::BeatReply(number);
+            Some(Ok(Some(message::Body::Heartbeat(number)))) => {
+                let reply = message::Body::HeartbeatReply(number);
                 let sent = writer.send(&reply).await;
                 sent.map_err(|error| error.to_string())?;
             }
             Some(Ok(Some(message::Body::Bye(_)))) => return Ok(()),
-            Some(Ok(Some(message::Body::Hello(_) | message::Body::BeatReply(_)) | None)) => {}
+            Some(Ok(Some(message::Body::Hello(_) | message::Body::HeartbeatReply(_)) | None)) => {}
             Some(Ok(Some(body))) => {
                 instruments::increment(&mesh.instruments.frames_received);
                 mesh.receiver.receive(vm, body);
--- a/crates/geraniumgauge/src/mesh/link.rs
+++ b/crates/geraniumgauge/src/mesh/link.rs
@@ -105,7 +105,7 @@
     /// Queues a heartbeat. If the queue is full, the heartbeat is dropped and so goes
     /// unanswered; a link whose queue stays full that long counts as silent too.
     fn send_heartbeat(&self, number: u64) {
-        let body = message::Body::Beat(number);
+        let body = message::Body::Heartbeat(number);
         drop(self.outbox.push(&body, body.encoded_len()));
     }
 
@@ -212,7 +212,7 @@
     ) -> String {
         loop {
             match reader.next().await {
-                Some(Ok(Some(message::Body::BeatReply(number)))) => {
+                Some(Ok(Some(message::Body::HeartbeatReply(number)))) => {
                     outbox::lock(&self.heartbeat).handle(heartbeat::Event::Answered(number));
                 }
                 Some(Ok(_)) => {}
--- a/crates/geraniumgauge/src/mesh/message/mod.rs
+++ b/crates/geraniumgauge/src/mesh/message/mod.rs
@@ -41,12 +41,12 @@
     /// First frame on a link, in each direction.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// Heartbeat: asks for a [`Body::BeatReply`] on a link that has carried frames.
+    /// Heartbeat: asks for a [`Body::HeartbeatReply`] on a link that has carried frames.
     #[prost(uint64, tag = "2")]
-    Beat(u64),
-    /// Echoes the number of a [`Body::Beat`].
+    Heartbeat(u64),
+    /// Echoes the number of a [`Body::Heartbeat`].
     #[prost(uint64, tag = "3")]
-    BeatReply(u64),
+    HeartbeatReply(u64),
     /// Coordinator to home: shard calls of one query.
     #[prost(message, tag = "4")]
     Batch(Batch),
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -61,8 +61,8 @@
             }
             message::Body::Bye(_)
             | message::Body::Hello(_)
-            | message::Body::Beat(_)
-            | message::Body::BeatReply(_) => {}
+            | message::Body::Heartbeat(_)
+            | message::Body::HeartbeatReply(_) => {}
         }
     }
 
