--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -227,7 +227,7 @@
             entries: Vec::new(),
             digest: self.digest,
             have,
-            tell: keeper && !known,
+            report_requested: keeper && !known,
             settled: self.join.ready(),
         };
         self.send(from, message::Body::Pulled(reply));
@@ -264,7 +264,7 @@
         self.push(from, &pulled.have, now);
         self.join.answered(from, pulled.settled);
         let keeper = self.roles.keeper() == Some(from);
-        match (keeper, pulled.tell) {
+        match (keeper, pulled.report_requested) {
             (true, true) => self.report.renew(now),
             (true, false) => self.report.fits(now),
             (false, _) => {}
--- a/crates/geraniumgauge/src/mesh/message/document.rs
+++ b/crates/geraniumgauge/src/mesh/message/document.rs
@@ -53,7 +53,7 @@
     pub have: Vec<Have>,
     /// Set if the sender is the keeper and requests a full report.
     #[prost(bool, tag = "4")]
-    pub tell: bool,
+    pub report_requested: bool,
     /// Set if the sender is ready, so that a joining VM may rely on this answer.
     #[prost(bool, tag = "5")]
     pub settled: bool,
