--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -228,7 +228,7 @@
             digest: self.digest,
             have,
             report_requested: keeper && !known,
-            settled: self.join.ready(),
+            ready: self.join.ready(),
         };
         self.send(from, message::Body::Pulled(reply));
     }
@@ -262,7 +262,7 @@
         }
         self.compared(from, &pulled.have, now);
         self.push(from, &pulled.have, now);
-        self.join.answered(from, pulled.settled);
+        self.join.answered(from, pulled.ready);
         let keeper = self.roles.keeper() == Some(from);
         match (keeper, pulled.report_requested) {
             (true, true) => self.report.renew(now),
--- a/crates/geraniumgauge/src/mesh/message/document.rs
+++ b/crates/geraniumgauge/src/mesh/message/document.rs
@@ -56,7 +56,7 @@
     pub report_requested: bool,
     /// Set if the sender is ready, so that a joining VM may rely on this answer.
     #[prost(bool, tag = "5")]
-    pub settled: bool,
+    pub ready: bool,
 }
 
 /// The accepted document and the layout of a service.
