--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -38,10 +38,10 @@
 /// Passes rumours on; the membership service does.
 pub trait Gossip: Send + Sync {
     /// Starts a rumour at this VM.
-    fn publish(&self, rumour: member::Rumour);
+    fn publish(&self, rumour: member::Update);
 
     /// Rumours that this VM hears for the first time.
-    fn rumours(&self) -> channel::broadcast::Receiver<member::Rumour>;
+    fn rumours(&self) -> channel::broadcast::Receiver<member::Update>;
 }
 
 /// One VM's document service; clones share it. It ends with its timer service.
@@ -61,7 +61,7 @@
     pub(super) reads: load::Reads,
     /// Services whose record the store lacks or holds in an older state.
     pub(super) looks: channel::mpsc::Sender<ids::Service>,
-    post: sync::Arc<dyn mesh::Post>,
+    post: sync::Arc<dyn mesh::Sender>,
     gossip: sync::Arc<dyn Gossip>,
     spread: sync::Mutex<spread::Spread>,
     ready: channel::watch::Sender<bool>,
@@ -73,9 +73,9 @@
     /// What is in force on this VM; the service fills it.
     pub catalog: document::Catalog,
     /// The membership.
-    pub view: channel::watch::Receiver<member::Shared>,
+    pub view: channel::watch::Receiver<member::SharedView>,
     /// Frames to other VMs.
-    pub post: sync::Arc<dyn mesh::Post>,
+    pub post: sync::Arc<dyn mesh::Sender>,
     /// Rumours to and from other VMs.
     pub gossip: sync::Arc<dyn Gossip>,
     /// The platform's object API.
@@ -207,7 +207,7 @@
     }
 }
 
-async fn drive(inner: sync::Arc<Inner>, mut view: channel::watch::Receiver<member::Shared>) {
+async fn drive(inner: sync::Arc<Inner>, mut view: channel::watch::Receiver<member::SharedView>) {
     let mut ticks = inner.timer.every(TICK, TICK.mul_f64(rand::random()));
     let mut rumours = inner.gossip.rumours();
     let mut views = true;
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -14,7 +14,7 @@
     local: ids::Vm,
 }
 
-impl mesh::Post for Link {
+impl mesh::Sender for Link {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         let service = self.hub.services.lock().unwrap().get(to).cloned();
         let Some(service) = service else {
@@ -32,14 +32,14 @@
     }
 }
 
-struct Talk(channel::broadcast::Sender<member::Rumour>);
+struct Talk(channel::broadcast::Sender<member::Update>);
 
 impl Gossip for Talk {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         let _ = self.0.send(rumour);
     }
 
-    fn rumours(&self) -> channel::broadcast::Receiver<member::Rumour> {
+    fn rumours(&self) -> channel::broadcast::Receiver<member::Update> {
         self.0.subscribe()
     }
 }
@@ -49,7 +49,7 @@
     store: store::Fake,
     hub: sync::Arc<Hub>,
     talk: sync::Arc<Talk>,
-    view: channel::watch::Sender<member::Shared>,
+    view: channel::watch::Sender<member::SharedView>,
     catalogs: Vec<document::Catalog>,
     clock: clock::Clock,
     timer: timer::Service,
@@ -65,7 +65,7 @@
     "desk".parse().unwrap()
 }
 
-fn view(count: usize) -> member::Shared {
+fn view(count: usize) -> member::SharedView {
     let member = |index| member::Member {
         vm: vm(index),
         incarnation: ids::Incarnation(1),
--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -57,8 +57,8 @@
 pub(super) struct Inner {
     pub(super) config: Config,
     pub(super) catalog: document::Catalog,
-    pub(super) view: watch::Receiver<member::Shared>,
-    pub(super) post: sync::Arc<dyn mesh::Post>,
+    pub(super) view: watch::Receiver<member::SharedView>,
+    pub(super) post: sync::Arc<dyn mesh::Sender>,
     store: sync::Arc<dyn store::Api>,
     pub(super) book: sync::Arc<dyn book::Book>,
     pub(super) slo: sync::Arc<dyn slo::Record>,
@@ -98,8 +98,8 @@
     pub fn start(
         config: Config,
         catalog: document::Catalog,
-        view: watch::Receiver<member::Shared>,
-        post: sync::Arc<dyn mesh::Post>,
+        view: watch::Receiver<member::SharedView>,
+        post: sync::Arc<dyn mesh::Sender>,
         store: sync::Arc<dyn store::Api>,
         book: sync::Arc<dyn book::Book>,
         slo: sync::Arc<dyn slo::Record>,
--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/direct.rs
@@ -20,9 +20,9 @@
     /// The members' gossip.
     pub gossip: sync::Arc<dyn quarantine::Spread>,
     /// The links.
-    pub post: sync::Arc<dyn mesh::Post>,
+    pub post: sync::Arc<dyn mesh::Sender>,
     /// The members.
-    pub view: watch::Receiver<member::Shared>,
+    pub view: watch::Receiver<member::SharedView>,
 }
 
 impl Direct {
@@ -55,7 +55,7 @@
 }
 
 impl quarantine::Spread for Direct {
-    fn publish(&self, rumour: member::Rumour) {
+    fn publish(&self, rumour: member::Update) {
         let view = self.view.borrow().clone();
         let stride = view.members.len().div_ceil(FANOUT).max(1);
         let mark = message::Mark {
--- a/crates/geraniumgauge/src/query/service.rs
+++ b/crates/geraniumgauge/src/query/service.rs
@@ -62,14 +62,14 @@
 
 pub(super) struct Inner {
     pub(super) config: Config,
-    pub(super) post: sync::Arc<dyn mesh::Post>,
+    pub(super) post: sync::Arc<dyn mesh::Sender>,
     pub(super) book: quarantine::Service,
     pub(super) slo: sync::Arc<dyn slo::Record>,
     pub(super) clock: clock::Clock,
     pub(super) route: route::Route,
     pub(super) figures: figures::Figures,
     pub(super) catalog: document::Catalog,
-    pub(super) view: watch::Receiver<member::Shared>,
+    pub(super) view: watch::Receiver<member::SharedView>,
     pub(super) desks: sync::RwLock<collections::HashMap<ids::Service, sync::Arc<desk::Desk>>>,
     pub(super) homes: placement::Cache,
     pub(super) links: links::Links,
@@ -86,8 +86,8 @@
     pub fn start(
         config: Config,
         catalog: document::Catalog,
-        view: watch::Receiver<member::Shared>,
-        post: sync::Arc<dyn mesh::Post>,
+        view: watch::Receiver<member::SharedView>,
+        post: sync::Arc<dyn mesh::Sender>,
         book: quarantine::Service,
         slo: sync::Arc<dyn slo::Record>,
         clock: clock::Clock,
--- a/crates/geraniumgauge/src/query/tests/service.rs
+++ b/crates/geraniumgauge/src/query/tests/service.rs
@@ -30,7 +30,7 @@
     cancelled: sync::Mutex<collections::BTreeSet<u64>>,
 }
 
-impl mesh::Post for Homes {
+impl mesh::Sender for Homes {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         match body {
             message::Body::Batch(batch) => self.batch(to, batch),
@@ -82,7 +82,7 @@
 struct Silent;
 
 impl quarantine::Spread for Silent {
-    fn publish(&self, _: member::Rumour) {}
+    fn publish(&self, _: member::Update) {}
 }
 
 struct Site {
@@ -90,7 +90,7 @@
     service: query::Service,
     book: quarantine::Service,
     events: sync::Arc<Events>,
-    _view: watch::Sender<member::Shared>,
+    _view: watch::Sender<member::SharedView>,
 }
 
 fn layout() -> layout::Layout {
--- a/crates/standin/tests/home.rs
+++ b/crates/standin/tests/home.rs
@@ -24,7 +24,7 @@
 /// Collects frames in place of a mesh.
 struct Post(tokio::sync::mpsc::UnboundedSender<message::Body>);
 
-impl mesh::Post for Post {
+impl mesh::Sender for Post {
     fn send(&self, _: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         self.0.send(body).unwrap();
         Ok(())
@@ -37,7 +37,7 @@
     frames: tokio::sync::mpsc::UnboundedReceiver<message::Body>,
     replies: std::collections::HashMap<u64, message::Outcome>,
     vm: ids::Vm,
-    _view: tokio::sync::watch::Sender<member::Shared>,
+    _view: tokio::sync::watch::Sender<member::SharedView>,
     _stop: tokio_util::sync::DropGuard,
 }
 
