--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -13,7 +13,7 @@
 
 /// Largest size of changes in a datagram, in bytes. The rest is left for the other
 /// fields of the update.
-const CHANGES: usize = 1000;
+const MAX_CHANGES_BYTES: usize = 1000;
 
 /// Content of the store that this VM holds.
 #[derive(Debug, Default)]
@@ -21,12 +21,12 @@
     registrations: follow::Held,
     config: Option<(ids::Revision, String)>,
     /// Set if the registrations are equal to what a poll showed.
-    sure: bool,
+    verified: bool,
 }
 
 impl Content {
-    fn holds(&self) -> spread::Holds {
-        spread::Holds {
+    fn position(&self) -> spread::Position {
+        spread::Position {
             revision: self.registrations.at(),
             digest: self.registrations.digest(),
             config: self.config.as_ref().map(|(revision, _)| *revision),
@@ -43,44 +43,48 @@
     /// Returns the answer to another VM's request, and the reservation of its link.
     /// If the link has no capacity, the answer only contains what is small.
     pub fn answer(&self, fetch: &spread::Fetch) -> (spread::Answer, Option<spread::Slot>) {
-        let mut answer = self.handle(|state, now| state.asked(fetch, now));
-        if fetch.brief {
+        let mut answer = self.handle(|state, now| state.answer(fetch, now));
+        if fetch.members_only {
             return (answer, None);
         }
         let content = self.0.content.borrow();
         let config = content.config.as_ref();
-        let config = config.filter(|(revision, _)| Some(*revision) > fetch.holds.config);
+        let config = config.filter(|(revision, _)| Some(*revision) > fetch.position.config);
         let held = &content.registrations;
-        let differs = held.digest() != fetch.holds.digest || fetch.whole;
+        let differs = held.digest() != fetch.position.digest || fetch.full;
         let registrations = differs && held.at().is_some();
-        let registrations = registrations.then(|| self.told(held, fetch));
+        let registrations = registrations.then(|| self.registrations_for(held, fetch));
         let size = config.map_or(0, |(_, text)| text.len())
             + registrations.as_ref().map_or(0, spread::wire::size_of);
-        match self.slot(fetch, rate::Bytes(size as u64)) {
+        match self.reserve(fetch, rate::Bytes(size as u64)) {
             Ok(slot) => {
                 answer.config = config.map(|(_, text)| text.clone());
                 answer.registrations = registrations;
                 (answer, slot)
             }
-            Err(elsewhere) => {
+            Err(redirect) => {
                 log::info!(
-                    asker:% = fetch.member.vm, bytes = size, named = elsewhere.vms.len(),
-                    after_ms = clock::millis(elsewhere.after);
-                    "link is full of answers; VM sent elsewhere"
+                    asker:% = fetch.member.vm, bytes = size, named = redirect.vms.len(),
+                    after_ms = clock::millis(redirect.retry_after);
+                    "no capacity on the link for an answer; redirected the VM"
                 );
-                answer.elsewhere = Some(elsewhere);
+                answer.redirect = Some(redirect);
                 (answer, None)
             }
         }
     }
 
-    fn told(&self, held: &follow::Held, fetch: &spread::Fetch) -> spread::Registrations {
+    fn registrations_for(
+        &self,
+        held: &follow::Held,
+        fetch: &spread::Fetch,
+    ) -> spread::Registrations {
         let item = |(name, revision): (String, ids::Revision)| follow::Item {
-            value: self.0.hear.registration(&name),
+            value: self.0.listener.registration(&name),
             name,
             revision,
         };
-        let known = fetch.holds.revision.filter(|_| !fetch.whole);
+        let known = fetch.position.revision.filter(|_| !fetch.full);
         match known.and_then(|revision| held.since(revision)) {
             Some(since) => {
                 let gone = since.gone.into_iter().map(follow::Change::Gone);
@@ -92,106 +96,109 @@
     }
 
     /// Applies the answer of another VM, which took `took`.
-    pub(super) fn take_answer(
+    pub(super) fn apply_answer(
         &self,
         from: net::SocketAddr,
         answer: &mut spread::Answer,
         took: time::Duration,
     ) {
         let now = self.clock().now();
-        if !self.0.state.borrow_mut().trusts(answer, took, now) {
+        if !self.0.state.borrow_mut().accepts(answer, took, now) {
             answer.config = None;
             answer.registrations = None;
             return;
         }
         let source = format!("VM at {from}");
-        let (holds, sure) = (answer.summary.holds, answer.summary.sure);
-        if let (Some(text), Some(revision)) = (answer.config.take(), holds.config) {
-            self.take_config(revision, text, &source);
+        let (position, verified) = (answer.summary.position, answer.summary.verified);
+        if let (Some(text), Some(revision)) = (answer.config.take(), position.config) {
+            self.apply_config(revision, text, &source);
         }
-        let Some(revision) = holds.revision else {
+        let Some(revision) = position.revision else {
             return;
         };
         // An empty value stays in the answer, which shows that it contained
         // registrations.
         let empty = follow::News::Changes(Vec::new());
-        let told = answer.registrations.as_mut();
-        match told.map(|told| std::mem::replace(told, empty)) {
+        let received = answer.registrations.as_mut();
+        match received.map(|received| std::mem::replace(received, empty)) {
             Some(follow::News::All(items)) => {
                 let snapshot = follow::Snapshot { items, revision };
-                self.take_list(snapshot, sure, &source);
+                self.apply_list(snapshot, verified, &source);
             }
             Some(follow::News::Changes(changes)) => {
-                self.change(changes, revision, self.lag());
+                self.apply_changes(changes, revision, self.lag());
             }
             None => {}
         }
-        self.agree(&holds, sure);
+        self.adopt_revision(&position, verified);
     }
 
     /// Applies the changes in an update if they apply to the registrations that are
     /// held.
-    pub(super) fn take_changes(&self, update: &spread::Update) {
+    pub(super) fn apply_update(&self, update: &spread::Update) {
         let summary = &update.summary;
-        let held = self.0.content.borrow().holds();
-        if let (Some(told), Some(revision)) = (&update.changes, summary.holds.revision)
+        let held = self.0.content.borrow().position();
+        if let (Some(received), Some(revision)) = (&update.changes, summary.position.revision)
             && held.revision.is_some()
-            && held.digest == told.before
-            && held.digest != summary.holds.digest
+            && held.digest == received.before
+            && held.digest != summary.position.digest
         {
-            self.change(told.changes.clone(), revision, time::Duration::ZERO);
+            self.apply_changes(received.changes.clone(), revision, time::Duration::ZERO);
         }
-        self.agree(&summary.holds, summary.sure);
+        self.adopt_revision(&summary.position, summary.verified);
     }
 
     /// Takes over another VM's revision if it holds the same registrations, and
     /// their verification by a poll.
-    fn agree(&self, theirs: &spread::Holds, sure: bool) {
+    fn adopt_revision(&self, theirs: &spread::Position, verified: bool) {
         let mut content = self.0.content.borrow_mut();
-        let own = content.holds();
+        let own = content.position();
         if own.revision.is_some() && own.digest == theirs.digest {
-            content.sure |= sure;
+            content.verified |= verified;
             if let Some(revision) = theirs.revision {
                 content.registrations.advance(revision);
             }
         }
         drop(content);
-        self.hold();
+        self.publish_position();
     }
 
-    fn hold(&self) {
+    fn publish_position(&self) {
         let content = self.0.content.borrow();
-        let (holds, sure) = (content.holds(), content.sure);
+        let (position, verified) = (content.position(), content.verified);
         let now = self.clock().now();
-        self.0.state.borrow_mut().hold(holds, sure, now);
+        self.0
+            .state
+            .borrow_mut()
+            .set_position(position, verified, now);
     }
 
     /// Applies a configuration if it is newer than the one that is held.
-    pub(super) fn take_config(&self, revision: ids::Revision, text: String, source: &str) {
-        let known = self.0.content.borrow().holds().config;
+    pub(super) fn apply_config(&self, revision: ids::Revision, text: String, source: &str) {
+        let known = self.0.content.borrow().position().config;
         if known.is_some_and(|known| known >= revision) {
             return;
         }
         log::info!(revision:% = revision, before:? = known, source = source; "configuration read");
-        self.0.hear.config(&text);
+        self.0.listener.config(&text);
         self.0.content.borrow_mut().config = Some((revision, text));
-        self.hold();
+        self.publish_position();
     }
 
     /// Applies a full list unless it is older than what is held.
-    pub(super) fn take_list(
+    pub(super) fn apply_list(
         &self,
         snapshot: follow::Snapshot<registry::Entry>,
-        sure: bool,
+        verified: bool,
         source: &str,
     ) {
         let lag = self.lag();
         let mut content = self.0.content.borrow_mut();
-        let before = content.holds();
+        let before = content.position();
         if !content.registrations.list(&snapshot) {
             return;
         }
-        content.sure = sure;
+        content.verified = verified;
         let digest = content.registrations.digest();
         drop(content);
         if before.revision.is_none() || before.digest != digest {
@@ -200,11 +207,11 @@
                 objects = snapshot.items.len(), source = source;
                 "registrations listed"
             );
-            let news = follow::News::All(snapshot.items);
-            self.0.hear.registrations(news, lag);
-            self.0.missed.notify_waiters();
+            let delta = follow::News::All(snapshot.items);
+            self.0.listener.registrations(delta, lag);
+            self.0.watch_missed.notify_waiters();
         }
-        self.hold();
+        self.publish_position();
     }
 
     /// Handles a poll that found nothing new since an earlier one at `revision`.
@@ -212,11 +219,11 @@
     /// poll.
     pub(super) fn confirm(&self, revision: ids::Revision, digest: follow::Digest) -> bool {
         let mut content = self.0.content.borrow_mut();
-        let holds = content.holds();
-        let same = holds.digest == digest && holds.revision >= Some(revision);
-        content.sure |= same;
+        let position = content.position();
+        let same = position.digest == digest && position.revision >= Some(revision);
+        content.verified |= same;
         drop(content);
-        self.hold();
+        self.publish_position();
         same
     }
 
@@ -225,16 +232,16 @@
     fn lag(&self) -> time::Duration {
         let state = self.0.state.borrow();
         let lag = state.age(self.0.clock.now()).unwrap_or_default();
-        if state.was_away(lag) {
+        if state.was_unavailable(lag) {
             time::Duration::ZERO
         } else {
             lag
         }
     }
 
-    /// Applies changes that lead to `revision`, and returns those that were new. A
-    /// registration that was deleted may have been so for `lag`.
-    fn change(
+    /// Applies changes that lead to `revision`, and returns those that were new. The
+    /// deleted ones may have been gone for up to `lag`.
+    fn apply_changes(
         &self,
         changes: Vec<follow::Change<registry::Entry>>,
         revision: ids::Revision,
@@ -243,44 +250,44 @@
         let mut content = self.0.content.borrow_mut();
         let kept = content.registrations.change(changes, revision);
         if !kept.is_empty() {
-            content.sure = false;
+            content.verified = false;
         }
         drop(content);
         if !kept.is_empty() {
-            let news = follow::News::Changes(kept.clone());
-            self.0.hear.registrations(news, lag);
+            let delta = follow::News::Changes(kept.clone());
+            self.0.listener.registrations(delta, lag);
         }
-        self.hold();
+        self.publish_position();
         kept
     }
 
     /// Applies changes from the watch and sends them to the other VMs. Returns
     /// whether any were new.
-    pub(super) fn take_watched(
+    pub(super) fn apply_watched(
         &self,
         changes: Vec<follow::Change<registry::Entry>>,
         revision: ids::Revision,
     ) -> bool {
         let before = self.0.content.borrow().registrations.digest();
-        let kept = self.change(changes, revision, time::Duration::ZERO);
+        let kept = self.apply_changes(changes, revision, time::Duration::ZERO);
         if kept.is_empty() {
             return false;
         }
         for change in &kept {
-            tell_story(change);
+            log_change(change);
         }
         let changes = spread::Changes {
             before,
             changes: kept,
         };
-        let changes = Some(changes).filter(|changes| changes.size() <= CHANGES);
-        self.handle(|state, now| state.watched(changes, now));
+        let changes = Some(changes).filter(|changes| changes.size() <= MAX_CHANGES_BYTES);
+        self.handle(|state, now| state.watch_changed(changes, now));
         true
     }
 }
 
 /// Logs a change that was received from the store. Other VMs only count changes.
-fn tell_story(change: &follow::Change<registry::Entry>) {
+fn log_change(change: &follow::Change<registry::Entry>) {
     match change {
         follow::Change::Put(follow::Item {
             name,
@@ -292,10 +299,10 @@
             "registration written"
         ),
         follow::Change::Put(item) => {
-            log::info!(name = item.name.as_str(), revision:% = item.revision; "registration of no upstream");
+            log::info!(name = item.name.as_str(), revision:% = item.revision; "registration doesn't name an upstream");
         }
         follow::Change::Gone(name) => {
-            log::info!(upstream = name.as_str(); "registration gone");
+            log::info!(upstream = name.as_str(); "registration deleted");
         }
     }
 }
--- a/crates/geraniumgauge/src/spread/count.rs
+++ b/crates/geraniumgauge/src/spread/instruments.rs
@@ -8,16 +8,16 @@
 use crate::timer;
 
 /// Age that is recorded before the first poll result is received.
-const NO_LOOK: f64 = -1.0;
+const UNKNOWN_AGE: f64 = -1.0;
 
 /// The gauges of the service.
 #[derive(Debug)]
-pub(super) struct Count {
+pub(super) struct Instruments {
     age: metrics::Gauge<f64>,
     vms: metrics::Gauge<u64>,
 }
 
-impl Count {
+impl Instruments {
     /// Creates the gauges on `meter`.
     pub(super) fn new(meter: &metrics::Meter) -> Self {
         let age = meter.f64_gauge("spread_age").with_unit("s");
@@ -36,11 +36,11 @@
     pub(super) async fn run<H: spread::Hear>(
         self,
         service: spread::Service<H>,
-        period: time::Duration,
+        interval: time::Duration,
         timer: timer::Service,
     ) {
-        while timer.pause(period).await {
-            let age = service.age().map_or(NO_LOOK, |age| age.as_secs_f64());
+        while timer.pause(interval).await {
+            let age = service.age().map_or(UNKNOWN_AGE, |age| age.as_secs_f64());
             self.age.record(age, &[]);
             let vms = service.vms().unwrap_or_default();
             self.vms.record(vms as u64, &[]);
--- a/crates/geraniumgauge/src/spread/member.rs
+++ b/crates/geraniumgauge/src/spread/member.rs
@@ -14,18 +14,18 @@
 use crate::time as clock;
 
 /// Number of VMs that poll the store for the fleet.
-const HOLDERS: usize = 2;
+const POLLERS: usize = 2;
 /// Shortest interval at which a VM refreshes its record.
-const REFRESH: time::Duration = time::Duration::from_secs(60);
+const MIN_REFRESH_INTERVAL: time::Duration = time::Duration::from_secs(60);
 /// Increase of the refresh interval per VM of the fleet, so that the fleet's
 /// refreshes per second don't grow with its size.
-const REFRESH_EACH: time::Duration = time::Duration::from_millis(200);
+const REFRESH_INTERVAL_PER_VM: time::Duration = time::Duration::from_millis(200);
 /// Refresh intervals without a refresh after which a VM's record expires.
-const EXPIRE: u32 = 3;
+const EXPIRY_INTERVALS: u32 = 3;
 /// Lower bound for a VM's cores, and the value for a VM that isn't known.
-const LEAST_POWER: f64 = 0.001;
+const MIN_CORES: f64 = 0.001;
 /// Rendezvous key by which VMs are ranked for the poller role.
-const DUTY: &str = "lookout";
+const RANKING_KEY: &str = "lookout";
 
 /// A VM's record, as the VM sends it.
 #[derive(Debug, Clone, PartialEq)]
@@ -50,7 +50,7 @@
 
 impl Known {
     fn age(&self, now: clock::Moment) -> time::Duration {
-        self.age + now.since(self.heard)
+        self.age + now.since(self.received)
     }
 }
 
@@ -71,13 +71,13 @@
 struct Known {
     member: Member,
     /// When this VM received the last refresh.
-    heard: clock::Moment,
+    received: clock::Moment,
     /// Age of that refresh when it was received.
     age: time::Duration,
     /// When this VM learned of the last start.
     learned: clock::Moment,
     /// When the VM last polled the store, as far as is known.
-    looked: Option<clock::Moment>,
+    polled: Option<clock::Moment>,
 }
 
 /// The known VMs, this one included.
@@ -113,10 +113,10 @@
         let moves = before.as_ref().map(|before| before.member.power) != Some(member.power);
         let same_start = before.filter(|before| before.member.incarnation == member.incarnation);
         let known = Known {
-            heard: now,
+            received: now,
             age,
             learned: same_start.as_ref().map_or(now, |before| before.learned),
-            looked: same_start.and_then(|before| before.looked),
+            polled: same_start.and_then(|before| before.polled),
             member,
         };
         self.known.insert(vm.clone(), known);
@@ -130,7 +130,7 @@
     fn rank(&mut self, vm: ids::Vm) {
         self.order.retain(|other| *other != vm);
         let power = |vm: &ids::Vm| self.known[vm].member.power.max(0.0).to_bits();
-        let weight = |vm: &ids::Vm| (power(vm), rendezvous::weight(DUTY, vm), vm.clone());
+        let weight = |vm: &ids::Vm| (power(vm), rendezvous::weight(RANKING_KEY, vm), vm.clone());
         let own = weight(&vm);
         let place = self.order.partition_point(|other| weight(other) > own);
         self.order.insert(place, vm);
@@ -145,7 +145,7 @@
             return false;
         }
         let known = self.known.get(&member.vm);
-        let news = known.is_none_or(|known| known.member.incarnation != member.incarnation);
+        let is_new = known.is_none_or(|known| known.member.incarnation != member.incarnation);
         if member.vm == self.own {
             let mut own = self.own().clone();
             own.incarnation = ids::Incarnation(member.incarnation.0 + 1);
@@ -153,7 +153,7 @@
             return true;
         }
         self.insert(member, age, now);
-        news
+        is_new
     }
 
     /// Refreshes this VM's own record if that is due, and returns whether it was.
@@ -180,7 +180,7 @@
             return false;
         }
         for member in &old {
-            log::info!(vm = member.vm.as_str(), address:% = member.address; "VM not heard of for long no longer counts");
+            log::info!(vm = member.vm.as_str(), address:% = member.address; "record of a VM expired");
             self.known.remove(&member.vm);
             self.digest ^= member.fingerprint();
         }
@@ -189,12 +189,12 @@
     }
 
     fn refresh_after(&self) -> time::Duration {
-        let each = REFRESH_EACH * u32::try_from(self.count()).unwrap_or(u32::MAX);
-        REFRESH.max(each)
+        let each = REFRESH_INTERVAL_PER_VM * u32::try_from(self.count()).unwrap_or(u32::MAX);
+        MIN_REFRESH_INTERVAL.max(each)
     }
 
     fn expire_after(&self) -> time::Duration {
-        self.refresh_after() * EXPIRE
+        self.refresh_after() * EXPIRY_INTERVALS
     }
 
     /// Returns this VM's record.
@@ -211,7 +211,7 @@
     /// known.
     pub fn power(&self, address: &net::SocketAddr) -> f64 {
         let member = self.at(address);
-        member.map_or(LEAST_POWER, |member| member.power.max(LEAST_POWER))
+        member.map_or(MIN_CORES, |member| member.power.max(MIN_CORES))
     }
 
     /// Returns the data centre of the VM at `address`.
@@ -254,15 +254,15 @@
     }
 
     /// Returns the VMs that rank first for the poller role, without this one.
-    pub fn first(&self) -> impl Iterator<Item = &Member> {
+    pub fn pollers(&self) -> impl Iterator<Item = &Member> {
         let first = self.order.iter().filter(|vm| **vm != self.own);
-        first.take(HOLDERS).map(|vm| &self.known[vm].member)
+        first.take(POLLERS).map(|vm| &self.known[vm].member)
     }
 
     /// Records that a VM has polled the store.
-    pub fn looked(&mut self, vm: &ids::Vm, now: clock::Moment) {
+    pub fn polled(&mut self, vm: &ids::Vm, now: clock::Moment) {
         if let Some(known) = self.known.get_mut(vm) {
-            known.looked = Some(now);
+            known.polled = Some(now);
         }
     }
 
@@ -270,21 +270,21 @@
     /// that hasn't polled for `silence` since it was expected to is replaced by the
     /// next VM, which is expected to poll from then on. So the remaining VMs don't
     /// all take over at once.
-    pub fn duty(&self, silence: time::Duration, now: clock::Moment) -> Option<usize> {
+    pub fn poller_rank(&self, silence: time::Duration, now: clock::Moment) -> Option<usize> {
         // Since when a VM is expected to poll, for each rank that isn't filled yet.
-        let mut places = vec![clock::Moment::default(); HOLDERS];
+        let mut expectations = vec![clock::Moment::default(); POLLERS];
         for vm in &self.order {
-            places.sort_unstable();
-            let left = places.len();
-            let expected = places.first_mut()?;
+            expectations.sort_unstable();
+            let left = expectations.len();
+            let expected = expectations.first_mut()?;
             if *vm == self.own {
-                return Some(HOLDERS - left);
+                return Some(POLLERS - left);
             }
             let known = &self.known[vm];
-            let heard = known.looked.unwrap_or_default().max(known.learned);
-            let replaced = heard.max(*expected) + silence;
+            let received = known.polled.unwrap_or_default().max(known.learned);
+            let replaced = received.max(*expected) + silence;
             if now < replaced {
-                places.remove(0);
+                expectations.remove(0);
             } else {
                 *expected = replaced;
             }
--- a/crates/geraniumgauge/src/spread/mod.rs
+++ b/crates/geraniumgauge/src/spread/mod.rs
@@ -8,7 +8,7 @@
 //! content is polls the store itself. [`Service`] carries out the decisions.
 
 mod content;
-mod count;
+mod instruments;
 mod member;
 pub(crate) mod sending;
 mod service;
@@ -19,7 +19,7 @@
 
 pub use member::Member;
 pub use member::Members;
-pub use sending::Elsewhere;
+pub use sending::Redirect;
 pub use sending::Ticket;
 pub use service::Hear;
 pub use service::Service;
@@ -33,9 +33,9 @@
 pub use update::Answer;
 pub use update::Changes;
 pub use update::Fetch;
-pub use update::Holds;
-pub use update::Look;
-pub use update::Pass;
+pub use update::Forwarding;
+pub use update::Poll;
+pub use update::Position;
 pub use update::Summary;
 pub use update::Update;
 pub use wire::Datagram;
--- a/crates/geraniumgauge/src/spread/sending.rs
+++ b/crates/geraniumgauge/src/spread/sending.rs
@@ -15,29 +15,29 @@
 
 /// Most time that the link may need for the answers in progress. Requesters wait
 /// several times as long.
-const BACKLOG: time::Duration = time::Duration::from_millis(400);
+const MAX_BACKLOG: time::Duration = time::Duration::from_millis(400);
 /// Largest answer that is always sent, such as one with a few changes.
-const SMALL: rate::Bytes = rate::Bytes(16 << 10);
+const MAX_SMALL_ANSWER: rate::Bytes = rate::Bytes(16 << 10);
 /// Longest time for a complete answer. The requester gives up after that.
 pub(crate) const LONGEST: time::Duration = time::Duration::from_secs(5);
 /// Time after a change in which VMs that serve more VMs are admitted first. All VMs
 /// learn of a change within it.
-const HEAD_START: time::Duration = time::Duration::from_millis(50);
+const PRIORITY_WINDOW: time::Duration = time::Duration::from_millis(50);
 /// Most VMs that are remembered as waiting.
-const WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 /// Waiting VMs that are notified when an answer ends. There is more than one, since
 /// one of them may have received the content elsewhere.
-const NEXT: usize = 2;
+const NOTIFIED_PER_ANSWER: usize = 2;
 /// Most VMs that a redirect names.
-const NAMED: usize = 8;
+const MAX_NAMED: usize = 8;
 
 /// Redirect of a requester, sent by a VM whose link has no capacity.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Elsewhere {
+pub struct Redirect {
     /// VMs that were served recently, the latest first.
     pub vms: Vec<net::SocketAddr>,
     /// Time after which the sender itself is likely to answer.
-    pub after: time::Duration,
+    pub retry_after: time::Duration,
 }
 
 /// Identifies the part of the link that one answer has reserved.
@@ -54,35 +54,35 @@
 
 /// Admission of the answers that one VM sends.
 #[derive(Debug)]
-pub(super) struct Sending {
+pub(super) struct Admission {
     link: rate::BytesPerSecond,
     running: collections::BTreeMap<Ticket, Running>,
     /// Number of answers that were started.
-    begun: u64,
-    told: collections::VecDeque<net::SocketAddr>,
+    started: u64,
+    served: collections::VecDeque<net::SocketAddr>,
     /// VMs that were redirected, in order of their requests.
     waiting: collections::VecDeque<net::SocketAddr>,
     /// When the content to send last changed.
-    renewed: clock::Moment,
+    changed_at: clock::Moment,
 }
 
-impl Sending {
+impl Admission {
     /// Creates the admission for a link of the given bandwidth.
     pub(super) fn new(link: rate::BytesPerSecond, now: clock::Moment) -> Self {
         Self {
             link,
             running: collections::BTreeMap::new(),
-            begun: 0,
-            told: collections::VecDeque::new(),
+            started: 0,
+            served: collections::VecDeque::new(),
             waiting: collections::VecDeque::new(),
-            renewed: now,
+            changed_at: now,
         }
     }
 
     /// Returns whether the content is so new that VMs that serve more VMs are
     /// admitted first.
-    pub(super) fn is_new(&self, now: clock::Moment) -> bool {
-        now < self.renewed + HEAD_START
+    pub(super) fn is_content_new(&self, now: clock::Moment) -> bool {
+        now < self.changed_at + PRIORITY_WINDOW
     }
 
     /// Starts to send an answer of `size` bytes to the VM at `to`, unless too much
@@ -97,34 +97,35 @@
         &mut self,
         to: net::SocketAddr,
         size: rate::Bytes,
-        waits: bool,
+        must_wait: bool,
         now: clock::Moment,
-    ) -> Result<Option<Ticket>, Elsewhere> {
-        if size <= SMALL {
+    ) -> Result<Option<Ticket>, Redirect> {
+        if size <= MAX_SMALL_ANSWER {
             return Ok(None);
         }
-        if waits {
-            self.put_off(to);
-            return Err(Elsewhere {
+        if must_wait {
+            self.add_waiting(to);
+            return Err(Redirect {
                 vms: Vec::new(),
-                after: now.until(self.renewed + HEAD_START) + self.takes(size),
+                retry_after: now.until(self.changed_at + PRIORITY_WINDOW)
+                    + self.transfer_time(size),
             });
         }
         self.running
             .retain(|_, running| now.since(running.since) < LONGEST);
-        let under_way = self.under_way();
-        let takes = self.takes(rate::Bytes(under_way.0.saturating_add(size.0)));
-        if under_way.0 > 0 && takes > BACKLOG {
-            self.put_off(to);
-            return Err(Elsewhere {
-                vms: self.told.iter().copied().filter(|vm| *vm != to).collect(),
-                after: self.takes(under_way),
+        let in_progress = self.in_progress();
+        let transfer_time = self.transfer_time(rate::Bytes(in_progress.0.saturating_add(size.0)));
+        if in_progress.0 > 0 && transfer_time > MAX_BACKLOG {
+            self.add_waiting(to);
+            return Err(Redirect {
+                vms: self.served.iter().copied().filter(|vm| *vm != to).collect(),
+                retry_after: self.transfer_time(in_progress),
             });
         }
         self.waiting.retain(|vm| *vm != to);
         let since = now;
-        self.begun += 1;
-        let ticket = Ticket(self.begun);
+        self.started += 1;
+        let ticket = Ticket(self.started);
         self.running.insert(ticket, Running { to, size, since });
         Ok(Some(ticket))
     }
@@ -133,32 +134,32 @@
     /// of the free capacity; `None` if the ticket has already ended or expired.
     pub(super) fn end(&mut self, ticket: Ticket) -> Option<Vec<net::SocketAddr>> {
         let Running { to, .. } = self.running.remove(&ticket)?;
-        self.told.retain(|vm| *vm != to);
-        self.told.push_front(to);
-        self.told.truncate(NAMED);
-        let next = self.waiting.len().min(NEXT);
+        self.served.retain(|vm| *vm != to);
+        self.served.push_front(to);
+        self.served.truncate(MAX_NAMED);
+        let next = self.waiting.len().min(NOTIFIED_PER_ANSWER);
         Some(self.waiting.drain(..next).collect())
     }
 
     /// Resets the lists of served and waiting VMs after the content to send has
     /// changed.
-    pub(super) fn renew(&mut self, now: clock::Moment) {
-        self.told.clear();
+    pub(super) fn content_changed(&mut self, now: clock::Moment) {
+        self.served.clear();
         self.waiting.clear();
-        self.renewed = now;
+        self.changed_at = now;
     }
 
-    fn put_off(&mut self, to: net::SocketAddr) {
-        if !self.waiting.contains(&to) && self.waiting.len() < WAITING {
+    fn add_waiting(&mut self, to: net::SocketAddr) {
+        if !self.waiting.contains(&to) && self.waiting.len() < MAX_WAITING {
             self.waiting.push_back(to);
         }
     }
 
-    fn under_way(&self) -> rate::Bytes {
+    fn in_progress(&self) -> rate::Bytes {
         rate::Bytes(self.running.values().map(|running| running.size.0).sum())
     }
 
-    fn takes(&self, size: rate::Bytes) -> time::Duration {
+    fn transfer_time(&self, size: rate::Bytes) -> time::Duration {
         let seconds = size.0 as f64 / self.link.0;
         time::Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST)
     }
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -15,16 +15,16 @@
 use crate::registry;
 use crate::spread;
 use crate::spread::content;
-use crate::spread::count;
+use crate::spread::instruments;
 use crate::spread::store;
 use crate::time as clock;
 use crate::timer;
 
 /// Size of the receive buffer for a datagram.
-const BUFFER: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Delay before a crash suspect is sent again. A datagram may be lost, and each VM
 /// that doesn't know the suspect may crash another upstream with it.
-const AGAIN: time::Duration = time::Duration::from_millis(100);
+const RESEND_DELAY: time::Duration = time::Duration::from_millis(100);
 
 /// Receives what is distributed, and sends requests to other VMs.
 #[expect(async_fn_in_trait, reason = "everything runs on one thread")]
@@ -33,7 +33,7 @@
     fn config(&self, text: &str);
     /// Takes registrations. Those that are missing from them still existed `lag`
     /// ago, and may have been deleted at any moment since.
-    fn registrations(&self, news: spread::Registrations, lag: time::Duration);
+    fn registrations(&self, delta: spread::Registrations, lag: time::Duration);
     /// Returns the registration of this name that was received last, if it names an
     /// upstream.
     fn registration(&self, name: &str) -> Option<registry::Entry>;
@@ -76,17 +76,17 @@
 }
 
 pub(super) struct Inner<H> {
-    pub(super) hear: H,
+    pub(super) listener: H,
     pub(super) state: cell::RefCell<spread::State>,
     pub(super) content: cell::RefCell<content::Content>,
     socket: tokio::net::UdpSocket,
     pub(super) clock: clock::Clock,
     wake: sync::Notify,
-    look: sync::Notify,
-    pages: sync::mpsc::UnboundedSender<store::Task>,
-    duty: sync::watch::Sender<Option<usize>>,
+    poll: sync::Notify,
+    directory_tasks: sync::mpsc::UnboundedSender<store::DirectoryTask>,
+    poller_rank: sync::watch::Sender<Option<usize>>,
     /// Notifies the watch that it missed a change.
-    pub(super) missed: sync::Notify,
+    pub(super) watch_missed: sync::Notify,
 }
 
 impl<H: Hear> Service<H> {
@@ -95,7 +95,7 @@
     pub fn start<C, R, P>(
         state: spread::State,
         socket: tokio::net::UdpSocket,
-        hear: H,
+        listener: H,
         store: spread::Store<C, R, P>,
         clock: clock::Clock,
         timer: &timer::Service,
@@ -105,28 +105,32 @@
         R: follow::Source<Value = registry::Entry> + 'static,
         P: spread::Pages + 'static,
     {
-        let (pages, tasks) = sync::mpsc::unbounded_channel();
-        let (duty, on_duty) = sync::watch::channel(None);
+        let (directory_tasks, tasks) = sync::mpsc::unbounded_channel();
+        let (poller_rank, rank_changes) = sync::watch::channel(None);
         let service = Self(rc::Rc::new(Inner {
-            hear,
+            listener,
             state: cell::RefCell::new(state),
             content: cell::RefCell::default(),
             socket,
             clock,
             wake: sync::Notify::new(),
-            look: sync::Notify::new(),
-            pages,
-            duty,
-            missed: sync::Notify::new(),
+            poll: sync::Notify::new(),
+            directory_tasks,
+            poller_rank,
+            watch_missed: sync::Notify::new(),
         }));
-        let lookout = store::Lookout {
+        let poller = store::Poller {
             config: store.config,
             registrations: store.registrations,
             last: None,
         };
-        tokio::task::spawn_local(lookout.run(service.clone(), timer.clone()));
-        tokio::task::spawn_local(store::keep_pages(service.clone(), store.pages, tasks));
-        let watch = store::watch(service.clone(), store.watched, on_duty, timer.clone());
+        tokio::task::spawn_local(poller.run(service.clone(), timer.clone()));
+        tokio::task::spawn_local(store::run_directory_tasks(
+            service.clone(),
+            store.pages,
+            tasks,
+        ));
+        let watch = store::watch(service.clone(), store.watched, rank_changes, timer.clone());
         tokio::task::spawn_local(watch);
         tokio::task::spawn_local(service.clone().receive(timer.clone()));
         tokio::task::spawn_local(service.clone().run(timer.clone()));
@@ -136,7 +140,7 @@
     /// Performs work that is due until `timer` stops.
     async fn run(self, timer: timer::Service) {
         loop {
-            self.act(|_, _| ());
+            self.advance(|_, _| ());
             let now = self.clock().now();
             let wake = self.0.state.borrow().wake_at(now);
             tokio::select! {
@@ -152,9 +156,9 @@
     }
 
     /// Updates gauges of `meter` at intervals of `period`.
-    pub fn show(&self, meter: &metrics::Meter, period: time::Duration, timer: &timer::Service) {
-        let count = count::Count::new(meter);
-        tokio::task::spawn_local(count.run(self.clone(), period, timer.clone()));
+    pub fn show(&self, meter: &metrics::Meter, interval: time::Duration, timer: &timer::Service) {
+        let instruments = instruments::Instruments::new(meter);
+        tokio::task::spawn_local(instruments.run(self.clone(), interval, timer.clone()));
     }
 
     /// Returns the age of the latest poll whose result this VM holds.
@@ -172,46 +176,46 @@
         &self,
         change: impl FnOnce(&mut spread::State, clock::Moment) -> T,
     ) -> T {
-        let result = self.act(change);
+        let result = self.advance(change);
         // The change may have moved the time of the next action.
         self.0.wake.notify_one();
         result
     }
 
-    fn act<T>(&self, change: impl FnOnce(&mut spread::State, clock::Moment) -> T) -> T {
+    fn advance<T>(&self, change: impl FnOnce(&mut spread::State, clock::Moment) -> T) -> T {
         let now = self.0.clock.now();
         let mut state = self.0.state.borrow_mut();
         let result = change(&mut state, now);
         let actions = state.tick(now);
-        self.0.duty.send_if_modified(|on| {
-            let duty = state.duty(now);
-            std::mem::replace(on, duty) != duty
+        self.0.poller_rank.send_if_modified(|rank| {
+            let poller_rank = state.poller_rank(now);
+            std::mem::replace(rank, poller_rank) != poller_rank
         });
         drop(state);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         result
     }
 
-    fn carry_out(&self, action: spread::Action) {
+    fn execute(&self, action: spread::Action) {
         match action {
             spread::Action::Send { to, datagram } => self.send(&to, &datagram),
             spread::Action::Fetch { from, fetch } => {
                 tokio::task::spawn_local(self.clone().fetch(from, fetch));
             }
-            spread::Action::Look => self.0.look.notify_one(),
-            spread::Action::ReadDirectory => self.keep_pages(store::Task::Read),
+            spread::Action::Poll => self.0.poll.notify_one(),
+            spread::Action::ReadDirectory => self.request_directory(store::DirectoryTask::Read),
             spread::Action::WriteDirectory { page, directory } => {
-                self.keep_pages(store::Task::Write(page, directory));
+                self.request_directory(store::DirectoryTask::Write(page, directory));
             }
-            spread::Action::View(view) => self.0.hear.view(view),
+            spread::Action::View(view) => self.0.listener.view(view),
         }
     }
 
-    fn keep_pages(&self, task: store::Task) {
+    fn request_directory(&self, task: store::DirectoryTask) {
         // Sending fails only when the process ends.
-        let _ = self.0.pages.send(task);
+        let _ = self.0.directory_tasks.send(task);
     }
 
     /// Sends without waiting. Datagrams that the system doesn't accept at once are
@@ -228,7 +232,7 @@
     }
 
     async fn receive(self, timer: timer::Service) {
-        let mut buffer = [0; BUFFER];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let received = tokio::select! {
                 () = timer.stop().cancelled() => return,
@@ -244,7 +248,7 @@
                 }
             };
             match spread::Datagram::decode(&buffer[..count]) {
-                Ok(datagram) => self.hear(from, datagram),
+                Ok(datagram) => self.dispatch(from, datagram),
                 Err(error) => {
                     log::warn!(from:% = from, error:% = error; "datagram can't be read");
                 }
@@ -252,13 +256,15 @@
         }
     }
 
-    fn hear(&self, from: net::SocketAddr, datagram: spread::Datagram) {
+    fn dispatch(&self, from: net::SocketAddr, datagram: spread::Datagram) {
         match &datagram {
-            spread::Datagram::Blamed(request) => return self.0.hear.blamed(*request),
-            spread::Datagram::Update(update) => self.take_changes(update),
+            spread::Datagram::CrashSuspect(request) => {
+                return self.0.listener.blamed(*request);
+            }
+            spread::Datagram::Update(update) => self.apply_update(update),
             spread::Datagram::Hello(_) => {}
         }
-        self.handle(|state, now| state.heard(from, datagram, now));
+        self.handle(|state, now| state.receive(from, datagram, now));
     }
 
     /// Reserves part of the link for the answer to a request; `None` if the answer
@@ -267,18 +273,18 @@
     /// # Errors
     ///
     /// Returns where to ask instead if the link has no capacity.
-    pub(super) fn slot(
+    pub(super) fn reserve(
         &self,
         fetch: &spread::Fetch,
         size: rate::Bytes,
-    ) -> Result<Option<Slot>, spread::Elsewhere> {
+    ) -> Result<Option<Slot>, spread::Redirect> {
         let now = self.clock().now();
         let ticket = self.0.state.borrow_mut().admit(fetch, size, now)?;
         Ok(ticket.map(|ticket| {
             let service = self.clone();
             Slot(Box::new(move || {
                 let now = service.clock().now();
-                service.0.state.borrow_mut().told(ticket, now);
+                service.0.state.borrow_mut().release(ticket, now);
                 service.0.wake.notify_one();
             }))
         }))
@@ -286,25 +292,25 @@
 
     /// Notifies all other VMs of a request that is suspected of crashing upstreams.
     pub async fn blame(&self, request: ids::Fingerprint) {
-        let datagram = spread::Datagram::Blamed(request);
+        let datagram = spread::Datagram::CrashSuspect(request);
         for _ in 0..2 {
             let to: Vec<_> = {
                 let state = self.0.state.borrow();
                 state.members().others().map(|vm| vm.address).collect()
             };
             self.send(&to, &datagram);
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RESEND_DELAY).await;
         }
     }
 
     async fn fetch(self, from: net::SocketAddr, fetch: spread::Fetch) {
         let began = self.clock().now();
-        let answer = self.0.hear.fetch(from, fetch).await;
+        let answer = self.0.listener.fetch(from, fetch).await;
         let took = self.clock().now().since(began);
         let answer = match answer {
             Ok(mut answer) => {
                 log_answer(from, &answer, took);
-                self.take_answer(from, &mut answer, took);
+                self.apply_answer(from, &mut answer, took);
                 Some(answer)
             }
             Err(error) => {
@@ -312,17 +318,17 @@
                 None
             }
         };
-        self.handle(|state, now| state.answered(from, answer.as_ref(), took, now));
+        self.handle(|state, now| state.fetched(from, answer.as_ref(), took, now));
     }
 
     /// Waits until a poll is requested.
-    pub(super) async fn look_wanted(&self) {
-        self.0.look.notified().await;
+    pub(super) async fn poll_requested(&self) {
+        self.0.poll.notified().await;
     }
 
     /// Waits until a change has been received that the watch missed.
-    pub(super) async fn missed(&self) {
-        self.0.missed.notified().await;
+    pub(super) async fn watch_missed(&self) {
+        self.0.watch_missed.notified().await;
     }
 }
 
@@ -331,10 +337,10 @@
     let Some(config) = &answer.config else {
         return;
     };
-    let look = answer.summary.look.as_ref();
+    let poll = answer.summary.poll.as_ref();
     log::info!(
         vm:% = from, config_bytes = config.len(), took_ms = clock::millis(took),
-        look_age_ms:? = look.map(|look| clock::millis(look.age));
-        "another VM told its configuration"
+        look_age_ms:? = poll.map(|poll| clock::millis(poll.age));
+        "received configuration from another VM"
     );
 }
--- a/crates/geraniumgauge/src/spread/state/action.rs
+++ b/crates/geraniumgauge/src/spread/state/action.rs
@@ -22,7 +22,7 @@
         fetch: spread::Fetch,
     },
     /// Poll the store; [`spread::State::polled`] takes the result.
-    Look,
+    Poll,
     /// Read the directory; [`spread::State::directory_read`] takes the result.
     ReadDirectory,
     /// Write a page of the directory; [`spread::State::directory_written`] takes
--- a/crates/geraniumgauge/src/spread/state/mod.rs
+++ b/crates/geraniumgauge/src/spread/state/mod.rs
@@ -12,11 +12,11 @@
 //! others.
 
 mod action;
-mod ask;
+mod broadcast;
 mod directory;
-mod look;
-mod rely;
-mod tell;
+mod fetch;
+mod poll;
+mod reliance;
 
 pub use action::Action;
 pub use action::View;
@@ -38,46 +38,48 @@
 use crate::time as clock;
 
 /// Time for which a VM that has just started waits for the directory.
-const OPENING: time::Duration = time::Duration::from_millis(100);
+const DIRECTORY_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 /// Time for which a VM that has read the directory waits for the first answer. A VM
 /// that is up usually answers sooner; one that is down never answers.
-const PEERS: time::Duration = time::Duration::from_millis(15);
+const FIRST_ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(15);
 /// Poll intervals in which VMs that start for the first time discover each other.
-const SETTLE: u32 = 2;
+const SETTLE_TIME_POLLS: u32 = 2;
 
 /// Operations in progress.
 #[derive(Debug, Default)]
-struct Busy {
+struct Pending {
     /// Start of the poll in progress.
-    look: Option<clock::Moment>,
+    poll: Option<clock::Moment>,
     /// When the last bytes from the store arrived.
-    heard: Option<clock::Moment>,
+    received: Option<clock::Moment>,
     /// Fetches in progress, by the VM that was asked.
-    fetches: collections::BTreeMap<net::SocketAddr, Asked>,
+    fetches: collections::BTreeMap<net::SocketAddr, RunningFetch>,
+    /// Set while the directory is being read.
     reading: bool,
+    /// Set while a page of the directory is being written.
     writing: bool,
 }
 
 /// A fetch in progress.
 #[derive(Debug)]
-struct Asked {
+struct RunningFetch {
     /// Set if only records of VMs were requested.
-    brief: bool,
+    members_only: bool,
     /// Set if all registrations were requested instead of changes.
-    whole: bool,
+    full: bool,
     at: clock::Moment,
 }
 
 /// A fetch that is scheduled.
 #[derive(Debug)]
-struct Wanted {
+struct ScheduledFetch {
     from: net::SocketAddr,
     at: clock::Moment,
 }
 
 /// The latest poll whose result is included in what this VM holds.
 #[derive(Debug, Clone)]
-struct Latest {
+struct LatestPoll {
     vm: ids::Vm,
     number: u64,
     at: clock::Moment,
@@ -85,7 +87,7 @@
 
 /// The parts of a published view that show whether a new one differs.
 #[derive(Debug)]
-struct Shown {
+struct PublishedView {
     members: u64,
     vms: Option<usize>,
     at: clock::Moment,
@@ -94,90 +96,90 @@
 /// A received update whose handling is deferred: until its content has been
 /// fetched, or until the primary VM of this data centre has had time to forward it.
 #[derive(Debug)]
-struct Owed {
+struct Deferred {
     update: spread::Update,
     from: net::SocketAddr,
-    heard: clock::Moment,
+    received: clock::Moment,
 }
 
 /// What one VM knows of the fleet and of the store.
 #[derive(Debug)]
 pub struct State {
     /// Age of the latest poll at which the next one is due.
-    period: time::Duration,
+    poll_interval: time::Duration,
     seeds: Vec<net::SocketAddr>,
     members: spread::Members,
-    holds: spread::Holds,
-    sure: bool,
-    latest: Option<Latest>,
+    position: spread::Position,
+    verified: bool,
+    latest: Option<LatestPoll>,
     /// Highest poll number received, by the VM that polled.
-    numbers: collections::HashMap<ids::Vm, u64>,
+    poll_numbers: collections::HashMap<ids::Vm, u64>,
     /// Number of this VM's own last poll.
-    number: u64,
+    poll_number: u64,
     started: clock::Moment,
-    busy: Busy,
+    pending: Pending,
     rng: rand::rngs::StdRng,
 
     /// When this VM's own last successful poll ended.
-    own_look: Option<clock::Moment>,
+    own_poll: Option<clock::Moment>,
     /// When this VM became a poller; `None` if it isn't one.
-    duty_since: Option<clock::Moment>,
+    poller_since: Option<clock::Moment>,
     /// When a VM that isn't a poller polls the store itself.
-    look_at: clock::Moment,
+    poll_at: clock::Moment,
     /// Latest time until which reports that the store is unavailable can postpone
     /// this VM's own poll.
     rely_until: clock::Moment,
-    /// Set if this VM has to poll before it accepts content from others.
-    must_look: bool,
+    /// Set if this VM's next poll doesn't wait for an answer of another VM.
+    must_poll: bool,
     /// A newer position that another VM reported, and whether it was verified.
-    heard_of: Option<(spread::Holds, bool)>,
+    newer_position: Option<(spread::Position, bool)>,
     /// Set if the store was last found or reported to be unavailable.
-    away: bool,
+    unavailable: bool,
     /// Set if this VM itself found the store unavailable.
-    doubts: bool,
+    found_unavailable: bool,
     /// Consecutive failures of this VM's own polls.
     failures: u32,
     /// Delays between a poller's retries after failed polls.
     backoff: store::Backoff,
     /// When this VM next retries an unavailable store.
-    try_at: clock::Moment,
+    retry_at: clock::Moment,
     /// Set if this VM has given up the poller role because its polls fail.
-    resigned: bool,
+    stepped_down: bool,
     /// Set once the first poll has been scheduled.
-    drawn: bool,
+    first_poll_scheduled: bool,
 
     /// Set once a fetch has been answered or has timed out.
-    asked: bool,
+    fetch_ended: bool,
     /// Set once this VM has sent its record to the pollers.
-    greeted: bool,
+    announced: bool,
     /// When another VM is asked next if no poll result is received before then.
-    ask_at: clock::Moment,
+    fetch_at: clock::Moment,
     /// The next fetch of content that an update mentioned.
-    wanted: Option<Wanted>,
+    scheduled_fetch: Option<ScheduledFetch>,
     /// When to compare records of VMs with another VM, and its address.
-    compare: Option<(clock::Moment, net::SocketAddr)>,
-    owed: Option<Owed>,
+    comparison: Option<(clock::Moment, net::SocketAddr)>,
+    deferred: Option<Deferred>,
     /// Admission of the answers that this VM sends.
-    sending: sending::Sending,
+    answers: sending::Admission,
     /// An update that this VM forwards if the primary VM of its data centre
     /// doesn't.
-    second: Option<Owed>,
+    backup: Option<Deferred>,
     /// When this VM sends an update about changes of the fleet.
-    tell_at: Option<clock::Moment>,
-    told_at: Option<clock::Moment>,
+    broadcast_at: Option<clock::Moment>,
+    last_broadcast: Option<clock::Moment>,
 
     /// Number of VMs that another VM reported last.
-    heard_vms: Option<usize>,
+    reported_vms: Option<usize>,
     /// Number of VMs according to the directory, and when that number expires.
-    floor: Option<(usize, clock::Moment)>,
+    directory_vms: Option<(usize, clock::Moment)>,
     /// Set once the directory has been read.
-    listed: bool,
-    read_at: clock::Moment,
+    has_directory: bool,
+    read_directory_at: clock::Moment,
     /// Hash of the page that this VM last wrote to the directory, and when it was
     /// written.
-    written: Option<(u64, clock::Moment)>,
+    written_page: Option<(u64, clock::Moment)>,
     /// The view that was published last.
-    shown: Option<Shown>,
+    published: Option<PublishedView>,
     /// Description of what last changed the known VMs, for the log.
     source: &'static str,
     actions: Vec<Action>,
@@ -189,7 +191,7 @@
     /// initializes the random choices.
     pub fn new(
         own: spread::Member,
-        period: time::Duration,
+        poll_interval: time::Duration,
         seeds: Vec<net::SocketAddr>,
         link: rate::BytesPerSecond,
         seed: u64,
@@ -197,46 +199,46 @@
     ) -> Self {
         let seeds = seeds.into_iter().filter(|seed| *seed != own.address);
         Self {
-            period,
+            poll_interval,
             seeds: seeds.collect(),
-            number: own.incarnation.0,
+            poll_number: own.incarnation.0,
             members: spread::Members::new(own, now),
-            holds: spread::Holds::default(),
-            sure: false,
+            position: spread::Position::default(),
+            verified: false,
             latest: None,
-            numbers: collections::HashMap::new(),
+            poll_numbers: collections::HashMap::new(),
             started: now,
-            busy: Busy::default(),
+            pending: Pending::default(),
             rng: rand::rngs::StdRng::seed_from_u64(seed),
-            own_look: None,
-            duty_since: None,
-            look_at: now + OPENING,
-            rely_until: now + period,
-            must_look: false,
-            heard_of: None,
-            away: false,
-            doubts: false,
+            own_poll: None,
+            poller_since: None,
+            poll_at: now + DIRECTORY_TIMEOUT,
+            rely_until: now + poll_interval,
+            must_poll: false,
+            newer_position: None,
+            unavailable: false,
+            found_unavailable: false,
             failures: 0,
             backoff: spread::store::backoff(),
-            try_at: now,
-            resigned: false,
-            drawn: false,
-            asked: false,
-            greeted: false,
-            ask_at: now,
-            wanted: None,
-            compare: None,
-            owed: None,
-            sending: sending::Sending::new(link, now),
-            second: None,
-            tell_at: None,
-            told_at: None,
-            heard_vms: None,
-            floor: None,
-            listed: false,
-            read_at: now,
-            written: None,
-            shown: None,
+            retry_at: now,
+            stepped_down: false,
+            first_poll_scheduled: false,
+            fetch_ended: false,
+            announced: false,
+            fetch_at: now,
+            scheduled_fetch: None,
+            comparison: None,
+            deferred: None,
+            answers: sending::Admission::new(link, now),
+            backup: None,
+            broadcast_at: None,
+            last_broadcast: None,
+            reported_vms: None,
+            directory_vms: None,
+            has_directory: false,
+            read_directory_at: now,
+            written_page: None,
+            published: None,
             source: "start",
             actions: Vec::new(),
         }
@@ -245,61 +247,61 @@
     /// Performs all work that is due and returns the actions to carry out,
     /// including those that earlier calls queued.
     pub fn tick(&mut self, now: clock::Moment) -> Vec<Action> {
-        self.keep_records(now);
-        self.pass_second(now);
+        self.maintain_records(now);
+        self.forward_as_backup(now);
         self.compare_records(now);
-        self.ask_if_due(now);
-        self.look_if_due(now);
-        self.doubt_if_due(now);
-        self.tell_if_due(now);
-        self.read_if_due(now);
-        self.write_if_due(now);
+        self.fetch_if_due(now);
+        self.poll_if_due(now);
+        self.report_slow_poll(now);
+        self.broadcast_if_due(now);
+        self.read_directory_if_due(now);
+        self.write_directory_if_due(now);
         std::mem::take(&mut self.actions)
     }
 
     /// Returns when [`Self::tick`] has to be called next.
     pub fn wake_at(&self, now: clock::Moment) -> clock::Moment {
-        let second = self.second.as_ref().map(|second| self.second_at(second));
-        let idle = self.busy.fetches.is_empty();
-        let fetch = Some(self.ask_at).filter(|_| idle);
-        let compare = self.compare.filter(|_| idle);
-        let wanted = self.wanted.as_ref().map(|wanted| wanted.at);
+        let backup = self.backup.as_ref().map(|backup| self.backup_at(backup));
+        let idle = self.pending.fetches.is_empty();
+        let fetch = Some(self.fetch_at).filter(|_| idle);
+        let comparison = self.comparison.filter(|_| idle);
+        let scheduled_fetch = self.scheduled_fetch.as_ref().map(|fetch| fetch.at);
         let due = [
-            self.look_due(now),
-            self.doubt_due(now),
+            self.poll_due(now),
+            self.slow_poll_due(now),
             fetch,
-            wanted.filter(|at| idle || *at > now),
-            second,
-            compare.map(|(at, _)| at),
-            self.tell_at,
-            self.show_due(now),
-            self.read_due(now),
-            self.write_due(now),
-            Some(now + self.period),
+            scheduled_fetch.filter(|at| idle || *at > now),
+            backup,
+            comparison.map(|(at, _)| at),
+            self.broadcast_at,
+            self.publish_due(now),
+            self.directory_read_due(now),
+            self.directory_write_due(now),
+            Some(now + self.poll_interval),
         ];
         due.into_iter().flatten().min().unwrap_or(now)
     }
 
     /// Sets how far this VM has read the store. `verified` is set if its
     /// registrations are equal to what a poll showed.
-    pub fn hold(&mut self, holds: spread::Holds, sure: bool, now: clock::Moment) {
-        let news = holds.config != self.holds.config;
-        self.holds = holds;
-        self.sure = sure;
-        if news {
-            self.sending.renew(now);
-            self.offer_news(now);
+    pub fn set_position(&mut self, position: spread::Position, verified: bool, now: clock::Moment) {
+        let changed = position.config != self.position.config;
+        self.position = position;
+        self.verified = verified;
+        if changed {
+            self.answers.content_changed(now);
+            self.offer_config(now);
         }
     }
 
     /// Returns how far this VM has read the store.
-    pub fn holds(&self) -> spread::Holds {
-        self.holds
+    pub fn position(&self) -> spread::Position {
+        self.position
     }
 
     /// Returns whether this VM's registrations are equal to what a poll showed.
-    pub fn is_sure(&self) -> bool {
-        self.sure
+    pub fn is_verified(&self) -> bool {
+        self.verified
     }
 
     /// Returns the known VMs.
@@ -315,77 +317,77 @@
 
     /// Returns whether another VM's position shows registrations or a configuration
     /// that this VM lacks.
-    pub fn lacks(&self, theirs: &spread::Holds, sure: bool) -> bool {
-        if theirs.config > self.holds.config {
+    pub fn lacks(&self, theirs: &spread::Position, verified: bool) -> bool {
+        if theirs.config > self.position.config {
             return true;
         }
-        let differs = theirs.digest != self.holds.digest;
-        match (theirs.revision, self.holds.revision) {
+        let differs = theirs.digest != self.position.digest;
+        match (theirs.revision, self.position.revision) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some(theirs), Some(own)) => differs && (theirs > own || theirs == own && sure),
+            (Some(theirs), Some(own)) => differs && (theirs > own || theirs == own && verified),
         }
     }
 
     /// Returns the number of VMs, this one included; `None` while it is unknown.
     pub fn vms(&self, now: clock::Moment) -> Option<usize> {
-        let floor = self.floor.filter(|(_, until)| now < *until);
-        let floor = floor.map(|(vms, _)| vms);
-        let told = if self.is_settled(now) {
+        let directory_vms = self.directory_vms.filter(|(_, until)| now < *until);
+        let directory_vms = directory_vms.map(|(vms, _)| vms);
+        let reported = if self.can_count_vms(now) {
             // Ignores the numbers that others report: two VMs that repeat each
             // other's number would keep the count of a fleet that has shrunk.
-            Some(floor.unwrap_or_default())
+            Some(directory_vms.unwrap_or_default())
         } else {
-            self.heard_vms.max(floor)
+            self.reported_vms.max(directory_vms)
         };
-        told.map(|told| told.max(self.members.count()))
+        reported.map(|reported| reported.max(self.members.count()))
     }
 
     /// Returns whether this VM can count the fleet by itself: it is a poller, has
     /// read the directory, and has had time to receive records from VMs that
     /// started with it.
-    fn is_settled(&self, now: clock::Moment) -> bool {
-        self.duty_since.is_some()
-            && self.own_look.is_some()
-            && self.listed
-            && now.since(self.started) >= self.period * SETTLE
+    fn can_count_vms(&self, now: clock::Moment) -> bool {
+        self.poller_since.is_some()
+            && self.own_poll.is_some()
+            && self.has_directory
+            && now.since(self.started) >= self.poll_interval * SETTLE_TIME_POLLS
     }
 
     /// Returns until when a VM that has just started waits for the directory or for
     /// its first answer; `None` if it doesn't wait.
     fn starting_until(&self, now: clock::Moment) -> Option<clock::Moment> {
         let alone = self.members.count() == 1 && self.seeds.is_empty();
-        let wait = match self.listed {
-            false => OPENING,
-            true if alone || self.asked => return None,
-            true => PEERS,
+        let timeout = match self.has_directory {
+            false => DIRECTORY_TIMEOUT,
+            true if alone || self.fetch_ended => return None,
+            true => FIRST_ANSWER_TIMEOUT,
         };
-        Some(self.started + wait).filter(|until| now < *until)
+        Some(self.started + timeout).filter(|until| now < *until)
     }
 
-    fn is_near(&self, member: &spread::Member) -> bool {
+    fn is_local(&self, member: &spread::Member) -> bool {
         member.data_centre == self.members.own().data_centre
     }
 
     /// Returns a random other VM, only of this data centre if `local` is set.
-    fn any(&mut self, near: bool) -> Option<net::SocketAddr> {
+    fn random_vm(&mut self, local: bool) -> Option<net::SocketAddr> {
         let own = self.members.own().data_centre.clone();
-        let fits = |member: &&spread::Member| !near || member.data_centre == own;
+        let fits = |member: &&spread::Member| !local || member.data_centre == own;
         let members = self.members.others().filter(fits);
         members.choose(&mut self.rng).map(|member| member.address)
     }
 
     /// Returns a random delay within `range`, which is given in poll intervals.
-    fn part(&mut self, parts: std::ops::Range<f64>) -> time::Duration {
-        self.period.mul_f64(self.rng.random_range(parts))
+    fn random_delay(&mut self, range: std::ops::Range<f64>) -> time::Duration {
+        self.poll_interval.mul_f64(self.rng.random_range(range))
     }
 
     /// Returns a summary of what this VM knows.
     fn summary(&self, now: clock::Moment) -> spread::Summary {
         spread::Summary {
-            holds: self.holds,
-            sure: self.sure,
-            look: self.look(now),
+            position: self.position,
+            verified: self.verified,
+            poll: self.poll(now),
             vms: self.vms(now),
             members: self.members.digest(),
         }
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -13,25 +13,25 @@
 use crate::timer;
 
 /// Delay after changes, in which more of them are collected for one call.
-const GATHER: time::Duration = time::Duration::from_millis(150);
+const BATCH_DELAY: time::Duration = time::Duration::from_millis(150);
 /// Delay after which the second poller reports a change that its watch received, so
 /// that the first one can report it before.
-const SECOND: time::Duration = time::Duration::from_millis(75);
+const SECOND_POLLER_DELAY: time::Duration = time::Duration::from_millis(75);
 /// Interval at which a poll in progress is checked for new data.
-const PROGRESS: time::Duration = time::Duration::from_millis(100);
+const PROGRESS_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// First delay after a failed call.
-const RETRY: time::Duration = time::Duration::from_millis(100);
+const MIN_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 /// Longest delay after failed calls. Registrations that expired during an outage
 /// are back two seconds after the store is, which must be noticed well before.
-const RETRY_MOST: time::Duration = time::Duration::from_millis(800);
+const MAX_RETRY_DELAY: time::Duration = time::Duration::from_millis(800);
 /// Random factor of a delay. VMs that lost the store together would otherwise call
 /// it together. The factor stays close to 1, since each call to the store costs
 /// money.
-pub(super) const JITTER: std::ops::Range<f64> = 0.7..1.0;
+pub(super) const RETRY_JITTER: std::ops::Range<f64> = 0.7..1.0;
 
 /// Creates the backoff for failed calls.
 pub(super) fn backoff() -> store::Backoff {
-    store::Backoff::new(RETRY, RETRY_MOST)
+    store::Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
 }
 
 /// Access to the directory in the store.
@@ -49,7 +49,11 @@
     /// # Errors
     ///
     /// Returns an error if the store doesn't accept the page.
-    async fn write(&mut self, page: usize, told: &spread::Directory) -> Result<(), follow::Error>;
+    async fn write(
+        &mut self,
+        page: usize,
+        directory: &spread::Directory,
+    ) -> Result<(), follow::Error>;
 }
 
 /// Objects in the store that the service uses, each over a connection of its own.
@@ -66,21 +70,21 @@
 }
 
 /// Polls the store with linearizable reads.
-pub(super) struct Lookout<C, R> {
+pub(super) struct Poller<C, R> {
     pub(super) config: C,
     pub(super) registrations: R,
     /// The registrations that the last poll showed.
-    pub(super) last: Option<Listed>,
+    pub(super) last: Option<Listing>,
 }
 
 /// Identifies the registrations that a poll showed.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Listed {
+pub(super) struct Listing {
     at: ids::Revision,
     digest: follow::Digest,
 }
 
-impl<C, R> Lookout<C, R>
+impl<C, R> Poller<C, R>
 where
     C: follow::Source<Value = String>,
     R: follow::Source<Value = registry::Entry>,
@@ -94,30 +98,30 @@
         loop {
             tokio::select! {
                 () = timer.stop().cancelled() => return,
-                () = service.look_wanted() => {}
+                () = service.poll_requested() => {}
             }
             let began = service.clock().now();
-            let heard = [self.config.heard(), self.registrations.heard()];
-            let looked = tokio::select! {
-                looked = self.look(&service) => looked,
-                () = follow_progress(&service, &heard, &timer) => return,
+            let received = [self.config.heard(), self.registrations.heard()];
+            let polled = tokio::select! {
+                polled = self.poll(&service) => polled,
+                () = follow_progress(&service, &received, &timer) => return,
             };
             let took = service.clock().now().since(began);
-            let age = match looked {
+            let age = match polled {
                 Ok(()) => {
-                    log::info!(took_ms = clock::millis(took); "looked at the store");
+                    log::info!(took_ms = clock::millis(took); "polled the store");
                     Some(took)
                 }
                 Err(error) => {
-                    log::info!(error:% = error, took_ms = clock::millis(took); "look failed");
+                    log::info!(error:% = error, took_ms = clock::millis(took); "poll of the store failed");
                     None
                 }
             };
-            service.handle(|state, now| state.looked(age, now));
+            service.handle(|state, now| state.polled(age, now));
         }
     }
 
-    async fn look<H: spread::Hear>(
+    async fn poll<H: spread::Hear>(
         &mut self,
         service: &spread::Service<H>,
     ) -> Result<(), follow::Error> {
@@ -125,7 +129,7 @@
         let revision = snapshot.revision;
         for item in snapshot.items {
             if let Some(text) = item.value {
-                service.take_config(item.revision, text, "the store");
+                service.apply_config(item.revision, text, "the store");
             }
         }
         // If nothing was written since the last poll, the registrations needn't be
@@ -135,11 +139,11 @@
             return Ok(());
         }
         let snapshot = self.registrations.list().await?;
-        self.last = Some(Listed {
+        self.last = Some(Listing {
             at: snapshot.revision,
             digest: follow::Digest::of(&snapshot.items),
         });
-        service.take_list(snapshot, true, "the store");
+        service.apply_list(snapshot, true, "the store");
         Ok(())
     }
 }
@@ -147,44 +151,44 @@
 /// Reports when data from the store arrives during a poll, until `timer` stops.
 async fn follow_progress<H: spread::Hear>(
     service: &spread::Service<H>,
-    heard: &[clock::Latest],
+    received: &[clock::Latest],
     timer: &timer::Service,
 ) {
-    while timer.pause(PROGRESS).await {
-        if let Some(age) = heard.iter().filter_map(clock::Latest::age).min() {
-            service.handle(|state, now| state.look_heard(age, now));
+    while timer.pause(PROGRESS_INTERVAL).await {
+        if let Some(age) = received.iter().filter_map(clock::Latest::age).min() {
+            service.handle(|state, now| state.poll_progressed(age, now));
         }
     }
 }
 
 /// An operation on the directory.
 #[derive(Debug)]
-pub(super) enum Task {
+pub(super) enum DirectoryTask {
     Read,
     Write(usize, spread::Directory),
 }
 
 /// Reads and writes the directory as requested.
-pub(super) async fn keep_pages<H: spread::Hear, P: Pages>(
+pub(super) async fn run_directory_tasks<H: spread::Hear, P: Pages>(
     service: spread::Service<H>,
     mut pages: P,
-    mut tasks: sync::mpsc::UnboundedReceiver<Task>,
+    mut tasks: sync::mpsc::UnboundedReceiver<DirectoryTask>,
 ) {
     while let Some(task) = tasks.recv().await {
         match task {
-            Task::Read => {
+            DirectoryTask::Read => {
                 let read = pages.read().await;
                 let read =
                     read.inspect_err(|error| log::info!(error:% = error; "directory not read"));
-                service.handle(|state, now| state.listed(read.ok(), now));
+                service.handle(|state, now| state.directory_read(read.ok(), now));
             }
-            Task::Write(page, told) => {
-                let written = pages.write(page, &told).await;
+            DirectoryTask::Write(page, directory) => {
+                let written = pages.write(page, &directory).await;
                 match &written {
-                    Ok(()) => log::info!(page = page, vms = told.vms; "directory written"),
+                    Ok(()) => log::info!(page = page, vms = directory.vms; "directory written"),
                     Err(error) => log::info!(page = page, error:% = error; "directory not written"),
                 }
-                service.handle(|state, now| state.written(written.is_ok(), now));
+                service.handle(|state, now| state.directory_written(written.is_ok(), now));
             }
         }
     }
@@ -194,7 +198,7 @@
 pub(super) async fn watch<H, R>(
     service: spread::Service<H>,
     mut source: R,
-    mut duty: sync::watch::Receiver<Option<usize>>,
+    mut poller_rank: sync::watch::Receiver<Option<usize>>,
     timer: timer::Service,
 ) where
     H: spread::Hear,
@@ -203,11 +207,11 @@
     let mut backoff = backoff();
     let mut failures = 0_u32;
     loop {
-        if duty.wait_for(Option::is_some).await.is_err() {
+        if poller_rank.wait_for(Option::is_some).await.is_err() {
             return;
         }
         let Some(revision) = service.revision() else {
-            if !timer.pause(RETRY).await {
+            if !timer.pause(MIN_RETRY_DELAY).await {
                 return;
             }
             continue;
@@ -215,25 +219,25 @@
         let watched = tokio::select! {
             () = timer.stop().cancelled() => return,
             watched = source.watch(revision) => watched,
-            () = service.missed() => {
-                log::info!(revision:% = revision; "watch is deaf; watching anew");
+            () = service.watch_missed() => {
+                log::info!(revision:% = revision; "watch missed a change; restarting it");
                 continue;
             }
-            _ = duty.wait_for(Option::is_none) => continue,
+            _ = poller_rank.wait_for(Option::is_none) => continue,
         };
-        let pause = match watched {
-            Ok((changes, told)) => {
-                let first = *duty.borrow() == Some(0);
-                if !first && !changes.is_empty() && !timer.pause(SECOND).await {
+        let delay = match watched {
+            Ok((changes, until)) => {
+                let first = *poller_rank.borrow() == Some(0);
+                if !first && !changes.is_empty() && !timer.pause(SECOND_POLLER_DELAY).await {
                     return;
                 }
                 if failures > 0 {
-                    log::info!(failures = failures, revision:% = told; "watch is back");
+                    log::info!(failures = failures, revision:% = until; "watch is back");
                 }
                 failures = 0;
                 backoff.succeeded();
-                if service.take_watched(changes, told) {
-                    GATHER
+                if service.apply_watched(changes, until) {
+                    BATCH_DELAY
                 } else {
                     time::Duration::ZERO
                 }
@@ -243,10 +247,10 @@
                     log::warn!(revision:% = revision, error:% = error; "watch lost");
                 }
                 failures += 1;
-                backoff.failed(rand::random_range(JITTER))
+                backoff.failed(rand::random_range(RETRY_JITTER))
             }
         };
-        if !pause.is_zero() && !timer.pause(pause).await {
+        if !delay.is_zero() && !timer.pause(delay).await {
             return;
         }
     }
--- a/crates/geraniumgauge/src/spread/tests/large.rs
+++ b/crates/geraniumgauge/src/spread/tests/large.rs
@@ -10,14 +10,14 @@
 use crate::spread::tests::world::SECOND;
 
 /// Time within which a change must be in force.
-const APPLY: time::Duration = time::Duration::from_secs(6);
+const MAX_APPLY_TIME: time::Duration = time::Duration::from_secs(6);
 /// Most polls of the pollers and a few other VMs during one change.
-const LOOKS: u64 = 12;
+const MAX_POLLS: u64 = 12;
 
 /// Guards against a configuration that all VMs of a data centre fetch from one VM,
 /// whose link completes none of the answers before the requesters give up.
 #[test]
-fn a_large_configuration_reaches_all_by_narrow_links() {
+fn a_large_configuration_reaches_all_over_slow_links() {
     for (count, seed) in [61, 295]
         .into_iter()
         .flat_map(|c| (0..4).map(move |s| (c, s)))
@@ -26,13 +26,13 @@
         world.size = 7e5;
         for round in 0..3 {
             world.change();
-            let before = world.looks;
-            let took = world.until(APPLY, world::World::all_hold);
+            let before = world.polls;
+            let took = world.until(MAX_APPLY_TIME, world::World::all_hold);
             assert!(took.is_some(), "{count} VMs, seed {seed}, round {round}");
-            let looks = world.looks - before;
+            let polls = world.polls - before;
             assert!(
-                looks <= LOOKS,
-                "{count} VMs, seed {seed}, round {round}: {looks} looks"
+                polls <= MAX_POLLS,
+                "{count} VMs, seed {seed}, round {round}: {polls} polls"
             );
             world.run(3 * SECOND);
         }
@@ -42,52 +42,55 @@
 /// Guards against a VM that knows of a newer configuration, can't get it from
 /// others, and doesn't poll because others report that the store is unavailable.
 #[test]
-fn word_of_an_outage_keeps_no_vm_from_what_it_lacks() {
+fn outage_reports_keep_no_vm_from_content_that_it_lacks() {
     for seed in 0..8 {
         let mut world = world::settled(61, seed);
         let (now, from) = (world.now, "10.0.0.1:7000".parse().expect("an address"));
-        let alone = world.vms.iter().position(|vm| vm.state.duty(now).is_none());
-        let state = &mut world.vms[alone.expect("most VMs don't look for all")].state;
-        let age = state.age(now).expect("it heard of looks");
+        let follower = world
+            .vms
+            .iter()
+            .position(|vm| vm.state.poller_rank(now).is_none());
+        let state = &mut world.vms[follower.expect("most VMs aren't pollers")].state;
+        let age = state.age(now).expect("it received polls");
         let mut number = 1 << 60;
         let mut at = now;
-        let looked = loop {
+        let polled = loop {
             number += 1;
-            state.heard(from, away(number), at);
-            let mut looked = false;
+            state.receive(from, unavailable_update(number), at);
+            let mut polled = false;
             for action in state.tick(at) {
                 match action {
                     spread::Action::Fetch { from, .. } => {
-                        state.answered(from, None, SECOND, at);
+                        state.fetched(from, None, SECOND, at);
                     }
-                    spread::Action::Look => looked = true,
+                    spread::Action::Poll => polled = true,
                     _ => {}
                 }
             }
-            if looked || at.since(now) > 10 * APPLY {
+            if polled || at.since(now) > 10 * MAX_APPLY_TIME {
                 break age + at.since(now);
             }
             at = at + SECOND / 4;
         };
         // The rest of the bound is left for the poll itself.
-        assert!(looked < APPLY * 5 / 6, "seed {seed}: {looked:?}");
+        assert!(polled < MAX_APPLY_TIME * 5 / 6, "seed {seed}: {polled:?}");
     }
 }
 
 /// Returns an update that mentions a newer configuration and reports that the store
 /// is unavailable.
-fn away(number: u64) -> spread::Datagram {
-    let holds = spread::Holds {
+fn unavailable_update(number: u64) -> spread::Datagram {
+    let position = spread::Position {
         revision: Some(ids::Revision(99)),
         digest: follow::Digest(5),
         config: Some(ids::Revision(99)),
     };
     let summary = spread::Summary {
-        look: Some(news::look(number, time::Duration::ZERO)),
-        ..news::of(holds)
+        poll: Some(news::poll(number, time::Duration::ZERO)),
+        ..news::of(position)
     };
     spread::Datagram::Update(spread::Update {
-        away: true,
+        unavailable: true,
         ..news::update("vm-1", summary)
     })
 }
--- a/crates/geraniumgauge/src/spread/tests/member.rs
+++ b/crates/geraniumgauge/src/spread/tests/member.rs
@@ -60,7 +60,7 @@
 /// Guards against a VM whose clock went back between two starts, and which others
 /// still take for its earlier start.
 #[test]
-fn a_start_with_an_earlier_clock_outbids_the_one_before() {
+fn a_start_with_an_earlier_clock_replaces_the_one_before() {
     let mut members = spread::Members::new(member("own", 50, 0), at(0));
     assert!(members.merge(member("own", 80, 3), time::Duration::ZERO, at(1)));
     assert_eq!(members.own().incarnation, ids::Incarnation(81));
@@ -71,28 +71,32 @@
 
 /// Guards against VMs that all take over from a silent poller at once.
 #[test]
-fn silent_vms_are_passed_over_one_after_the_other() {
+fn silent_pollers_are_replaced_one_after_the_other() {
     let silence = 7 * SECOND;
     let names: Vec<String> = (0..20).map(|vm| format!("vm-{vm}")).collect();
-    let holders = |now: clock::Moment, looked: Option<(&str, clock::Moment)>| {
-        let on_duty = |own: &&String| {
+    let pollers = |now: clock::Moment, polled: Option<(&str, clock::Moment)>| {
+        let rank_changes = |own: &&String| {
             let mut members = spread::Members::new(member(own, 1, 0), at(0));
             for vm in &names {
                 members.merge(member(vm, 1, 0), time::Duration::ZERO, at(0));
             }
-            if let Some((vm, at)) = looked {
-                members.looked(&vm.parse().expect("a name"), at);
+            if let Some((vm, at)) = polled {
+                members.polled(&vm.parse().expect("a name"), at);
             }
-            members.duty(silence, now).is_some()
+            members.poller_rank(silence, now).is_some()
         };
-        names.iter().filter(on_duty).cloned().collect::<Vec<_>>()
+        names
+            .iter()
+            .filter(rank_changes)
+            .cloned()
+            .collect::<Vec<_>>()
     };
-    let first = holders(at(1), None);
+    let first = pollers(at(1), None);
     assert_eq!(first.len(), 2);
     // Both are silent: other VMs follow, but not all of them.
-    let next = holders(at(8), None);
+    let next = pollers(at(8), None);
     assert_eq!(next.len(), 4, "{next:?}");
     // One of them has polled: it remains, and one more takes over.
-    let kept = holders(at(8), Some((&first[0], at(5))));
+    let kept = pollers(at(8), Some((&first[0], at(5))));
     assert!(kept.len() <= 3 && kept.contains(&first[0]), "{kept:?}");
 }
--- a/crates/geraniumgauge/src/spread/tests/news.rs
+++ b/crates/geraniumgauge/src/spread/tests/news.rs
@@ -7,26 +7,26 @@
 /// Returns the summary of a VM that knows nothing.
 pub(crate) fn nothing() -> spread::Summary {
     spread::Summary {
-        holds: spread::Holds::default(),
-        sure: false,
-        look: None,
+        position: spread::Position::default(),
+        verified: false,
+        poll: None,
         vms: None,
         members: 0,
     }
 }
 
 /// Returns the summary of a VM that holds what a poll showed.
-pub(crate) fn of(holds: spread::Holds) -> spread::Summary {
+pub(crate) fn of(position: spread::Position) -> spread::Summary {
     spread::Summary {
-        holds,
-        sure: true,
+        position,
+        verified: true,
         ..nothing()
     }
 }
 
 /// Returns a poll of `vm-1`.
-pub(crate) fn look(number: u64, age: time::Duration) -> spread::Look {
-    spread::Look {
+pub(crate) fn poll(number: u64, age: time::Duration) -> spread::Poll {
+    spread::Poll {
         vm: "vm-1".parse().expect("a name"),
         number,
         age,
@@ -38,8 +38,8 @@
     spread::Update {
         vm: vm.parse().expect("a name"),
         summary,
-        away: false,
-        pass: spread::Pass::None,
+        unavailable: false,
+        forwarding: spread::Forwarding::None,
         changes: None,
     }
 }
@@ -51,6 +51,6 @@
         records: Vec::new(),
         config: None,
         registrations: None,
-        elsewhere: None,
+        redirect: None,
     }
 }
--- a/crates/geraniumgauge/src/spread/tests/sending.rs
+++ b/crates/geraniumgauge/src/spread/tests/sending.rs
@@ -20,21 +20,21 @@
 }
 
 /// Starts an answer for which the link has capacity, and returns its ticket.
-fn begin(sending: &mut sending::Sending, to: u8, now: clock::Moment) -> spread::Ticket {
-    let begun = sending.begin(vm(to), LARGE, false, now);
-    let ticket = begun.expect("room on the link");
-    ticket.expect("a large answer takes a part of the link")
+fn begin(sending: &mut sending::Admission, to: u8, now: clock::Moment) -> spread::Ticket {
+    let started = sending.begin(vm(to), LARGE, false, now);
+    let ticket = started.expect("capacity on the link");
+    ticket.expect("a large answer needs a ticket")
 }
 
 #[test]
-fn answers_beyond_what_the_link_carries_soon_are_sent_elsewhere() {
-    let mut sending = sending::Sending::new(LINK, at(0));
+fn answers_beyond_the_link_capacity_are_redirected() {
+    let mut sending = sending::Admission::new(LINK, at(0));
     let now = at(1000);
     let first = begin(&mut sending, 1, now);
     let full = sending.begin(vm(2), LARGE, false, now);
-    let after = time::Duration::from_millis(300);
+    let retry_after = time::Duration::from_millis(300);
     let vms = Vec::new();
-    assert_eq!(full, Err(spread::Elsewhere { vms, after }));
+    assert_eq!(full, Err(spread::Redirect { vms, retry_after }));
     // Small changes are sent nevertheless.
     let small = sending.begin(vm(3), rate::Bytes(900), false, now);
     assert_eq!(small, Ok(None));
@@ -43,12 +43,12 @@
     assert_eq!(sending.end(first), Some(vec![vm(2)]));
     begin(&mut sending, 2, now);
     let full = sending.begin(vm(4), LARGE, false, now);
-    assert_eq!(full.map_err(|elsewhere| elsewhere.vms), Err(vec![vm(1)]));
+    assert_eq!(full.map_err(|redirect| redirect.vms), Err(vec![vm(1)]));
 }
 
 #[test]
-fn an_answer_larger_than_all_that_the_link_carries_soon_is_sent_alone() {
-    let mut sending = sending::Sending::new(LINK, at(0));
+fn an_answer_larger_than_the_link_capacity_is_sent_alone() {
+    let mut sending = sending::Admission::new(LINK, at(0));
     let huge = rate::Bytes(4 << 20);
     let sent = sending.begin(vm(1), huge, false, at(1000));
     assert!(matches!(sent, Ok(Some(_))));
@@ -58,8 +58,8 @@
 /// Guards against a VM that lost power after its request and blocks the link
 /// forever.
 #[test]
-fn an_answer_that_nobody_takes_gives_its_part_of_the_link_back() {
-    let mut sending = sending::Sending::new(LINK, at(0));
+fn an_abandoned_answer_releases_its_part_of_the_link() {
+    let mut sending = sending::Admission::new(LINK, at(0));
     begin(&mut sending, 1, at(1000));
     begin(&mut sending, 2, at(7000));
 }
@@ -67,11 +67,11 @@
 /// Guards against a VM that asks twice, where the end of the first answer also
 /// releases the reservation of the second one.
 #[test]
-fn an_answer_gives_back_its_own_part_of_the_link_alone() {
-    let mut sending = sending::Sending::new(LINK, at(0));
+fn an_answer_releases_only_its_own_part_of_the_link() {
+    let mut sending = sending::Admission::new(LINK, at(0));
     let half = rate::Bytes(LARGE.0 / 2);
     let first = sending.begin(vm(1), half, false, at(1000));
-    let first = first.expect("room on the link").expect("a part of it");
+    let first = first.expect("capacity on the link").expect("a ticket");
     assert!(sending.begin(vm(1), half, false, at(1000)).is_ok());
     assert!(sending.end(first).is_some());
     assert_eq!(sending.end(first), None);
@@ -81,13 +81,13 @@
 /// Guards against VMs with few cores that fill the link before VMs that serve many
 /// others are admitted.
 #[test]
-fn those_who_tell_more_vms_have_a_head_start() {
-    let mut sending = sending::Sending::new(LINK, at(0));
-    sending.renew(at(1000));
-    assert!(sending.is_new(at(1001)));
+fn vms_that_serve_more_vms_are_admitted_first() {
+    let mut sending = sending::Admission::new(LINK, at(0));
+    sending.content_changed(at(1000));
+    assert!(sending.is_content_new(at(1001)));
     assert!(sending.begin(vm(1), LARGE, true, at(1001)).is_err());
     let first = begin(&mut sending, 2, at(1001));
     sending.end(first);
-    assert!(!sending.is_new(at(1100)));
+    assert!(!sending.is_content_new(at(1100)));
     begin(&mut sending, 1, at(1100));
 }
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -14,7 +14,7 @@
 use crate::time as clock;
 use crate::timer;
 
-const PERIOD: time::Duration = time::Duration::from_millis(100);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// A configuration that never changes.
 struct Config;
@@ -51,12 +51,12 @@
 /// Registrations that change between any two lists, and whose watches receive
 /// nothing.
 #[derive(Clone, Default)]
-struct Deaf {
+struct SilentWatch {
     lists: rc::Rc<cell::Cell<u64>>,
     watches: rc::Rc<cell::RefCell<Vec<ids::Revision>>>,
 }
 
-impl follow::Source for Deaf {
+impl follow::Source for SilentWatch {
     type Value = registry::Entry;
 
     fn heard(&self) -> clock::Latest {
@@ -101,9 +101,9 @@
 const LINK: rate::BytesPerSecond = rate::BytesPerSecond(1e9);
 
 /// Listener that ignores everything and reaches no other VM.
-struct Ear;
+struct NullListener;
 
-impl spread::Hear for Ear {
+impl spread::Hear for NullListener {
     fn config(&self, _: &str) {}
     fn registrations(&self, _: spread::Registrations, _: time::Duration) {}
     fn registration(&self, _: &str) -> Option<registry::Entry> {
@@ -121,12 +121,12 @@
 /// that no longer receives anything continues to wait although polls show changes
 /// that it missed.
 #[test]
-fn a_watch_that_missed_what_a_look_showed_is_made_anew() {
+fn a_watch_that_missed_a_change_is_restarted() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    let registrations = Deaf::default();
+    let registrations = SilentWatch::default();
     let watches = registrations.watches.clone();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let clock = clock::Clock::start();
@@ -141,7 +141,7 @@
             data_centre: "dc".parse().expect("a name"),
             power: 1.0,
         };
-        let state = spread::State::new(own, PERIOD, Vec::new(), LINK, 1, clock.now());
+        let state = spread::State::new(own, POLL_INTERVAL, Vec::new(), LINK, 1, clock.now());
         let store = spread::Store {
             config: Config,
             registrations: registrations.clone(),
@@ -149,8 +149,8 @@
             pages: Pages,
         };
         let timer = timer::Service::new(sync::CancellationToken::new());
-        spread::Service::start(state, socket, Ear, store, clock, &timer);
-        tokio::time::sleep(PERIOD * 30).await;
+        spread::Service::start(state, socket, NullListener, store, clock, &timer);
+        tokio::time::sleep(POLL_INTERVAL * 30).await;
     });
     let watches = watches.borrow();
     assert!(watches.len() >= 10, "{watches:?}");
--- a/crates/geraniumgauge/src/spread/tests/state.rs
+++ b/crates/geraniumgauge/src/spread/tests/state.rs
@@ -9,10 +9,10 @@
 
 /// Time within which a change must be in force; the poll interval is two fifths of
 /// it.
-const APPLY: time::Duration = time::Duration::from_secs(6);
+const MAX_APPLY_TIME: time::Duration = time::Duration::from_secs(6);
 
 /// Additional time that a change may take while the store refuses some VMs.
-const UNSTABLE: time::Duration = time::Duration::from_secs(15);
+const EXTRA_APPLY_TIME: time::Duration = time::Duration::from_secs(15);
 
 /// Guards against a change that some VM misses or receives too late.
 #[test]
@@ -23,7 +23,7 @@
             world.loss = 0.1;
             for _ in 0..4 {
                 world.change();
-                let took = world.until(APPLY, world::World::all_hold);
+                let took = world.until(MAX_APPLY_TIME, world::World::all_hold);
                 assert!(took.is_some(), "{count} VMs, seed {seed}");
             }
         }
@@ -32,14 +32,14 @@
 
 /// Guards against calls to the store that grow with the fleet.
 #[test]
-fn looks_do_not_grow_with_the_fleet() {
+fn polls_do_not_grow_with_the_fleet() {
     for count in world::FLEETS {
         let mut world = world::settled(count, 7);
-        let before = (world.looks, world.reads + world.writes);
+        let before = (world.polls, world.reads + world.writes);
         world.run(60 * SECOND);
-        let looks = world.looks - before.0;
+        let polls = world.polls - before.0;
         // One VM polls every 2.4 s, and the other one at least every 4.8 s.
-        assert!(looks <= 25 + 13 + 2, "{count} VMs: {looks} looks");
+        assert!(polls <= 25 + 13 + 2, "{count} VMs: {polls} polls");
         let kept = world.reads + world.writes - before.1;
         assert!(kept <= 16, "{count} VMs: {kept} calls for the directory");
     }
@@ -48,45 +48,48 @@
 /// Guards against many VMs calling a store that is unavailable, whether it refuses
 /// calls or doesn't answer, and against noticing its return too late.
 #[test]
-fn an_outage_is_met_by_few_and_its_end_noticed_by_all() {
-    for (count, patience) in world::FLEETS
+fn few_vms_call_an_unavailable_store_and_all_notice_its_return() {
+    for (count, call_timeout) in world::FLEETS
         .into_iter()
         .flat_map(|count| [(count, 4), (count, 900)])
     {
         let mut world = world::settled(count, 11);
-        world.patience = time::Duration::from_millis(patience);
+        world.call_timeout = time::Duration::from_millis(call_timeout);
         for vm in &mut world.vms {
             vm.served = false;
         }
-        let before = world.looks;
+        let before = world.polls;
         world.run(7 * SECOND);
-        let tries = world.looks - before;
+        let retries = world.polls - before;
         // Two VMs retry every 0.4 s at most, and all others together twice a
         // second.
-        assert!(tries <= 60, "{count} VMs, {patience} ms: {tries} tries");
+        assert!(
+            retries <= 60,
+            "{count} VMs, {call_timeout} ms: {retries} retries"
+        );
         for vm in &mut world.vms {
             vm.served = true;
         }
         world.change();
         let took = world.until(2 * SECOND, world::World::all_hold);
-        assert!(took.is_some(), "{count} VMs, {patience} ms");
+        assert!(took.is_some(), "{count} VMs, {call_timeout} ms");
     }
 }
 
 /// Guards against changes that are lost because the store refuses just the pollers.
 #[test]
-fn those_whom_the_store_turns_away_are_told_by_others() {
+fn vms_that_the_store_refuses_are_updated_by_others() {
     for seed in 0..5 {
         let mut world = world::settled(61, seed);
         let now = world.now;
         for vm in &mut world.vms {
-            if vm.state.duty(now).is_some() {
+            if vm.state.poller_rank(now).is_some() {
                 vm.served = false;
             }
         }
         for round in 0..6 {
             world.change();
-            let took = world.until(APPLY, world::World::all_hold);
+            let took = world.until(MAX_APPLY_TIME, world::World::all_hold);
             assert!(took.is_some(), "seed {seed}, round {round}");
             world.run(2 * SECOND);
         }
@@ -96,14 +99,14 @@
 /// Guards against a VM that the store serves, but that only receives messages of
 /// VMs that it refuses, whose reports postpone its own poll again and again.
 #[test]
-fn word_of_an_outage_is_not_relied_on_for_ever() {
+fn outage_reports_are_not_relied_on_forever() {
     for seed in 0..8 {
         let mut world = world::settled(61, seed);
         for vm in &mut world.vms[1..] {
             vm.served = false;
         }
         world.change();
-        let took = world.until(APPLY + UNSTABLE, world::World::all_hold);
+        let took = world.until(MAX_APPLY_TIME + EXTRA_APPLY_TIME, world::World::all_hold);
         assert!(took.is_some(), "seed {seed}");
     }
 }
@@ -111,63 +114,62 @@
 /// Guards against reports of an outage that VMs repeat to each other although none
 /// of them has found the store unavailable.
 #[test]
-fn only_own_doubts_of_the_store_are_told() {
+fn only_outages_that_a_vm_found_itself_are_reported() {
     let mut world = world::settled(61, 4);
     let now = world.now;
-    let reads = |vm: &world::Vm| vm.state.duty(now).is_some();
-    let reader = world.vms.iter().position(reads).expect("a VM that reads");
-    let state = &mut world.vms[reader].state;
+    let is_poller = |vm: &world::Vm| vm.state.poller_rank(now).is_some();
+    let poller = world.vms.iter().position(is_poller).expect("a poller");
+    let state = &mut world.vms[poller].state;
     let summary = spread::Summary {
         members: state.members().digest(),
-        ..news::of(state.holds())
+        ..news::of(state.position())
     };
-    let away = spread::Update {
-        away: true,
+    let unavailable = spread::Update {
+        unavailable: true,
         ..news::update("vm-20", summary)
     };
     let from = "10.0.0.20:7000".parse().expect("an address");
-    state.heard(from, spread::Datagram::Update(away), now);
-    state.watched(None, now);
-    let told = state
+    state.receive(from, spread::Datagram::Update(unavailable), now);
+    state.watch_changed(None, now);
+    let reported = state
         .tick(now)
         .into_iter()
         .filter_map(|action| match action {
             spread::Action::Send {
                 datagram: spread::Datagram::Update(update),
                 ..
-            } => Some(update.away),
+            } => Some(update.unavailable),
             _ => None,
         });
-    let told: Vec<bool> = told.collect();
+    let reported: Vec<bool> = reported.collect();
     assert!(
-        !told.is_empty() && told.iter().all(|away| !away),
-        "{told:?}"
+        !reported.is_empty() && reported.iter().all(|unavailable| !unavailable),
+        "{reported:?}"
     );
 }
 
 /// Guards against a poller role that no VM takes over.
 #[test]
-fn those_that_look_for_all_are_replaced() {
+fn pollers_that_stop_are_replaced() {
     for seed in 0..5 {
         let mut world = world::settled(61, seed);
         for round in 0..3 {
             let now = world.now;
             for vm in 0..61 {
-                if world.vms[vm].on && world.vms[vm].state.duty(now).is_some() {
+                if world.vms[vm].running && world.vms[vm].state.poller_rank(now).is_some() {
                     world.stop(vm);
                 }
             }
             world.change();
-            let took = world.until(APPLY, world::World::all_hold);
+            let took = world.until(MAX_APPLY_TIME, world::World::all_hold);
             assert!(took.is_some(), "seed {seed}, round {round}");
             world.run(25 * SECOND);
             let now = world.now;
-            let on = world.vms.iter().filter(|vm| vm.on);
-            let holders = on.filter(|vm| vm.state.duty(now).is_some()).count();
-            assert!(
-                (1..=4).contains(&holders),
-                "seed {seed}: {holders} look for all"
-            );
+            let running = world.vms.iter().filter(|vm| vm.running);
+            let pollers = running
+                .filter(|vm| vm.state.poller_rank(now).is_some())
+                .count();
+            assert!((1..=4).contains(&pollers), "seed {seed}: {pollers} pollers");
         }
     }
 }
@@ -175,16 +177,19 @@
 /// Guards against a VM that receives nothing from others and keeps outdated
 /// content.
 #[test]
-fn a_vm_cut_off_from_the_others_looks_for_itself() {
+fn a_vm_cut_off_from_the_others_polls_the_store_itself() {
     for seed in 0..5 {
         let mut world = world::settled(61, seed);
         let now = world.now;
-        let alone = world.vms.iter().position(|vm| vm.state.duty(now).is_none());
-        let alone = alone.expect("most VMs don't look for all");
-        world.vms[alone].side = 9;
+        let follower = world
+            .vms
+            .iter()
+            .position(|vm| vm.state.poller_rank(now).is_none());
+        let follower = follower.expect("most VMs aren't pollers");
+        world.vms[follower].partition = 9;
         for _ in 0..3 {
             world.change();
-            let took = world.until(APPLY, world::World::all_hold);
+            let took = world.until(MAX_APPLY_TIME, world::World::all_hold);
             assert!(took.is_some(), "seed {seed}");
         }
     }
@@ -196,22 +201,26 @@
     let mut world = world::settled(8, 2);
     world.vms[5].served = false;
     world.change();
-    assert!(world.until(APPLY, world::World::all_hold).is_some());
+    assert!(
+        world
+            .until(MAX_APPLY_TIME, world::World::all_hold)
+            .is_some()
+    );
 }
 
 /// Guards against an old poll that a VM forwards after a pause, and that others
 /// take for a fresh one.
 #[test]
-fn a_look_that_comes_late_is_no_fresher_for_that() {
+fn a_poll_that_arrives_late_is_not_taken_for_fresh() {
     let mut world = world::settled(8, 6);
     let state = &mut world.vms[4].state;
     let now = world.now;
-    let fresh = state.age(now).expect("it heard of looks");
+    let fresh = state.age(now).expect("it received polls");
     let update = |number, age| {
         let summary = spread::Summary {
-            look: Some(news::look(number, age)),
+            poll: Some(news::poll(number, age)),
             members: state.members().digest(),
-            ..news::of(state.holds())
+            ..news::of(state.position())
         };
         spread::Datagram::Update(news::update("vm-1", summary))
     };
@@ -221,63 +230,63 @@
     );
     let from = "10.0.0.1:7000".parse().expect("an address");
     // An earlier poll than the last one of that VM.
-    state.heard(from, old, now);
+    state.receive(from, old, now);
     assert_eq!(state.age(now), Some(fresh));
-    state.heard(from, new.clone(), now);
+    state.receive(from, new.clone(), now);
     assert_eq!(state.age(now), Some(time::Duration::ZERO));
     // The same poll again, a second later.
     let later = now + SECOND;
-    state.heard(from, new, later);
+    state.receive(from, new, later);
     assert_eq!(state.age(later), Some(SECOND));
 }
 
 /// Guards against reporting the store as unavailable while a large configuration is
 /// being read over a slow link.
 #[test]
-fn a_reply_that_goes_on_is_no_outage() {
-    let doubts = |heard: bool| {
+fn a_slow_reply_is_not_reported_as_an_outage() {
+    let reports_unavailable = |data_arrives: bool| {
         let mut world = world::settled(8, 9);
         let now = world.now;
-        let reads = |vm: &world::Vm| vm.state.duty(now).is_some();
-        let reader = world.vms.iter().position(reads).expect("a VM that reads");
-        let state = &mut world.vms[reader].state;
-        let (mut at, mut began, mut away) = (now, None, false);
+        let is_poller = |vm: &world::Vm| vm.state.poller_rank(now).is_some();
+        let poller = world.vms.iter().position(is_poller).expect("a poller");
+        let state = &mut world.vms[poller].state;
+        let (mut at, mut began, mut unavailable) = (now, None, false);
         while at.since(now) < 8 * SECOND {
             for action in state.tick(at) {
                 match action {
-                    spread::Action::Look => began = Some(at),
+                    spread::Action::Poll => began = Some(at),
                     spread::Action::Send {
                         datagram: spread::Datagram::Update(update),
                         ..
-                    } => away |= update.away,
+                    } => unavailable |= update.unavailable,
                     _ => {}
                 }
             }
-            if heard && began.is_some() {
-                state.look_heard(time::Duration::ZERO, at);
+            if data_arrives && began.is_some() {
+                state.poll_progressed(time::Duration::ZERO, at);
             }
             if began.is_some_and(|began| at.since(began) >= SECOND) {
-                state.looked(began.take().map(|began| at.since(began)), at);
+                state.polled(began.take().map(|began| at.since(began)), at);
             }
             at = at + SECOND / 20;
         }
-        away
+        unavailable
     };
-    assert!(!doubts(true));
-    assert!(doubts(false));
+    assert!(!reports_unavailable(true));
+    assert!(reports_unavailable(false));
 }
 
 /// Guards against pollers that wait for a silent store for so long that all other
 /// VMs poll before they receive a report.
 #[test]
-fn a_look_without_a_reply_is_told_of_before_it_fails() {
+fn a_poll_without_a_reply_is_reported_before_it_fails() {
     let mut world = world::settled(8, 9);
-    world.patience = 10 * SECOND;
+    world.call_timeout = 10 * SECOND;
     for vm in &mut world.vms {
         vm.served = false;
     }
-    let before = world.looks;
+    let before = world.polls;
     world.run(6 * SECOND);
     // The two pollers, and a few other VMs at random.
-    assert!(world.looks - before <= 2 + 12, "{}", world.looks - before);
+    assert!(world.polls - before <= 2 + 12, "{}", world.polls - before);
 }
--- a/crates/geraniumgauge/src/spread/tests/wire.rs
+++ b/crates/geraniumgauge/src/spread/tests/wire.rs
@@ -43,16 +43,16 @@
     (member(), time::Duration::from_millis(70))
 }
 
-fn holds() -> spread::Holds {
-    spread::Holds {
+fn position() -> spread::Position {
+    spread::Position {
         revision: Some(ids::Revision(40)),
         digest: follow::Digest(u64::MAX - 3),
         config: None,
     }
 }
 
-fn look() -> spread::Look {
-    spread::Look {
+fn poll() -> spread::Poll {
+    spread::Poll {
         vm: "vm-2".parse().expect("a name"),
         number: 1_700_000_000_001,
         age: time::Duration::from_micros(1234),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn datagrams_come_back_as_they_were() {
+fn datagrams_round_trip() {
     let changes = vec![
         follow::Change::Gone("u7".to_owned()),
         follow::Change::Put(item("u8", Some(entry("u8")))),
@@ -69,14 +69,14 @@
     let update = spread::Update {
         vm: "vm-1".parse().expect("a name"),
         summary: spread::Summary {
-            holds: holds(),
-            sure: true,
-            look: Some(look()),
+            position: position(),
+            verified: true,
+            poll: Some(poll()),
             vms: Some(295),
             members: 99,
         },
-        away: true,
-        pass: spread::Pass::Second,
+        unavailable: true,
+        forwarding: spread::Forwarding::Backup,
         changes: Some(spread::Changes {
             before: follow::Digest(3),
             changes,
@@ -85,7 +85,7 @@
     for datagram in [
         spread::Datagram::Update(update),
         spread::Datagram::Hello(vec![record(), record()]),
-        spread::Datagram::Blamed(ids::Fingerprint(8)),
+        spread::Datagram::CrashSuspect(ids::Fingerprint(8)),
     ] {
         let read = spread::Datagram::decode(&datagram.encode());
         assert_eq!(read.expect("a datagram"), datagram);
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn questions_and_answers_come_back_as_they_were() {
+fn requests_and_answers_round_trip() {
     let fetch = spread::Fetch {
         member: member(),
-        holds: holds(),
+        position: position(),
         members: 4,
-        brief: true,
-        whole: true,
-        alone: true,
+        members_only: true,
+        full: true,
+        knows_no_other: true,
     };
     assert_eq!(wire::Fetch::from(&fetch).read(), Some(fetch));
     for registrations in [
@@ -115,18 +115,18 @@
     ] {
         let answer = spread::Answer {
             summary: spread::Summary {
-                holds: holds(),
-                sure: false,
-                look: Some(look()),
+                position: position(),
+                verified: false,
+                poll: Some(poll()),
                 vms: None,
                 members: 4,
             },
             records: vec![record()],
             config: Some("{}".to_owned()),
             registrations,
-            elsewhere: Some(spread::Elsewhere {
+            redirect: Some(spread::Redirect {
                 vms: vec!["10.0.0.4:7000".parse().expect("an address")],
-                after: time::Duration::from_millis(300),
+                retry_after: time::Duration::from_millis(300),
             }),
         };
         let read = spread::Answer::from(wire::Answer::from(answer.clone()));
@@ -136,12 +136,12 @@
 
 quickcheck::quickcheck! {
     /// Decoding any bytes returns without a panic.
-    fn any_bytes_can_be_read(bytes: Vec<u8>) -> bool {
+    fn any_bytes_can_be_decoded(bytes: Vec<u8>) -> bool {
         spread::Datagram::decode(&bytes).is_ok() || !bytes.is_empty()
     }
 
     /// So does decoding a datagram that was corrupted.
-    fn spoiled_datagrams_can_be_read(at: usize, byte: u8) -> bool {
+    fn corrupted_datagrams_can_be_decoded(at: usize, byte: u8) -> bool {
         let mut bytes = spread::Datagram::Hello(vec![record()]).encode();
         let at = at % bytes.len();
         bytes[at] = byte;
--- a/crates/geraniumgauge/src/spread/tests/world/answers.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/answers.rs
@@ -9,7 +9,7 @@
 use crate::time as clock;
 
 /// Longest time that a VM waits for an answer.
-const ANSWER: time::Duration = time::Duration::from_secs(1);
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 impl world::World {
     /// Sends an answer. A large one uses the sender's link if that has capacity.
@@ -17,7 +17,7 @@
         &mut self,
         vm: usize,
         fetch: &spread::Fetch,
-        question: u64,
+        request: u64,
         mut answer: spread::Answer,
     ) {
         let to = world::index(fetch.member.address);
@@ -30,98 +30,102 @@
             Ok(Some(ticket)) => {
                 let transfer = links::Transfer {
                     to,
-                    question,
+                    request,
                     answer,
                     ticket,
-                    left: self.size,
+                    bytes_left: self.size,
                 };
                 known.link.begin(transfer, self.now);
                 return self.send_next(vm);
             }
             Ok(None) => {}
-            Err(elsewhere) => {
+            Err(redirect) => {
                 answer.config = None;
                 answer.registrations = None;
-                answer.elsewhere = Some(elsewhere);
+                answer.redirect = Some(redirect);
             }
         }
-        self.deliver(vm, to, question, answer);
+        self.deliver(vm, to, request, answer);
     }
 
     pub(super) fn send_next(&mut self, vm: usize) {
-        if let Some((at, turn)) = self.vms[vm].link.next() {
-            self.push(vm, self.now.until(at), world::Event::Sent(turn));
+        if let Some((at, generation)) = self.vms[vm].link.next() {
+            self.push(
+                vm,
+                self.now.until(at),
+                world::Event::Transferred(generation),
+            );
         }
     }
 
-    pub(super) fn deliver(&mut self, vm: usize, to: usize, question: u64, answer: spread::Answer) {
-        let way = self.way(vm, to);
-        if self.reach(vm, to) {
-            self.push(to, way, world::Event::Answered(question, answer));
+    pub(super) fn deliver(&mut self, vm: usize, to: usize, request: u64, answer: spread::Answer) {
+        let latency = self.latency(vm, to);
+        if self.can_reach(vm, to) {
+            self.push(to, latency, world::Event::Answered(request, answer));
         }
     }
 
     /// Closes the connection of a request on the requester's side.
-    pub(super) fn hang_up(&mut self, vm: usize, question: u64) {
-        if let Some(transfer) = self.vms[vm].link.abort(question, self.now) {
-            self.vms[vm].state.told(transfer.ticket, self.now);
-            self.act(vm);
+    pub(super) fn close_request(&mut self, vm: usize, request: u64) {
+        if let Some(transfer) = self.vms[vm].link.abort(request, self.now) {
+            self.vms[vm].state.release(transfer.ticket, self.now);
+            self.advance(vm);
             self.send_next(vm);
         }
     }
 
     pub(super) fn ask(&mut self, vm: usize, from: usize, fetch: spread::Fetch) {
-        self.asked += 1;
-        let question = self.asked;
+        self.last_request += 1;
+        let request = self.last_request;
         let asked = (from, self.now);
-        self.vms[vm].questions.insert(question, asked);
-        let wait = if self.reach(vm, from) {
-            let way = self.way(vm, from) * 2;
-            self.push(from, way, world::Event::Asked(question, fetch));
-            ANSWER
+        self.vms[vm].requests.insert(request, asked);
+        let wait = if self.can_reach(vm, from) {
+            let latency = self.latency(vm, from) * 2;
+            self.push(from, latency, world::Event::Asked(request, fetch));
+            ANSWER_TIMEOUT
         } else {
             time::Duration::from_millis(100)
         };
-        self.push(vm, wait, world::Event::Overdue(question));
+        self.push(vm, wait, world::Event::TimedOut(request));
     }
 }
 
 /// Does what [`spread::Service`] does with an update before the state receives it.
-pub(super) fn agree(
+pub(super) fn adopt(
     state: &mut spread::State,
-    theirs: &spread::Holds,
-    sure: bool,
+    theirs: &spread::Position,
+    verified: bool,
     now: clock::Moment,
 ) {
-    let mut holds = state.holds();
-    if holds.revision.is_some() && holds.digest == theirs.digest {
-        holds.revision = holds.revision.max(theirs.revision);
-        let sure = sure || state.is_sure();
-        state.hold(holds, sure, now);
+    let mut position = state.position();
+    if position.revision.is_some() && position.digest == theirs.digest {
+        position.revision = position.revision.max(theirs.revision);
+        let verified = verified || state.is_verified();
+        state.set_position(position, verified, now);
     }
 }
 
 /// Does what [`spread::Service`] does with an answer before the state receives it.
-pub(super) fn take(
+pub(super) fn apply(
     state: &mut spread::State,
     answer: &mut spread::Answer,
     took: time::Duration,
     now: clock::Moment,
 ) {
-    if !state.trusts(answer, took, now) {
+    if !state.accepts(answer, took, now) {
         answer.config = None;
         answer.registrations = None;
         return;
     }
-    let (mut holds, mut sure) = (state.holds(), state.is_sure());
-    let theirs = answer.summary.holds;
+    let (mut position, mut verified) = (state.position(), state.is_verified());
+    let theirs = answer.summary.position;
     if answer.config.is_some() {
-        holds.config = holds.config.max(theirs.config);
+        position.config = position.config.max(theirs.config);
     }
-    if answer.registrations.is_some() && theirs.revision >= holds.revision {
-        (holds.revision, holds.digest) = (theirs.revision, theirs.digest);
-        sure = answer.summary.sure;
+    if answer.registrations.is_some() && theirs.revision >= position.revision {
+        (position.revision, position.digest) = (theirs.revision, theirs.digest);
+        verified = answer.summary.verified;
     }
-    state.hold(holds, sure, now);
-    agree(state, &theirs, answer.summary.sure, now);
+    state.set_position(position, verified, now);
+    adopt(state, &theirs, answer.summary.verified, now);
 }
--- a/crates/geraniumgauge/src/spread/tests/world/power.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/lifecycle.rs
@@ -15,11 +15,11 @@
         let known = &mut self.vms[vm];
         known.state = state;
         known.start = start;
-        known.on = true;
+        known.running = true;
         known.wake = None;
         known.view = None;
         known.link = links::Link::new(links::rate(vm));
-        known.questions.clear();
+        known.requests.clear();
         self.wake(vm, self.now);
     }
 
@@ -38,6 +38,6 @@
 
     /// Stops a VM, as a loss of power does.
     pub(crate) fn stop(&mut self, vm: usize) {
-        self.vms[vm].on = false;
+        self.vms[vm].running = false;
     }
 }
--- a/crates/geraniumgauge/src/spread/tests/world/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/mod.rs
@@ -2,8 +2,8 @@
 //! a store.
 
 mod answers;
+mod lifecycle;
 mod links;
-mod power;
 
 use std::collections;
 use std::net;
@@ -20,14 +20,14 @@
 use crate::time as clock;
 
 /// Poll interval of the simulated fleets.
-pub(crate) const PERIOD: time::Duration = time::Duration::from_millis(2400);
+pub(crate) const POLL_INTERVAL: time::Duration = time::Duration::from_millis(2400);
 pub(crate) const SECOND: time::Duration = time::Duration::from_secs(1);
 /// Sizes of the simulated fleets.
 pub(crate) const FLEETS: [usize; 6] = [1, 2, 3, 8, 61, 295];
-const NEAR: time::Duration = time::Duration::from_micros(300);
-const FAR: time::Duration = time::Duration::from_micros(1500);
-const READ: time::Duration = time::Duration::from_millis(12);
-const PLACES: usize = 5;
+const LOCAL_LATENCY: time::Duration = time::Duration::from_micros(300);
+const REMOTE_LATENCY: time::Duration = time::Duration::from_micros(1500);
+const READ_TIME: time::Duration = time::Duration::from_millis(12);
+const DATA_CENTRES: usize = 5;
 
 /// Something that happens to a VM.
 enum Event {
@@ -38,13 +38,13 @@
     /// The answer to a request arrives.
     Answered(u64, spread::Answer),
     /// A request times out.
-    Overdue(u64),
+    TimedOut(u64),
     /// An answer may be complete.
-    Sent(u64),
+    Transferred(u64),
     /// A poll that started at the given moment ends.
-    Looked(Option<spread::Holds>, clock::Moment),
-    Listed(Option<Vec<spread::Directory>>),
-    Written(bool),
+    Polled(Option<spread::Position>, clock::Moment),
+    DirectoryRead(Option<Vec<spread::Directory>>),
+    DirectoryWritten(bool),
 }
 
 /// A scheduled event of a VM.
@@ -59,18 +59,18 @@
 pub(crate) struct Vm {
     pub(crate) state: spread::State,
     /// Set while the VM is running.
-    pub(crate) on: bool,
+    pub(crate) running: bool,
     /// Set while the store serves this VM.
     pub(crate) served: bool,
     /// VMs with different values can't reach each other.
-    pub(crate) side: u8,
+    pub(crate) partition: u8,
     start: u64,
     wake: Option<clock::Moment>,
     link: links::Link,
     /// Requests in progress, with the VM that was asked and the time.
-    questions: collections::BTreeMap<u64, (usize, clock::Moment)>,
+    requests: collections::BTreeMap<u64, (usize, clock::Moment)>,
     /// Number of its polls, including failed ones.
-    pub(crate) looks: u64,
+    pub(crate) polls: u64,
     /// The view that was published last.
     pub(crate) view: Option<spread::View>,
 }
@@ -80,22 +80,22 @@
     pub(crate) now: clock::Moment,
     pub(crate) vms: Vec<Vm>,
     /// Position of the store's content.
-    pub(crate) store: spread::Holds,
+    pub(crate) store: spread::Position,
     pub(crate) pages: collections::BTreeMap<usize, spread::Directory>,
     /// Share of datagrams that are lost.
     pub(crate) loss: f64,
     /// Time after which a call fails if the store doesn't answer.
-    pub(crate) patience: time::Duration,
+    pub(crate) call_timeout: time::Duration,
     /// Size of the configuration in bytes.
     pub(crate) size: f64,
     /// Number of polls, and of reads and writes of the directory, including failed
     /// ones.
-    pub(crate) looks: u64,
+    pub(crate) polls: u64,
     pub(crate) reads: u64,
     pub(crate) writes: u64,
     pub(crate) datagrams: u64,
     seeds: Vec<net::SocketAddr>,
-    asked: u64,
+    last_request: u64,
     queue: events::Queue<Due>,
     rng: rand::rngs::StdRng,
 }
@@ -119,21 +119,21 @@
         let mut world = Self {
             now: clock::Moment::default(),
             vms: Vec::new(),
-            store: spread::Holds {
+            store: spread::Position {
                 revision: Some(ids::Revision(10)),
                 digest: follow::Digest(77),
                 config: Some(ids::Revision(9)),
             },
             pages: collections::BTreeMap::new(),
             loss: 0.0,
-            patience: READ,
+            call_timeout: READ_TIME,
             size: 0.0,
-            looks: 0,
+            polls: 0,
             reads: 0,
             writes: 0,
             datagrams: 0,
             seeds: (0..seeds.min(count)).map(address).collect(),
-            asked: 0,
+            last_request: 0,
             queue: events::Queue::default(),
             rng: rand::rngs::StdRng::seed_from_u64(seed),
         };
@@ -141,14 +141,14 @@
             let state = world.state(vm, 0);
             world.vms.push(Vm {
                 state,
-                on: false,
+                running: false,
                 served: true,
-                side: 0,
+                partition: 0,
                 start: 0,
                 wake: None,
                 link: links::Link::new(links::rate(vm)),
-                questions: collections::BTreeMap::new(),
-                looks: 0,
+                requests: collections::BTreeMap::new(),
+                polls: 0,
                 view: None,
             });
         }
@@ -161,12 +161,12 @@
             incarnation: ids::Incarnation(1_000_000 + self.now.0 / 1000 + start),
             beat: 0,
             address: address(vm),
-            data_centre: format!("dc-{}", vm % PLACES).parse().expect("a name"),
+            data_centre: format!("dc-{}", vm % DATA_CENTRES).parse().expect("a name"),
             power: if links::is_large(vm) { 0.5 } else { 0.125 },
         };
         let seed = self.rng.random();
         let link = rate::BytesPerSecond(links::rate(vm));
-        spread::State::new(own, PERIOD, self.seeds.clone(), link, seed, self.now)
+        spread::State::new(own, POLL_INTERVAL, self.seeds.clone(), link, seed, self.now)
     }
 
     /// Changes the configuration and the registrations in the store.
@@ -186,7 +186,7 @@
         while let Some((at, due)) = self.queue.pop(end) {
             self.now = at;
             let vm = &mut self.vms[due.vm];
-            if !vm.on || vm.start != due.start {
+            if !vm.running || vm.start != due.start {
                 continue;
             }
             if matches!(due.event, Event::Wake) {
@@ -195,21 +195,21 @@
                 }
                 vm.wake = None;
             }
-            self.happen(due.vm, due.event);
+            self.handle(due.vm, due.event);
         }
         self.now = end;
     }
 
-    /// Runs until `holds` returns true, but not longer than `limit`. Returns how
+    /// Runs until `condition` returns true, but not longer than `limit`. Returns how
     /// long it took, or `None` if that didn't happen.
     pub(crate) fn until(
         &mut self,
-        most: time::Duration,
-        holds: impl Fn(&Self) -> bool,
+        limit: time::Duration,
+        condition: impl Fn(&Self) -> bool,
     ) -> Option<time::Duration> {
         let began = self.now;
-        while self.now.since(began) < most {
-            if holds(self) {
+        while self.now.since(began) < limit {
+            if condition(self) {
                 return Some(self.now.since(began));
             }
             self.run(time::Duration::from_millis(10));
@@ -219,9 +219,10 @@
 
     /// Returns whether every running VM has the store's content.
     pub(crate) fn all_hold(&self) -> bool {
-        let on = self.vms.iter().filter(|vm| vm.on);
-        on.map(|vm| vm.state.holds())
-            .all(|holds| holds.config == self.store.config && holds.digest == self.store.digest)
+        let running = self.vms.iter().filter(|vm| vm.running);
+        running.map(|vm| vm.state.position()).all(|position| {
+            position.config == self.store.config && position.digest == self.store.digest
+        })
     }
 
     fn push(&mut self, vm: usize, after: time::Duration, event: Event) {
@@ -237,122 +238,123 @@
         }
     }
 
-    fn way(&mut self, from: usize, to: usize) -> time::Duration {
-        let way = if from % PLACES == to % PLACES {
-            NEAR
+    fn latency(&mut self, from: usize, to: usize) -> time::Duration {
+        let latency = if from % DATA_CENTRES == to % DATA_CENTRES {
+            LOCAL_LATENCY
         } else {
-            FAR
+            REMOTE_LATENCY
         };
-        way.mul_f64(self.rng.random_range(1.0..1.5))
+        latency.mul_f64(self.rng.random_range(1.0..1.5))
     }
 
-    fn reach(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         let (from, to) = (&self.vms[from], self.vms.get(to));
-        to.is_some_and(|to| from.on && to.on && from.side == to.side)
+        to.is_some_and(|to| from.running && to.running && from.partition == to.partition)
     }
 
-    fn happen(&mut self, vm: usize, event: Event) {
+    fn handle(&mut self, vm: usize, event: Event) {
         let now = self.now;
         let state = &mut self.vms[vm].state;
         match event {
             Event::Wake => {}
             Event::Datagram(from, datagram) => {
                 if let spread::Datagram::Update(update) = &datagram {
-                    answers::agree(state, &update.summary.holds, update.summary.sure, now);
+                    let summary = &update.summary;
+                    answers::adopt(state, &summary.position, summary.verified, now);
                 }
-                state.heard(address(from), datagram, now);
+                state.receive(address(from), datagram, now);
             }
-            Event::Asked(question, fetch) => {
-                let mut answer = state.asked(&fetch, now);
-                let holds = answer.summary.holds;
-                if !fetch.brief && holds.digest != fetch.holds.digest {
+            Event::Asked(request, fetch) => {
+                let mut answer = state.answer(&fetch, now);
+                let position = answer.summary.position;
+                if !fetch.members_only && position.digest != fetch.position.digest {
                     // Stands for the registrations that differ.
                     answer.registrations = Some(follow::News::Changes(Vec::new()));
                 }
-                if !fetch.brief && holds.config > fetch.holds.config {
+                if !fetch.members_only && position.config > fetch.position.config {
                     answer.config = Some(String::new());
                 }
-                self.answer(vm, &fetch, question, answer);
+                self.answer(vm, &fetch, request, answer);
             }
-            Event::Answered(question, mut answer) => {
-                if let Some((from, began)) = self.vms[vm].questions.remove(&question) {
-                    answers::take(&mut self.vms[vm].state, &mut answer, now.since(began), now);
+            Event::Answered(request, mut answer) => {
+                if let Some((from, began)) = self.vms[vm].requests.remove(&request) {
+                    answers::apply(&mut self.vms[vm].state, &mut answer, now.since(began), now);
                     let took = now.since(began);
                     let state = &mut self.vms[vm].state;
-                    state.answered(address(from), Some(&answer), took, now);
+                    state.fetched(address(from), Some(&answer), took, now);
                 }
             }
-            Event::Overdue(question) => {
-                if let Some((from, began)) = self.vms[vm].questions.remove(&question) {
+            Event::TimedOut(request) => {
+                if let Some((from, began)) = self.vms[vm].requests.remove(&request) {
                     let state = &mut self.vms[vm].state;
-                    state.answered(address(from), None, now.since(began), now);
-                    self.hang_up(from, question);
+                    state.fetched(address(from), None, now.since(began), now);
+                    self.close_request(from, request);
                 }
             }
-            Event::Sent(turn) => {
-                for transfer in self.vms[vm].link.sent(turn, now) {
-                    self.vms[vm].state.told(transfer.ticket, now);
-                    self.deliver(vm, transfer.to, transfer.question, transfer.answer);
+            Event::Transferred(generation) => {
+                for transfer in self.vms[vm].link.sent(generation, now) {
+                    self.vms[vm].state.release(transfer.ticket, now);
+                    self.deliver(vm, transfer.to, transfer.request, transfer.answer);
                 }
                 self.send_next(vm);
             }
-            Event::Looked(holds, began) => {
-                if let Some(holds) = holds {
-                    let newer = holds.revision >= state.holds().revision;
+            Event::Polled(position, began) => {
+                if let Some(position) = position {
+                    let newer = position.revision >= state.position().revision;
                     if newer {
-                        state.hold(holds, true, now);
+                        state.set_position(position, true, now);
                     }
                 }
-                state.looked(holds.map(|_| now.since(began)), now);
+                state.polled(position.map(|_| now.since(began)), now);
             }
-            Event::Listed(pages) => state.listed(pages, now),
-            Event::Written(done) => state.written(done, now),
+            Event::DirectoryRead(pages) => state.directory_read(pages, now),
+            Event::DirectoryWritten(done) => state.directory_written(done, now),
         }
-        self.act(vm);
+        self.advance(vm);
     }
 
     /// Performs the work of a VM that is due.
-    fn act(&mut self, vm: usize) {
+    fn advance(&mut self, vm: usize) {
         for action in self.vms[vm].state.tick(self.now) {
-            self.carry_out(vm, action);
+            self.execute(vm, action);
         }
         let wake = self.vms[vm].state.wake_at(self.now);
         self.wake(vm, wake);
     }
 
-    fn carry_out(&mut self, vm: usize, action: spread::Action) {
+    fn execute(&mut self, vm: usize, action: spread::Action) {
         let served = self.vms[vm].served;
-        let took = if served { READ } else { self.patience };
+        let took = if served { READ_TIME } else { self.call_timeout };
         match action {
             spread::Action::Send { to, datagram } => {
                 for to in to {
                     self.datagrams += 1;
                     let lost = self.rng.random_bool(self.loss);
-                    if !lost && self.reach(vm, index(to)) {
-                        let way = self.way(vm, index(to));
-                        self.push(index(to), way, Event::Datagram(vm, datagram.clone()));
+                    if !lost && self.can_reach(vm, index(to)) {
+                        let latency = self.latency(vm, index(to));
+                        self.push(index(to), latency, Event::Datagram(vm, datagram.clone()));
                     }
                 }
             }
             spread::Action::Fetch { from, fetch } => self.ask(vm, index(from), fetch),
-            spread::Action::Look => {
-                self.looks += 1;
-                self.vms[vm].looks += 1;
-                let holds = Some(self.store).filter(|_| served);
-                let read = self.vms[vm].link.takes(self.size);
-                self.push(vm, took + read, Event::Looked(holds, self.now));
+            spread::Action::Poll => {
+                self.polls += 1;
+                self.vms[vm].polls += 1;
+                let position = Some(self.store).filter(|_| served);
+                let read = self.vms[vm].link.transfer_time(self.size);
+                self.push(vm, took + read, Event::Polled(position, self.now));
             }
             spread::Action::ReadDirectory => {
                 self.reads += 1;
                 let pages = served.then(|| self.pages.values().cloned().collect());
-                self.push(vm, took, Event::Listed(pages));
+                self.push(vm, took, Event::DirectoryRead(pages));
             }
             spread::Action::WriteDirectory { page, directory } => {
                 self.writes += 1;
                 if served {
                     self.pages.insert(page, directory);
                 }
-                self.push(vm, took, Event::Written(served));
+                self.push(vm, took, Event::DirectoryWritten(served));
             }
             spread::Action::View(view) => self.vms[vm].view = Some(view),
         }
@@ -369,14 +371,14 @@
 }
 
 /// Returns the VMs of a data centre.
-pub(crate) fn of_place(world: &World, place: usize) -> Vec<usize> {
+pub(crate) fn in_data_centre(world: &World, data_centre: usize) -> Vec<usize> {
     (0..world.vms.len())
-        .filter(|vm| vm % PLACES == place)
+        .filter(|vm| vm % DATA_CENTRES == data_centre)
         .collect()
 }
 
 /// Returns the number of VMs in the view of each running VM.
 pub(crate) fn views(world: &World) -> impl Iterator<Item = Option<usize>> {
-    let on = world.vms.iter().filter(|vm| vm.on);
-    on.map(|vm| vm.view.as_ref().and_then(|view| view.vms))
+    let running = world.vms.iter().filter(|vm| vm.running);
+    running.map(|vm| vm.view.as_ref().and_then(|view| view.vms))
 }
--- a/crates/geraniumgauge/src/spread/update.rs
+++ b/crates/geraniumgauge/src/spread/update.rs
@@ -9,7 +9,7 @@
 
 /// How far a VM has read the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Holds {
+pub struct Position {
     /// Revision of the store up to which the VM has the registrations; `None` if it
     /// has none.
     pub revision: Option<ids::Revision>,
@@ -21,7 +21,7 @@
 
 /// A linearizable read of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Look {
+pub struct Poll {
     /// The VM that polled.
     pub vm: ids::Vm,
     /// Sequence number among that VM's polls. It also increases across restarts of
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Summary {
     /// How far the VM has read the store.
-    pub holds: Holds,
+    pub position: Position,
     /// Set if the VM's registrations are equal to what a poll showed.
-    pub sure: bool,
+    pub verified: bool,
     /// The latest poll whose result the VM holds.
-    pub look: Option<Look>,
+    pub poll: Option<Poll>,
     /// Number of VMs in the fleet; `None` if the sender doesn't know it.
     pub vms: Option<usize>,
     /// Digest of the VMs that the sender knows.
@@ -48,15 +48,15 @@
 
 /// Whether the receiver of an update forwards it within its data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pass {
-    /// The receiver doesn't forward it; the sender has sent it to all VMs.
+pub enum Forwarding {
+    /// The receiver doesn't forward it. The other VMs receive it from the sender.
     None,
     /// The receiver forwards it once it has the content that the update mentions.
-    First,
+    Primary,
     /// The receiver forwards it if the primary VM hasn't done so after a while.
     /// Until then, it doesn't fetch content from the other data centre that the
     /// primary VM fetches anyway.
-    Second,
+    Backup,
 }
 
 /// Changes of the registrations that are small enough to be sent with an update.
@@ -77,9 +77,9 @@
     /// What the sender knows.
     pub summary: Summary,
     /// Set if the sender couldn't read the store just now.
-    pub away: bool,
+    pub unavailable: bool,
     /// Whether the receiver forwards the update.
-    pub pass: Pass,
+    pub forwarding: Forwarding,
     /// Changes of the registrations, if they are small.
     pub changes: Option<Changes>,
 }
@@ -90,15 +90,15 @@
     /// The VM that asks.
     pub member: spread::Member,
     /// How far that VM has read the store.
-    pub holds: Holds,
+    pub position: Position,
     /// Digest of the VMs that it knows.
     pub members: u64,
     /// Set if only records of VMs are requested.
-    pub brief: bool,
+    pub members_only: bool,
     /// Set if all registrations are requested instead of changes.
-    pub whole: bool,
+    pub full: bool,
     /// Set if the VM that asks knows no other VM yet.
-    pub alone: bool,
+    pub knows_no_other: bool,
 }
 
 /// The answer to a [`Fetch`].
@@ -114,7 +114,7 @@
     pub registrations: Option<spread::Registrations>,
     /// Where to ask for content that this answer leaves out because the link has no
     /// capacity.
-    pub elsewhere: Option<spread::Elsewhere>,
+    pub redirect: Option<spread::Redirect>,
 }
 
 impl Changes {
--- a/crates/geraniumgauge/src/spread/wire/fetch.rs
+++ b/crates/geraniumgauge/src/spread/wire/fetch.rs
@@ -15,26 +15,26 @@
     #[prost(message, optional, tag = "1")]
     member: Option<member::Member>,
     #[prost(message, optional, tag = "2")]
-    holds: Option<summary::Holds>,
+    position: Option<summary::Position>,
     #[prost(fixed64, tag = "3")]
     members: u64,
     #[prost(bool, tag = "4")]
-    brief: bool,
+    members_only: bool,
     #[prost(bool, tag = "5")]
-    whole: bool,
+    full: bool,
     #[prost(bool, tag = "6")]
-    alone: bool,
+    knows_no_other: bool,
 }
 
 impl From<&spread::Fetch> for Fetch {
     fn from(fetch: &spread::Fetch) -> Self {
         Self {
             member: Some((&fetch.member).into()),
-            holds: Some(fetch.holds.into()),
+            position: Some(fetch.position.into()),
             members: fetch.members,
-            brief: fetch.brief,
-            whole: fetch.whole,
-            alone: fetch.alone,
+            members_only: fetch.members_only,
+            full: fetch.full,
+            knows_no_other: fetch.knows_no_other,
         }
     }
 }
@@ -44,11 +44,11 @@
     pub(crate) fn read(self) -> Option<spread::Fetch> {
         Some(spread::Fetch {
             member: self.member?.member()?,
-            holds: self.holds.unwrap_or_default().into(),
+            position: self.position.unwrap_or_default().into(),
             members: self.members,
-            brief: self.brief,
-            whole: self.whole,
-            alone: self.alone,
+            members_only: self.members_only,
+            full: self.full,
+            knows_no_other: self.knows_no_other,
         })
     }
 }
@@ -64,36 +64,36 @@
     #[prost(string, optional, tag = "3")]
     config: Option<String>,
     #[prost(message, optional, tag = "4")]
-    registrations: Option<registration::News>,
+    registrations: Option<registration::Registrations>,
     #[prost(message, optional, tag = "5")]
-    elsewhere: Option<Elsewhere>,
+    redirect: Option<Redirect>,
 }
 
 /// Encoding of [`spread::Redirect`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-struct Elsewhere {
+struct Redirect {
     #[prost(string, repeated, tag = "1")]
     vms: Vec<String>,
     #[prost(uint64, tag = "2")]
-    after_us: u64,
+    retry_after_us: u64,
 }
 
-impl From<&spread::Elsewhere> for Elsewhere {
-    fn from(elsewhere: &spread::Elsewhere) -> Self {
+impl From<&spread::Redirect> for Redirect {
+    fn from(redirect: &spread::Redirect) -> Self {
         Self {
-            vms: elsewhere.vms.iter().map(ToString::to_string).collect(),
-            after_us: clock::micros(elsewhere.after),
+            vms: redirect.vms.iter().map(ToString::to_string).collect(),
+            retry_after_us: clock::micros(redirect.retry_after),
         }
     }
 }
 
-impl From<Elsewhere> for spread::Elsewhere {
-    fn from(elsewhere: Elsewhere) -> Self {
-        let vms = elsewhere.vms.iter().filter_map(|vm| vm.parse().ok());
+impl From<Redirect> for spread::Redirect {
+    fn from(redirect: Redirect) -> Self {
+        let vms = redirect.vms.iter().filter_map(|vm| vm.parse().ok());
         Self {
             vms: vms.collect(),
-            after: time::Duration::from_micros(elsewhere.after_us),
+            retry_after: time::Duration::from_micros(redirect.retry_after_us),
         }
     }
 }
@@ -105,7 +105,7 @@
             records: answer.records.iter().map(member::Member::from).collect(),
             config: answer.config,
             registrations: answer.registrations.as_ref().map(Into::into),
-            elsewhere: answer.elsewhere.as_ref().map(Into::into),
+            redirect: answer.redirect.as_ref().map(Into::into),
         }
     }
 }
@@ -118,7 +118,7 @@
             records: records.filter_map(member::Member::read).collect(),
             config: answer.config,
             registrations: answer.registrations.map(Into::into),
-            elsewhere: answer.elsewhere.map(Into::into),
+            redirect: answer.redirect.map(Into::into),
         }
     }
 }
--- a/crates/geraniumgauge/src/spread/wire/mod.rs
+++ b/crates/geraniumgauge/src/spread/wire/mod.rs
@@ -32,7 +32,7 @@
     Hello(Hello),
     /// A request that is suspected of crashing upstreams.
     #[prost(fixed64, tag = "3")]
-    Blamed(u64),
+    CrashSuspect(u64),
 }
 
 /// Content of a datagram.
@@ -44,7 +44,7 @@
     /// refreshed.
     Hello(Vec<spread::Record>),
     /// A request that is suspected of crashing upstreams.
-    Blamed(ids::Fingerprint),
+    CrashSuspect(ids::Fingerprint),
 }
 
 impl Datagram {
@@ -55,7 +55,7 @@
             Self::Hello(members) => Kind::Hello(Hello {
                 members: members.iter().map(member::Member::from).collect(),
             }),
-            Self::Blamed(request) => Kind::Blamed(request.0),
+            Self::CrashSuspect(request) => Kind::CrashSuspect(request.0),
         };
         Frame { kind: Some(kind) }.encode_to_vec()
     }
@@ -68,7 +68,7 @@
     pub fn decode(bytes: &[u8]) -> Result<Self, prost::DecodeError> {
         let frame = Frame::decode(bytes)?;
         Ok(match frame.kind {
-            Some(Kind::Update(update)) => update.read().map_or_else(nobody, Self::Update),
+            Some(Kind::Update(update)) => update.read().map_or_else(empty, Self::Update),
             Some(Kind::Hello(hello)) => Self::Hello(
                 hello
                     .members
@@ -76,14 +76,14 @@
                     .filter_map(member::Member::read)
                     .collect(),
             ),
-            Some(Kind::Blamed(request)) => Self::Blamed(ids::Fingerprint(request)),
-            None => nobody(),
+            Some(Kind::CrashSuspect(request)) => Self::CrashSuspect(ids::Fingerprint(request)),
+            None => empty(),
         })
     }
 }
 
 /// Returns a datagram without content, for one that contains an invalid identifier.
-fn nobody() -> Datagram {
+fn empty() -> Datagram {
     Datagram::Hello(Vec::new())
 }
 
@@ -102,10 +102,10 @@
     #[prost(message, required, tag = "2")]
     summary: summary::Summary,
     #[prost(bool, tag = "3")]
-    away: bool,
+    unavailable: bool,
     /// 0 for none, 1 for the primary VM, 2 for the backup.
     #[prost(uint32, tag = "4")]
-    pass: u32,
+    forwarding: u32,
     /// Digest of the registrations that the changes apply to.
     #[prost(fixed64, tag = "5")]
     before: u64,
@@ -119,14 +119,14 @@
         Self {
             vm: update.vm.to_string(),
             summary: (&update.summary).into(),
-            away: update.away,
-            pass: match update.pass {
-                spread::Pass::None => 0,
-                spread::Pass::First => 1,
-                spread::Pass::Second => 2,
+            unavailable: update.unavailable,
+            forwarding: match update.forwarding {
+                spread::Forwarding::None => 0,
+                spread::Forwarding::Primary => 1,
+                spread::Forwarding::Backup => 2,
             },
-            before: changes.map_or(0, |told| told.before.0),
-            changes: changes.map(|told| told.changes.as_slice().into()),
+            before: changes.map_or(0, |changes| changes.before.0),
+            changes: changes.map(|changes| changes.changes.as_slice().into()),
         }
     }
 }
@@ -142,11 +142,11 @@
         Some(spread::Update {
             vm: self.vm.parse().ok()?,
             summary: self.summary.into(),
-            away: self.away,
-            pass: match self.pass {
-                1 => spread::Pass::First,
-                2 => spread::Pass::Second,
-                _ => spread::Pass::None,
+            unavailable: self.unavailable,
+            forwarding: match self.forwarding {
+                1 => spread::Forwarding::Primary,
+                2 => spread::Forwarding::Backup,
+                _ => spread::Forwarding::None,
             },
             changes,
         })
@@ -155,7 +155,7 @@
 
 /// Returns the size of registrations in an answer, in bytes.
 pub(super) fn size_of(registrations: &spread::Registrations) -> usize {
-    registration::News::from(registrations).encoded_len()
+    registration::Registrations::from(registrations).encoded_len()
 }
 
 /// Returns the size of changes in an update, in bytes.
--- a/crates/geraniumgauge/src/spread/wire/registration.rs
+++ b/crates/geraniumgauge/src/spread/wire/registration.rs
@@ -20,24 +20,24 @@
 
 impl From<&[follow::Change<registry::Entry>]> for Changes {
     fn from(changes: &[follow::Change<registry::Entry>]) -> Self {
-        let mut told = Self::default();
+        let mut encoded = Self::default();
         for change in changes {
             match change {
-                follow::Change::Put(item) => told.put.push(item.into()),
-                follow::Change::Gone(name) => told.gone.push(name.clone()),
+                follow::Change::Put(item) => encoded.put.push(item.into()),
+                follow::Change::Gone(name) => encoded.gone.push(name.clone()),
             }
         }
-        told
+        encoded
     }
 }
 
 impl From<Changes> for Vec<follow::Change<registry::Entry>> {
     /// Deletions come first, so that an object that was deleted and written again
     /// exists.
-    fn from(told: Changes) -> Self {
-        let gone = told.gone.into_iter().map(follow::Change::Gone);
-        let put = told.put.into_iter();
-        let put = put.map(|told| follow::Change::Put(told.into()));
+    fn from(encoded: Changes) -> Self {
+        let gone = encoded.gone.into_iter().map(follow::Change::Gone);
+        let put = encoded.put.into_iter();
+        let put = put.map(|encoded| follow::Change::Put(encoded.into()));
         gone.chain(put).collect()
     }
 }
@@ -45,17 +45,17 @@
 /// Encoding of [`spread::Registrations`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub(super) struct News {
+pub(super) struct Registrations {
     /// Set if these are all registrations instead of changes.
     #[prost(bool, tag = "1")]
     all: bool,
     #[prost(message, optional, tag = "2")]
-    told: Option<Changes>,
+    changes: Option<Changes>,
 }
 
-impl From<&spread::Registrations> for News {
-    fn from(news: &spread::Registrations) -> Self {
-        let (all, told) = match news {
+impl From<&spread::Registrations> for Registrations {
+    fn from(registrations: &spread::Registrations) -> Self {
+        let (all, changes) = match registrations {
             follow::News::Changes(changes) => (false, changes.as_slice().into()),
             follow::News::All(items) => {
                 let put = items.iter().map(Registration::from).collect();
@@ -65,18 +65,18 @@
         };
         Self {
             all,
-            told: Some(told),
+            changes: Some(changes),
         }
     }
 }
 
-impl From<News> for spread::Registrations {
-    fn from(news: News) -> Self {
-        let told = news.told.unwrap_or_default();
-        if news.all {
-            Self::All(told.put.into_iter().map(follow::Item::from).collect())
+impl From<Registrations> for spread::Registrations {
+    fn from(registrations: Registrations) -> Self {
+        let changes = registrations.changes.unwrap_or_default();
+        if registrations.all {
+            Self::All(changes.put.into_iter().map(follow::Item::from).collect())
         } else {
-            Self::Changes(told.into())
+            Self::Changes(changes.into())
         }
     }
 }
@@ -108,13 +108,13 @@
 
 impl From<&follow::Item<registry::Entry>> for Registration {
     fn from(item: &follow::Item<registry::Entry>) -> Self {
-        let told = Self {
+        let encoded = Self {
             name: item.name.clone(),
             revision: item.revision.0,
             ..Self::default()
         };
         let Some(entry) = &item.value else {
-            return told;
+            return encoded;
         };
         Self {
             service: entry.service.to_string(),
@@ -124,17 +124,17 @@
             draining: entry.state == registry::State::Draining,
             warm_up_ms: clock::millis(entry.warm_up),
             born: entry.born.0,
-            ..told
+            ..encoded
         }
     }
 }
 
 impl From<Registration> for follow::Item<registry::Entry> {
-    fn from(told: Registration) -> Self {
+    fn from(encoded: Registration) -> Self {
         Self {
-            revision: ids::Revision(told.revision),
-            value: told.entry(),
-            name: told.name,
+            revision: ids::Revision(encoded.revision),
+            value: encoded.entry(),
+            name: encoded.name,
         }
     }
 }
--- a/crates/geraniumgauge/src/spread/wire/summary.rs
+++ b/crates/geraniumgauge/src/spread/wire/summary.rs
@@ -12,11 +12,11 @@
 #[derive(prost::Message)]
 pub(super) struct Summary {
     #[prost(message, optional, tag = "1")]
-    holds: Option<Holds>,
+    position: Option<Position>,
     #[prost(bool, tag = "2")]
-    sure: bool,
+    verified: bool,
     #[prost(message, optional, tag = "3")]
-    look: Option<Look>,
+    poll: Option<Poll>,
     /// Number of VMs; 0 if the VM doesn't know it.
     #[prost(uint64, tag = "4")]
     vms: u64,
@@ -27,9 +27,9 @@
 impl From<&spread::Summary> for Summary {
     fn from(summary: &spread::Summary) -> Self {
         Self {
-            holds: Some(summary.holds.into()),
-            sure: summary.sure,
-            look: summary.look.as_ref().map(Look::from),
+            position: Some(summary.position.into()),
+            verified: summary.verified,
+            poll: summary.poll.as_ref().map(Poll::from),
             vms: summary.vms.map_or(0, |vms| vms as u64),
             members: summary.members,
         }
@@ -40,9 +40,9 @@
     fn from(summary: Summary) -> Self {
         let vms = usize::try_from(summary.vms).ok();
         Self {
-            holds: summary.holds.unwrap_or_default().into(),
-            sure: summary.sure,
-            look: summary.look.and_then(Look::read),
+            position: summary.position.unwrap_or_default().into(),
+            verified: summary.verified,
+            poll: summary.poll.and_then(Poll::read),
             vms: vms.filter(|vms| *vms > 0),
             members: summary.members,
         }
@@ -52,7 +52,7 @@
 /// Encoding of [`spread::Position`]; a revision of 0 means none.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
-pub(super) struct Holds {
+pub(super) struct Position {
     #[prost(uint64, tag = "1")]
     revision: u64,
     #[prost(fixed64, tag = "2")]
@@ -61,31 +61,31 @@
     config: u64,
 }
 
-impl From<spread::Holds> for Holds {
-    fn from(holds: spread::Holds) -> Self {
+impl From<spread::Position> for Position {
+    fn from(position: spread::Position) -> Self {
         let number = |revision: Option<ids::Revision>| revision.map_or(0, |revision| revision.0);
         Self {
-            revision: number(holds.revision),
-            digest: holds.digest.0,
-            config: number(holds.config),
+            revision: number(position.revision),
+            digest: position.digest.0,
+            config: number(position.config),
         }
     }
 }
 
-impl From<Holds> for spread::Holds {
-    fn from(holds: Holds) -> Self {
+impl From<Position> for spread::Position {
+    fn from(position: Position) -> Self {
         let revision = |number: u64| Some(ids::Revision(number)).filter(|_| number > 0);
         Self {
-            revision: revision(holds.revision),
-            digest: follow::Digest(holds.digest),
-            config: revision(holds.config),
+            revision: revision(position.revision),
+            digest: follow::Digest(position.digest),
+            config: revision(position.config),
         }
     }
 }
 
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-struct Look {
+struct Poll {
     #[prost(string, tag = "1")]
     vm: String,
     #[prost(uint64, tag = "2")]
@@ -94,19 +94,19 @@
     age_us: u64,
 }
 
-impl From<&spread::Look> for Look {
-    fn from(look: &spread::Look) -> Self {
+impl From<&spread::Poll> for Poll {
+    fn from(poll: &spread::Poll) -> Self {
         Self {
-            vm: look.vm.to_string(),
-            number: look.number,
-            age_us: clock::micros(look.age),
+            vm: poll.vm.to_string(),
+            number: poll.number,
+            age_us: clock::micros(poll.age),
         }
     }
 }
 
-impl Look {
-    fn read(self) -> Option<spread::Look> {
-        Some(spread::Look {
+impl Poll {
+    fn read(self) -> Option<spread::Poll> {
+        Some(spread::Poll {
             vm: self.vm.parse().ok()?,
             number: self.number,
             age: time::Duration::from_micros(self.age_us),
