--- a/crates/geraniumgauge/src/edge/peers.rs
+++ b/crates/geraniumgauge/src/edge/peers.rs
@@ -19,7 +19,7 @@
 use crate::edge::link;
 use crate::edge::sender;
 use crate::spread;
-use crate::spread::sending;
+use crate::spread::admission;
 
 /// Pause before a VM is connected to again.
 const RETRY: time::Duration = time::Duration::from_millis(800);
@@ -130,7 +130,7 @@
         stream.write_all(&bytes).await?;
         read_answer(stream).await
     };
-    let answer = tokio::time::timeout(sending::LONGEST, asked).await;
+    let answer = tokio::time::timeout(admission::LONGEST, asked).await;
     answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
--- a/crates/geraniumgauge/src/spread/mod.rs
+++ b/crates/geraniumgauge/src/spread/mod.rs
@@ -7,20 +7,20 @@
 //! content, sets are compared by digest, and a VM that can't tell how old its
 //! content is polls the store itself. [`Service`] carries out the decisions.
 
+pub(crate) mod admission;
 mod content;
 mod instruments;
 mod member;
-pub(crate) mod sending;
 mod service;
 mod state;
 mod store;
 mod update;
 pub(crate) mod wire;
 
+pub use admission::Redirect;
+pub use admission::Ticket;
 pub use member::Member;
 pub use member::Members;
-pub use sending::Redirect;
-pub use sending::Ticket;
 pub use service::Hear;
 pub use service::Service;
 pub use service::Slot;
--- a/crates/geraniumgauge/src/spread/state/mod.rs
+++ b/crates/geraniumgauge/src/spread/state/mod.rs
@@ -33,7 +33,7 @@
 use crate::ids;
 use crate::rate;
 use crate::spread;
-use crate::spread::sending;
+use crate::spread::admission;
 use crate::store;
 use crate::time as clock;
 
@@ -160,7 +160,7 @@
     comparison: Option<(clock::Moment, net::SocketAddr)>,
     deferred: Option<Deferred>,
     /// Admission of the answers that this VM sends.
-    answers: sending::Admission,
+    answers: admission::Admission,
     /// An update that this VM forwards if the primary VM of its data centre
     /// doesn't.
     backup: Option<Deferred>,
@@ -229,7 +229,7 @@
             scheduled_fetch: None,
             comparison: None,
             deferred: None,
-            answers: sending::Admission::new(link, now),
+            answers: admission::Admission::new(link, now),
             backup: None,
             broadcast_at: None,
             last_broadcast: None,
--- a/crates/geraniumgauge/src/spread/tests/sending.rs
+++ b/crates/geraniumgauge/src/spread/tests/admission.rs
@@ -5,7 +5,7 @@
 
 use crate::rate;
 use crate::spread;
-use crate::spread::sending;
+use crate::spread::admission;
 use crate::time as clock;
 
 const LINK: rate::BytesPerSecond = rate::BytesPerSecond(1e6);
@@ -20,74 +20,74 @@
 }
 
 /// Starts an answer for which the link has capacity, and returns its ticket.
-fn begin(sending: &mut sending::Admission, to: u8, now: clock::Moment) -> spread::Ticket {
-    let started = sending.begin(vm(to), LARGE, false, now);
+fn begin(admission: &mut admission::Admission, to: u8, now: clock::Moment) -> spread::Ticket {
+    let started = admission.begin(vm(to), LARGE, false, now);
     let ticket = started.expect("capacity on the link");
     ticket.expect("a large answer needs a ticket")
 }
 
 #[test]
 fn answers_beyond_the_link_capacity_are_redirected() {
-    let mut sending = sending::Admission::new(LINK, at(0));
+    let mut admission = admission::Admission::new(LINK, at(0));
     let now = at(1000);
-    let first = begin(&mut sending, 1, now);
-    let full = sending.begin(vm(2), LARGE, false, now);
+    let first = begin(&mut admission, 1, now);
+    let full = admission.begin(vm(2), LARGE, false, now);
     let retry_after = time::Duration::from_millis(300);
     let vms = Vec::new();
     assert_eq!(full, Err(spread::Redirect { vms, retry_after }));
     // Small changes are sent nevertheless.
-    let small = sending.begin(vm(3), rate::Bytes(900), false, now);
+    let small = admission.begin(vm(3), rate::Bytes(900), false, now);
     assert_eq!(small, Ok(None));
     // Waiting VMs are notified of the free capacity, and later requesters are
     // redirected to the VM that was served.
-    assert_eq!(sending.end(first), Some(vec![vm(2)]));
-    begin(&mut sending, 2, now);
-    let full = sending.begin(vm(4), LARGE, false, now);
+    assert_eq!(admission.end(first), Some(vec![vm(2)]));
+    begin(&mut admission, 2, now);
+    let full = admission.begin(vm(4), LARGE, false, now);
     assert_eq!(full.map_err(|redirect| redirect.vms), Err(vec![vm(1)]));
 }
 
 #[test]
 fn an_answer_larger_than_the_link_capacity_is_sent_alone() {
-    let mut sending = sending::Admission::new(LINK, at(0));
+    let mut admission = admission::Admission::new(LINK, at(0));
     let huge = rate::Bytes(4 << 20);
-    let sent = sending.begin(vm(1), huge, false, at(1000));
+    let sent = admission.begin(vm(1), huge, false, at(1000));
     assert!(matches!(sent, Ok(Some(_))));
-    assert!(sending.begin(vm(2), LARGE, false, at(1000)).is_err());
+    assert!(admission.begin(vm(2), LARGE, false, at(1000)).is_err());
 }
 
 /// Guards against a VM that lost power after its request and blocks the link
 /// forever.
 #[test]
 fn an_abandoned_answer_releases_its_part_of_the_link() {
-    let mut sending = sending::Admission::new(LINK, at(0));
-    begin(&mut sending, 1, at(1000));
-    begin(&mut sending, 2, at(7000));
+    let mut admission = admission::Admission::new(LINK, at(0));
+    begin(&mut admission, 1, at(1000));
+    begin(&mut admission, 2, at(7000));
 }
 
 /// Guards against a VM that asks twice, where the end of the first answer also
 /// releases the reservation of the second one.
 #[test]
 fn an_answer_releases_only_its_own_part_of_the_link() {
-    let mut sending = sending::Admission::new(LINK, at(0));
+    let mut admission = admission::Admission::new(LINK, at(0));
     let half = rate::Bytes(LARGE.0 / 2);
-    let first = sending.begin(vm(1), half, false, at(1000));
+    let first = admission.begin(vm(1), half, false, at(1000));
     let first = first.expect("capacity on the link").expect("a ticket");
-    assert!(sending.begin(vm(1), half, false, at(1000)).is_ok());
-    assert!(sending.end(first).is_some());
-    assert_eq!(sending.end(first), None);
-    assert!(sending.begin(vm(2), LARGE, false, at(1000)).is_err());
+    assert!(admission.begin(vm(1), half, false, at(1000)).is_ok());
+    assert!(admission.end(first).is_some());
+    assert_eq!(admission.end(first), None);
+    assert!(admission.begin(vm(2), LARGE, false, at(1000)).is_err());
 }
 
 /// Guards against VMs with few cores that fill the link before VMs that serve many
 /// others are admitted.
 #[test]
 fn vms_that_serve_more_vms_are_admitted_first() {
-    let mut sending = sending::Admission::new(LINK, at(0));
-    sending.content_changed(at(1000));
-    assert!(sending.is_content_new(at(1001)));
-    assert!(sending.begin(vm(1), LARGE, true, at(1001)).is_err());
-    let first = begin(&mut sending, 2, at(1001));
-    sending.end(first);
-    assert!(!sending.is_content_new(at(1100)));
-    begin(&mut sending, 1, at(1100));
+    let mut admission = admission::Admission::new(LINK, at(0));
+    admission.content_changed(at(1000));
+    assert!(admission.is_content_new(at(1001)));
+    assert!(admission.begin(vm(1), LARGE, true, at(1001)).is_err());
+    let first = begin(&mut admission, 2, at(1001));
+    admission.end(first);
+    assert!(!admission.is_content_new(at(1100)));
+    begin(&mut admission, 1, at(1100));
 }
