--- a/crates/geraniumgauge/src/edge/peers.rs
+++ b/crates/geraniumgauge/src/edge/peers.rs
@@ -130,7 +130,7 @@
         stream.write_all(&bytes).await?;
         read_answer(stream).await
     };
-    let answer = tokio::time::timeout(admission::LONGEST, asked).await;
+    let answer = tokio::time::timeout(admission::ANSWER_TIMEOUT, asked).await;
     answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
--- a/crates/geraniumgauge/src/spread/admission.rs
+++ b/crates/geraniumgauge/src/spread/admission.rs
@@ -19,7 +19,7 @@
 /// Largest answer that is always sent, such as one with a few changes.
 const MAX_SMALL_ANSWER: rate::Bytes = rate::Bytes(16 << 10);
 /// Longest time for a complete answer. The requester gives up after that.
-pub(crate) const LONGEST: time::Duration = time::Duration::from_secs(5);
+pub(crate) const ANSWER_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 /// Time after a change in which VMs that serve more VMs are admitted first. All VMs
 /// learn of a change within it.
 const PRIORITY_WINDOW: time::Duration = time::Duration::from_millis(50);
@@ -112,7 +112,7 @@
             });
         }
         self.running
-            .retain(|_, running| now.since(running.since) < LONGEST);
+            .retain(|_, running| now.since(running.since) < ANSWER_TIMEOUT);
         let in_progress = self.in_progress();
         let transfer_time = self.transfer_time(rate::Bytes(in_progress.0.saturating_add(size.0)));
         if in_progress.0 > 0 && transfer_time > MAX_BACKLOG {
@@ -161,6 +161,6 @@
 
     fn transfer_time(&self, size: rate::Bytes) -> time::Duration {
         let seconds = size.0 as f64 / self.link.0;
-        time::Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST)
+        time::Duration::try_from_secs_f64(seconds).unwrap_or(ANSWER_TIMEOUT)
     }
 }
