--- a/crates/geraniumgauge/src/edge/tests/peers.rs
+++ b/crates/geraniumgauge/src/edge/tests/peers.rs
@@ -6,7 +6,7 @@
 use crate::edge::frame;
 use crate::edge::peers;
 use crate::spread;
-use crate::spread::tests::news;
+use crate::spread::tests::messages;
 use crate::trickle;
 
 /// Reads an answer with so many bytes of configuration, of which a tenth comes
@@ -14,7 +14,7 @@
 fn read(size: usize, pieces: usize, pause: time::Duration) -> io::Result<spread::Answer> {
     let answer = spread::Answer {
         config: Some("a".repeat(size)),
-        ..news::answer(news::nothing())
+        ..messages::answer(messages::nothing())
     };
     let bytes = frame::Frame::bytes(frame::Kind::Answer(answer.into()));
     trickle::send(&bytes, pieces, pause, peers::read_answer)
--- a/crates/geraniumgauge/src/spread/tests/large.rs
+++ b/crates/geraniumgauge/src/spread/tests/large.rs
@@ -5,7 +5,7 @@
 use crate::follow;
 use crate::ids;
 use crate::spread;
-use crate::spread::tests::news;
+use crate::spread::tests::messages;
 use crate::spread::tests::world;
 use crate::spread::tests::world::SECOND;
 
@@ -86,11 +86,11 @@
         config: Some(ids::Revision(99)),
     };
     let summary = spread::Summary {
-        poll: Some(news::poll(number, time::Duration::ZERO)),
-        ..news::of(position)
+        poll: Some(messages::poll(number, time::Duration::ZERO)),
+        ..messages::of(position)
     };
     spread::Datagram::Update(spread::Update {
         unavailable: true,
-        ..news::update("vm-1", summary)
+        ..messages::update("vm-1", summary)
     })
 }
--- a/crates/geraniumgauge/src/spread/tests/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/mod.rs
@@ -1,7 +1,7 @@
 mod admission;
 mod large;
 mod member;
-pub(crate) mod news;
+pub(crate) mod messages;
 mod service;
 mod start;
 mod state;
--- a/crates/geraniumgauge/src/spread/tests/start.rs
+++ b/crates/geraniumgauge/src/spread/tests/start.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use crate::spread;
-use crate::spread::tests::news;
+use crate::spread::tests::messages;
 use crate::spread::tests::world;
 use crate::spread::tests::world::SECOND;
 
@@ -157,14 +157,14 @@
     world.start(0);
     let now = world.now;
     let state = &mut world.vms[0].state;
-    let mut answer = news::answer(news::nothing());
+    let mut answer = messages::answer(messages::nothing());
     // An answer without content is accepted.
     assert!(state.accepts(&answer, time::Duration::ZERO, now));
     // So is the answer of a VM that has just started and taken content from others.
     answer.config = Some(String::new());
     assert!(state.accepts(&answer, time::Duration::ZERO, now));
     // The answer of a VM whose latest poll is old isn't accepted.
-    answer.summary.poll = Some(news::poll(9, 3 * world::POLL_INTERVAL));
+    answer.summary.poll = Some(messages::poll(9, 3 * world::POLL_INTERVAL));
     assert!(!state.accepts(&answer, time::Duration::ZERO, now));
 }
 
@@ -244,7 +244,7 @@
         "10.0.0.1:7000"
     };
     let up = up.parse().expect("an address");
-    let update = news::update("vm-x", news::of(world.store));
+    let update = messages::update("vm-x", messages::of(world.store));
     let state = &mut world.vms[0].state;
     state.receive(up, spread::Datagram::Update(update), now);
     let then = state.tick(now);
--- a/crates/geraniumgauge/src/spread/tests/state.rs
+++ b/crates/geraniumgauge/src/spread/tests/state.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use crate::spread;
-use crate::spread::tests::news;
+use crate::spread::tests::messages;
 use crate::spread::tests::world;
 use crate::spread::tests::world::SECOND;
 
@@ -122,11 +122,11 @@
     let state = &mut world.vms[poller].state;
     let summary = spread::Summary {
         members: state.members().digest(),
-        ..news::of(state.position())
+        ..messages::of(state.position())
     };
     let unavailable = spread::Update {
         unavailable: true,
-        ..news::update("vm-20", summary)
+        ..messages::update("vm-20", summary)
     };
     let from = "10.0.0.20:7000".parse().expect("an address");
     state.receive(from, spread::Datagram::Update(unavailable), now);
@@ -218,11 +218,11 @@
     let fresh = state.age(now).expect("it received polls");
     let update = |number, age| {
         let summary = spread::Summary {
-            poll: Some(news::poll(number, age)),
+            poll: Some(messages::poll(number, age)),
             members: state.members().digest(),
-            ..news::of(state.position())
+            ..messages::of(state.position())
         };
-        spread::Datagram::Update(news::update("vm-1", summary))
+        spread::Datagram::Update(messages::update("vm-1", summary))
     };
     let (old, new) = (
         update(5, time::Duration::ZERO),
