--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -34,7 +34,7 @@
     }
 }
 
-impl<H: spread::Hear> spread::Service<H> {
+impl<H: spread::Listener> spread::Service<H> {
     /// Returns the revision up to which the registrations are held.
     pub(super) fn revision(&self) -> Option<ids::Revision> {
         self.0.content.borrow().registrations.at()
--- a/crates/geraniumgauge/src/spread/instruments.rs
+++ b/crates/geraniumgauge/src/spread/instruments.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records the gauges at intervals of `period`, until `timer` stops.
-    pub(super) async fn run<H: spread::Hear>(
+    pub(super) async fn run<H: spread::Listener>(
         self,
         service: spread::Service<H>,
         interval: time::Duration,
--- a/crates/geraniumgauge/src/spread/mod.rs
+++ b/crates/geraniumgauge/src/spread/mod.rs
@@ -21,7 +21,7 @@
 pub use admission::Ticket;
 pub use member::Member;
 pub use member::Members;
-pub use service::Hear;
+pub use service::Listener;
 pub use service::Service;
 pub use service::Slot;
 pub use state::Action;
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -28,7 +28,7 @@
 
 /// Receives what is distributed, and sends requests to other VMs.
 #[expect(async_fn_in_trait, reason = "everything runs on one thread")]
-pub trait Hear: 'static {
+pub trait Listener: 'static {
     /// Takes a configuration that is newer than the one before.
     fn config(&self, text: &str);
     /// Takes registrations. Those that are missing from them still existed `lag`
@@ -89,7 +89,7 @@
     pub(super) watch_missed: sync::Notify,
 }
 
-impl<H: Hear> Service<H> {
+impl<H: Listener> Service<H> {
     /// Starts the service, which sends and receives datagrams on `socket`. Call
     /// within a local set.
     pub fn start<C, R, P>(
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -90,7 +90,7 @@
     R: follow::Source<Value = registry::Entry>,
 {
     /// Polls the store each time that the service requests it, until `timer` stops.
-    pub(super) async fn run<H: spread::Hear>(
+    pub(super) async fn run<H: spread::Listener>(
         mut self,
         service: spread::Service<H>,
         timer: timer::Service,
@@ -121,7 +121,7 @@
         }
     }
 
-    async fn poll<H: spread::Hear>(
+    async fn poll<H: spread::Listener>(
         &mut self,
         service: &spread::Service<H>,
     ) -> Result<(), follow::Error> {
@@ -149,7 +149,7 @@
 }
 
 /// Reports when data from the store arrives during a poll, until `timer` stops.
-async fn follow_progress<H: spread::Hear>(
+async fn follow_progress<H: spread::Listener>(
     service: &spread::Service<H>,
     received: &[clock::Latest],
     timer: &timer::Service,
@@ -169,7 +169,7 @@
 }
 
 /// Reads and writes the directory as requested.
-pub(super) async fn run_directory_tasks<H: spread::Hear, P: Pages>(
+pub(super) async fn run_directory_tasks<H: spread::Listener, P: Pages>(
     service: spread::Service<H>,
     mut pages: P,
     mut tasks: sync::mpsc::UnboundedReceiver<DirectoryTask>,
@@ -201,7 +201,7 @@
     mut poller_rank: sync::watch::Receiver<Option<usize>>,
     timer: timer::Service,
 ) where
-    H: spread::Hear,
+    H: spread::Listener,
     R: follow::Source<Value = registry::Entry>,
 {
     let mut backoff = backoff();
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -103,7 +103,7 @@
 /// Listener that ignores everything and reaches no other VM.
 struct NullListener;
 
-impl spread::Hear for NullListener {
+impl spread::Listener for NullListener {
     fn config(&self, _: &str) {}
     fn registrations(&self, _: spread::Registrations, _: time::Duration) {}
     fn registration(&self, _: &str) -> Option<registry::Entry> {
