--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -40,7 +40,7 @@
     /// Takes a changed view of the fleet.
     fn view(&self, view: spread::View);
     /// Takes a request that another VM suspects of crashing upstreams.
-    fn blamed(&self, request: ids::Fingerprint);
+    fn crash_suspect(&self, request: ids::Fingerprint);
     /// Sends a request to another VM.
     ///
     /// # Errors
@@ -259,7 +259,7 @@
     fn dispatch(&self, from: net::SocketAddr, datagram: spread::Datagram) {
         match &datagram {
             spread::Datagram::CrashSuspect(request) => {
-                return self.0.listener.blamed(*request);
+                return self.0.listener.crash_suspect(*request);
             }
             spread::Datagram::Update(update) => self.apply_update(update),
             spread::Datagram::Hello(_) => {}
