--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -291,7 +291,7 @@
     }
 
     /// Notifies all other VMs of a request that is suspected of crashing upstreams.
-    pub async fn blame(&self, request: ids::Fingerprint) {
+    pub async fn report_crash_suspect(&self, request: ids::Fingerprint) {
         let datagram = spread::Datagram::CrashSuspect(request);
         for _ in 0..2 {
             let to: Vec<_> = {
