--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -156,7 +156,12 @@
     }
 
     /// Updates gauges of `meter` at intervals of `period`.
-    pub fn show(&self, meter: &metrics::Meter, interval: time::Duration, timer: &timer::Service) {
+    pub fn record_metrics(
+        &self,
+        meter: &metrics::Meter,
+        interval: time::Duration,
+        timer: &timer::Service,
+    ) {
         let instruments = instruments::Instruments::new(meter);
         tokio::task::spawn_local(instruments.run(self.clone(), interval, timer.clone()));
     }
