--- a/crates/geraniumgauge/src/spread/member.rs
+++ b/crates/geraniumgauge/src/spread/member.rs
@@ -45,7 +45,8 @@
     /// The VM's data centre.
     pub data_centre: ids::DataCentre,
     /// Processor cores of the VM.
-    pub power: f64,
+    #[serde(rename = "power")]
+    pub cores: f64,
 }
 
 impl Known {
@@ -110,7 +111,7 @@
         if let Some(before) = &before {
             self.digest ^= before.member.fingerprint();
         }
-        let moves = before.as_ref().map(|before| before.member.power) != Some(member.power);
+        let moves = before.as_ref().map(|before| before.member.cores) != Some(member.cores);
         let same_start = before.filter(|before| before.member.incarnation == member.incarnation);
         let known = Known {
             received: now,
@@ -129,8 +130,8 @@
     /// first, since their links can send what they read to many others at a time.
     fn rank(&mut self, vm: ids::Vm) {
         self.order.retain(|other| *other != vm);
-        let power = |vm: &ids::Vm| self.known[vm].member.power.max(0.0).to_bits();
-        let weight = |vm: &ids::Vm| (power(vm), rendezvous::weight(RANKING_KEY, vm), vm.clone());
+        let cores = |vm: &ids::Vm| self.known[vm].member.cores.max(0.0).to_bits();
+        let weight = |vm: &ids::Vm| (cores(vm), rendezvous::weight(RANKING_KEY, vm), vm.clone());
         let own = weight(&vm);
         let place = self.order.partition_point(|other| weight(other) > own);
         self.order.insert(place, vm);
@@ -209,9 +210,9 @@
 
     /// Returns the cores of the VM at `address`, or a small value if it isn't
     /// known.
-    pub fn power(&self, address: &net::SocketAddr) -> f64 {
+    pub fn cores(&self, address: &net::SocketAddr) -> f64 {
         let member = self.at(address);
-        member.map_or(MIN_CORES, |member| member.power.max(MIN_CORES))
+        member.map_or(MIN_CORES, |member| member.cores.max(MIN_CORES))
     }
 
     /// Returns the data centre of the VM at `address`.
--- a/crates/geraniumgauge/src/spread/state/broadcast.rs
+++ b/crates/geraniumgauge/src/spread/state/broadcast.rs
@@ -197,7 +197,7 @@
             collections::BTreeMap::new();
         for member in self.members.others() {
             let vms = data_centres.entry(member.data_centre.clone()).or_default();
-            vms.push((member.address, member.power));
+            vms.push((member.address, member.cores));
         }
         let local = data_centres.remove(&self.members.own().data_centre);
         let local = local.unwrap_or_default().into_iter();
--- a/crates/geraniumgauge/src/spread/state/directory.rs
+++ b/crates/geraniumgauge/src/spread/state/directory.rs
@@ -225,7 +225,7 @@
     /// VMs need them first, and this VM.
     fn page(&self) -> impl Iterator<Item = &spread::Member> {
         let mut others: Vec<_> = self.members.others().collect();
-        others.sort_by(|a, b| b.power.total_cmp(&a.power));
+        others.sort_by(|a, b| b.cores.total_cmp(&a.cores));
         others.truncate(MAX_PAGE_MEMBERS - 1);
         others.into_iter().chain([self.members.own()])
     }
--- a/crates/geraniumgauge/src/spread/state/fetch.rs
+++ b/crates/geraniumgauge/src/spread/state/fetch.rs
@@ -130,7 +130,7 @@
         let own = self.members.own().address;
         let others = redirect.vms.iter().copied().filter(|vm| *vm != own);
         let choices: Vec<_> = others.chain([from]).collect();
-        let weigh = |vm: &net::SocketAddr| self.members.power(vm);
+        let weigh = |vm: &net::SocketAddr| self.members.cores(vm);
         let choice = choices.choose_weighted(&mut self.rng, weigh);
         let choice = choice.copied().unwrap_or(from);
         let delay = if choice == from {
@@ -262,7 +262,7 @@
         let local_only = fetch.knows_no_other && requester.data_centre != own.data_centre;
         let wanted = |member: &spread::Member| {
             let local = member.data_centre == requester.data_centre;
-            !local_only || local || member.power > requester.power || member.vm == own.vm
+            !local_only || local || member.cores > requester.cores || member.vm == own.vm
         };
         let records = self.members.records(now);
         let records = records.filter(|(member, _)| !same && wanted(member));
@@ -310,9 +310,9 @@
     /// that serves more VMs: one with more cores, or in another data centre.
     pub(super) fn has_fewest_cores(&self, requester: &spread::Member) -> bool {
         let mut others = self.members.others();
-        let more = others.any(|vm| !self.is_local(vm) || vm.power > requester.power);
+        let more = others.any(|vm| !self.is_local(vm) || vm.cores > requester.cores);
         let mut local = self.members.others().filter(|vm| self.is_local(vm));
-        more && local.all(|vm| vm.power >= requester.power)
+        more && local.all(|vm| vm.cores >= requester.cores)
     }
 
     /// Releases the part of the link that an answer used, once it has been sent or
--- a/crates/geraniumgauge/src/spread/tests/member.rs
+++ b/crates/geraniumgauge/src/spread/tests/member.rs
@@ -13,7 +13,7 @@
         beat,
         address: "10.0.0.1:7000".parse().expect("an address"),
         data_centre: "dc-a".parse().expect("a name"),
-        power: 0.5,
+        cores: 0.5,
     }
 }
 
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -139,7 +139,7 @@
             beat: 0,
             address: socket.local_addr().expect("an address"),
             data_centre: "dc".parse().expect("a name"),
-            power: 1.0,
+            cores: 1.0,
         };
         let state = spread::State::new(own, POLL_INTERVAL, Vec::new(), LINK, 1, clock.now());
         let store = spread::Store {
--- a/crates/geraniumgauge/src/spread/tests/wire.rs
+++ b/crates/geraniumgauge/src/spread/tests/wire.rs
@@ -35,7 +35,7 @@
         beat: 2,
         address: "10.0.0.1:7000".parse().expect("an address"),
         data_centre: "dc-b".parse().expect("a name"),
-        power: 0.125,
+        cores: 0.125,
     }
 }
 
--- a/crates/geraniumgauge/src/spread/tests/world/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/mod.rs
@@ -162,7 +162,7 @@
             beat: 0,
             address: address(vm),
             data_centre: format!("dc-{}", vm % DATA_CENTRES).parse().expect("a name"),
-            power: if links::is_large(vm) { 0.5 } else { 0.125 },
+            cores: if links::is_large(vm) { 0.5 } else { 0.125 },
         };
         let seed = self.rng.random();
         let link = rate::BytesPerSecond(links::rate(vm));
--- a/crates/geraniumgauge/src/spread/wire/member.rs
+++ b/crates/geraniumgauge/src/spread/wire/member.rs
@@ -21,7 +21,7 @@
     #[prost(string, tag = "5")]
     data_centre: String,
     #[prost(double, tag = "6")]
-    power: f64,
+    cores: f64,
     #[prost(uint64, tag = "7")]
     age_ms: u64,
 }
@@ -43,7 +43,7 @@
             beat: member.beat,
             address: member.address.to_string(),
             data_centre: member.data_centre.to_string(),
-            power: member.power,
+            cores: member.cores,
             age_ms: 0,
         }
     }
@@ -64,7 +64,7 @@
             beat: self.beat,
             address: self.address.parse().ok()?,
             data_centre: self.data_centre.parse().ok()?,
-            power: Some(self.power).filter(|power| power.is_finite() && *power > 0.0)?,
+            cores: Some(self.cores).filter(|cores| cores.is_finite() && *cores > 0.0)?,
         })
     }
 }
