--- a/crates/geraniumgauge/src/spread/count.rs
+++ b/crates/geraniumgauge/src/spread/instruments.rs
@@ -1,4 +1,4 @@
-//! Gauges of what this VM believes.
+//! OpenTelemetry instruments.
 
 use std::time;
 
@@ -7,18 +7,18 @@
 use crate::spread;
 use crate::timer;
 
-/// Shown before the first look that this VM has heard of.
-const NO_LOOK: f64 = -1.0;
+/// Age that is recorded before the first poll result is received.
+const UNKNOWN_AGE: f64 = -1.0;
 
-/// The gauges.
+/// The gauges of the service.
 #[derive(Debug)]
-pub(super) struct Count {
+pub(super) struct Instruments {
     age: metrics::Gauge<f64>,
     vms: metrics::Gauge<u64>,
 }
 
-impl Count {
-    /// The gauges of `meter`.
+impl Instruments {
+    /// Creates the gauges on `meter`.
     pub(super) fn new(meter: &metrics::Meter) -> Self {
         let age = meter.f64_gauge("spread_age").with_unit("s");
         let vms = meter.u64_gauge("spread_vms");
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Sets them each `period`, until `timer` stops.
-    pub(super) async fn run<H: spread::Hear>(
+    /// Records the gauges at intervals of `period`, until `timer` stops.
+    pub(super) async fn run<H: spread::Listener>(
         self,
         service: spread::Service<H>,
-        period: time::Duration,
+        interval: time::Duration,
         timer: timer::Service,
     ) {
-        while timer.pause(period).await {
-            let age = service.age().map_or(NO_LOOK, |age| age.as_secs_f64());
+        while timer.pause(interval).await {
+            let age = service.age().map_or(UNKNOWN_AGE, |age| age.as_secs_f64());
             self.age.record(age, &[]);
             let vms = service.vms().unwrap_or_default();
             self.vms.record(vms as u64, &[]);
--- a/crates/geraniumgauge/src/spread/state/mod.rs
+++ b/crates/geraniumgauge/src/spread/state/mod.rs
@@ -1,21 +1,22 @@
-//! Who reads the store, who tells whom, and how many VMs there are: decisions
-//! without I/O or clock.
+//! State machine that decides which VMs poll the store, where updates are sent, and
+//! how many VMs the fleet has. It does no I/O and reads no clock.
 //!
-//! Two VMs look at the store by linearizable reads and tell the others by short
-//! updates. An update goes to each VM of the teller's data centre and to two of each
-//! other one, which pass it on there, so that a data centre's own VMs fetch what
-//! they lack from beside them. Silence decides who looks: a VM that has heard
-//! of no look for a while asks another VM, and then looks for itself.
+//! Two VMs, the pollers, read the store with linearizable reads and send short
+//! updates to the others. A poller sends an update to every VM of its own data
+//! centre and to two VMs of each other one. Those two forward it locally, so that a
+//! VM fetches missing content from its own data centre. A VM that has received no
+//! poll result for a while asks another VM, and then polls the store itself.
 //!
-//! While the store is away, those who look for all say so; the others don't
-//! knock but for a few by chance, as the store may turn away some VMs only.
+//! While the store is unavailable, the pollers report that. Only a few other VMs,
+//! chosen at random, retry the store, since it may refuse some VMs and serve
+//! others.
 
 mod action;
-mod ask;
+mod broadcast;
 mod directory;
-mod look;
-mod rely;
-mod tell;
+mod fetch;
+mod poll;
+mod reliance;
 
 pub use action::Action;
 pub use action::View;
@@ -32,158 +33,165 @@
 use crate::ids;
 use crate::rate;
 use crate::spread;
-use crate::spread::sending;
+use crate::spread::admission;
 use crate::store;
 use crate::time as clock;
 
-/// How long a VM that has just started waits for the directory.
-const OPENING: time::Duration = time::Duration::from_millis(100);
-/// How long it waits for another VM's answer, where it has the directory: one
-/// that is up mostly answers sooner, and one without power never.
-const PEERS: time::Duration = time::Duration::from_millis(15);
-/// Look periods in which VMs that start for the first time find each other.
-const SETTLE: u32 = 2;
+/// Time for which a VM that has just started waits for the directory.
+const DIRECTORY_TIMEOUT: time::Duration = time::Duration::from_millis(100);
+/// Time for which a VM that has read the directory waits for the first answer. A VM
+/// that is up usually answers sooner; one that is down never answers.
+const FIRST_ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(15);
+/// Poll intervals in which VMs that start for the first time discover each other.
+const SETTLE_TIME_POLLS: u32 = 2;
 
-/// What is under way.
+/// Operations in progress.
 #[derive(Debug, Default)]
-struct Busy {
-    /// Since when this VM looks.
-    look: Option<clock::Moment>,
-    /// When the store was heard of last meanwhile.
-    heard: Option<clock::Moment>,
-    /// The VMs that are asked.
-    fetches: collections::BTreeMap<net::SocketAddr, Asked>,
+struct Pending {
+    /// Start of the poll in progress.
+    poll: Option<clock::Moment>,
+    /// When the last bytes from the store arrived.
+    received: Option<clock::Moment>,
+    /// Fetches in progress, by the VM that was asked.
+    fetches: collections::BTreeMap<net::SocketAddr, RunningFetch>,
+    /// Set while the directory is being read.
     reading: bool,
+    /// Set while a page of the directory is being written.
     writing: bool,
 }
 
-/// A question to another VM.
+/// A fetch in progress.
 #[derive(Debug)]
-struct Asked {
-    /// Whether for the VMs alone.
-    brief: bool,
-    /// Whether for all registrations.
-    whole: bool,
+struct RunningFetch {
+    /// Set if only records of VMs were requested.
+    members_only: bool,
+    /// Set if all registrations were requested instead of changes.
+    full: bool,
     at: clock::Moment,
 }
 
-/// A question that is due.
+/// A fetch that is scheduled.
 #[derive(Debug)]
-struct Wanted {
+struct ScheduledFetch {
     from: net::SocketAddr,
     at: clock::Moment,
 }
 
-/// The latest look that what this VM holds includes.
+/// The latest poll whose result is included in what this VM holds.
 #[derive(Debug, Clone)]
-struct Latest {
+struct LatestPoll {
     vm: ids::Vm,
     number: u64,
     at: clock::Moment,
 }
 
-/// A view as it was shown.
+/// The parts of a published view that show whether a new one differs.
 #[derive(Debug)]
-struct Shown {
+struct PublishedView {
     members: u64,
     vms: Option<usize>,
     at: clock::Moment,
 }
 
-/// An update to be passed on, once this VM has what it tells of.
+/// A received update whose handling is deferred: until its content has been
+/// fetched, or until the primary VM of this data centre has had time to forward it.
 #[derive(Debug)]
-struct Owed {
+struct Deferred {
     update: spread::Update,
     from: net::SocketAddr,
-    heard: clock::Moment,
+    received: clock::Moment,
 }
 
-/// What one VM knows of the fleet, and how fresh what it holds of the store is.
+/// What one VM knows of the fleet and of the store.
 #[derive(Debug)]
 pub struct State {
-    /// How old a look may be before the next one is due.
-    period: time::Duration,
+    /// Age of the latest poll at which the next one is due.
+    poll_interval: time::Duration,
     seeds: Vec<net::SocketAddr>,
     members: spread::Members,
-    holds: spread::Holds,
-    sure: bool,
-    latest: Option<Latest>,
-    /// The highest number of the looks that were taken, by VM.
-    numbers: collections::HashMap<ids::Vm, u64>,
-    /// The number of this VM's own last look.
-    number: u64,
+    position: spread::Position,
+    verified: bool,
+    latest: Option<LatestPoll>,
+    /// Highest poll number received, by the VM that polled.
+    poll_numbers: collections::HashMap<ids::Vm, u64>,
+    /// Number of this VM's own last poll.
+    poll_number: u64,
     started: clock::Moment,
-    busy: Busy,
+    pending: Pending,
     rng: rand::rngs::StdRng,
 
-    /// This VM's own last look that succeeded.
-    own_look: Option<clock::Moment>,
-    /// Since when this VM reads the store for all.
-    duty_since: Option<clock::Moment>,
-    /// When a VM that doesn't read for all looks for itself.
-    look_at: clock::Moment,
-    /// Until when it may leave that to others at most, whatever they say.
+    /// When this VM's own last successful poll ended.
+    own_poll: Option<clock::Moment>,
+    /// When this VM became a poller; `None` if it isn't one.
+    poller_since: Option<clock::Moment>,
+    /// When a VM that isn't a poller polls the store itself.
+    poll_at: clock::Moment,
+    /// Latest time until which reports that the store is unavailable can postpone
+    /// this VM's own poll.
     rely_until: clock::Moment,
-    /// Whether it must look before it relies on others.
-    must_look: bool,
-    /// What others hold that this VM lacked, and whether they are sure of it.
-    heard_of: Option<(spread::Holds, bool)>,
-    /// Whether the store was last found or said to be away.
-    away: bool,
-    /// Whether this VM itself found it so.
-    doubts: bool,
-    /// Own looks that failed in a row.
+    /// Set if this VM's next poll doesn't wait for an answer of another VM.
+    must_poll: bool,
+    /// A newer position that another VM reported, and whether it was verified.
+    newer_position: Option<(spread::Position, bool)>,
+    /// Set if the store was last found or reported to be unavailable.
+    unavailable: bool,
+    /// Set if this VM itself found the store unavailable.
+    found_unavailable: bool,
+    /// Consecutive failures of this VM's own polls.
     failures: u32,
-    /// The pauses after them, while this VM looks for all.
+    /// Delays between a poller's retries after failed polls.
     backoff: store::Backoff,
-    /// When this VM tries a store that is away.
-    try_at: clock::Moment,
-    /// Whether it has left its duty to others, as its looks fail.
-    resigned: bool,
-    /// Whether the first look was drawn.
-    drawn: bool,
-
-    /// Whether a question was answered, or not in time.
-    asked: bool,
-    /// Whether those that read the store were told of this VM.
-    greeted: bool,
-    /// When another VM is asked next, where nothing is heard until then.
-    ask_at: clock::Moment,
-    /// Whom to ask for what an update told of.
-    wanted: Option<Wanted>,
-    /// When VMs' records are compared with another VM, and which.
-    compare: Option<(clock::Moment, net::SocketAddr)>,
-    owed: Option<Owed>,
-    /// What is being told to those that ask.
-    sending: sending::Sending,
-    /// An update that another VM mostly passes on first.
-    second: Option<Owed>,
-    /// When this VM tells what changed of the fleet.
-    tell_at: Option<clock::Moment>,
-    told_at: Option<clock::Moment>,
-
-    /// VMs that others have told there are.
-    heard_vms: Option<usize>,
-    /// VMs that the directory told of, and until when they count.
-    floor: Option<(usize, clock::Moment)>,
-    /// Whether the directory was read.
-    listed: bool,
-    read_at: clock::Moment,
-    /// What this VM wrote to the directory last, and when.
-    written: Option<(u64, clock::Moment)>,
-    /// The view that was shown last.
-    shown: Option<Shown>,
-    /// Who told of other VMs last.
+    /// When this VM next retries an unavailable store.
+    retry_at: clock::Moment,
+    /// Set if this VM has given up the poller role because its polls fail.
+    stepped_down: bool,
+    /// Set once the first poll has been scheduled.
+    first_poll_scheduled: bool,
+
+    /// Set once a fetch has been answered or has timed out.
+    fetch_ended: bool,
+    /// Set once this VM has sent its record to the pollers.
+    announced: bool,
+    /// When another VM is asked next if no poll result is received before then.
+    fetch_at: clock::Moment,
+    /// The next fetch of content that an update mentioned.
+    scheduled_fetch: Option<ScheduledFetch>,
+    /// When to compare records of VMs with another VM, and its address.
+    comparison: Option<(clock::Moment, net::SocketAddr)>,
+    deferred: Option<Deferred>,
+    /// Admission of the answers that this VM sends.
+    answers: admission::Admission,
+    /// An update that this VM forwards if the primary VM of its data centre
+    /// doesn't.
+    backup: Option<Deferred>,
+    /// When this VM sends an update about changes of the fleet.
+    broadcast_at: Option<clock::Moment>,
+    last_broadcast: Option<clock::Moment>,
+
+    /// Number of VMs that another VM reported last.
+    reported_vms: Option<usize>,
+    /// Number of VMs according to the directory, and when that number expires.
+    directory_vms: Option<(usize, clock::Moment)>,
+    /// Set once the directory has been read.
+    has_directory: bool,
+    read_directory_at: clock::Moment,
+    /// Hash of the page that this VM last wrote to the directory, and when it was
+    /// written.
+    written_page: Option<(u64, clock::Moment)>,
+    /// The view that was published last.
+    published: Option<PublishedView>,
+    /// Description of what last changed the known VMs, for the log.
     source: &'static str,
     actions: Vec<Action>,
 }
 
 impl State {
-    /// A VM that knows nothing yet, with a link of so many bytes a second. `seeds`
-    /// may be other VMs; random choices follow from `seed`.
+    /// Creates the state of a VM that knows no other VM, with a link of the given
+    /// bandwidth. `seeds` are addresses that may belong to other VMs; `seed`
+    /// initializes the random choices.
     pub fn new(
         own: spread::Member,
-        period: time::Duration,
+        poll_interval: time::Duration,
         seeds: Vec<net::SocketAddr>,
         link: rate::BytesPerSecond,
         seed: u64,
@@ -191,195 +199,195 @@
     ) -> Self {
         let seeds = seeds.into_iter().filter(|seed| *seed != own.address);
         Self {
-            period,
+            poll_interval,
             seeds: seeds.collect(),
-            number: own.incarnation.0,
+            poll_number: own.incarnation.0,
             members: spread::Members::new(own, now),
-            holds: spread::Holds::default(),
-            sure: false,
+            position: spread::Position::default(),
+            verified: false,
             latest: None,
-            numbers: collections::HashMap::new(),
+            poll_numbers: collections::HashMap::new(),
             started: now,
-            busy: Busy::default(),
+            pending: Pending::default(),
             rng: rand::rngs::StdRng::seed_from_u64(seed),
-            own_look: None,
-            duty_since: None,
-            look_at: now + OPENING,
-            rely_until: now + period,
-            must_look: false,
-            heard_of: None,
-            away: false,
-            doubts: false,
+            own_poll: None,
+            poller_since: None,
+            poll_at: now + DIRECTORY_TIMEOUT,
+            rely_until: now + poll_interval,
+            must_poll: false,
+            newer_position: None,
+            unavailable: false,
+            found_unavailable: false,
             failures: 0,
             backoff: spread::store::backoff(),
-            try_at: now,
-            resigned: false,
-            drawn: false,
-            asked: false,
-            greeted: false,
-            ask_at: now,
-            wanted: None,
-            compare: None,
-            owed: None,
-            sending: sending::Sending::new(link, now),
-            second: None,
-            tell_at: None,
-            told_at: None,
-            heard_vms: None,
-            floor: None,
-            listed: false,
-            read_at: now,
-            written: None,
-            shown: None,
+            retry_at: now,
+            stepped_down: false,
+            first_poll_scheduled: false,
+            fetch_ended: false,
+            announced: false,
+            fetch_at: now,
+            scheduled_fetch: None,
+            comparison: None,
+            deferred: None,
+            answers: admission::Admission::new(link, now),
+            backup: None,
+            broadcast_at: None,
+            last_broadcast: None,
+            reported_vms: None,
+            directory_vms: None,
+            has_directory: false,
+            read_directory_at: now,
+            written_page: None,
+            published: None,
             source: "start",
             actions: Vec::new(),
         }
     }
 
-    /// Does what is due; all there is to do, also for what was told before.
+    /// Performs all work that is due and returns the actions to carry out,
+    /// including those that earlier calls queued.
     pub fn tick(&mut self, now: clock::Moment) -> Vec<Action> {
-        self.keep_records(now);
-        self.pass_second(now);
+        self.maintain_records(now);
+        self.forward_as_backup(now);
         self.compare_records(now);
-        self.ask_if_due(now);
-        self.look_if_due(now);
-        self.doubt_if_due(now);
-        self.tell_if_due(now);
-        self.read_if_due(now);
-        self.write_if_due(now);
+        self.fetch_if_due(now);
+        self.poll_if_due(now);
+        self.report_slow_poll(now);
+        self.broadcast_if_due(now);
+        self.read_directory_if_due(now);
+        self.write_directory_if_due(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// Returns when [`Self::tick`] has to be called next.
     pub fn wake_at(&self, now: clock::Moment) -> clock::Moment {
-        let second = self.second.as_ref().map(|second| self.second_at(second));
-        let idle = self.busy.fetches.is_empty();
-        let fetch = Some(self.ask_at).filter(|_| idle);
-        let compare = self.compare.filter(|_| idle);
-        let wanted = self.wanted.as_ref().map(|wanted| wanted.at);
+        let backup = self.backup.as_ref().map(|backup| self.backup_at(backup));
+        let idle = self.pending.fetches.is_empty();
+        let fetch = Some(self.fetch_at).filter(|_| idle);
+        let comparison = self.comparison.filter(|_| idle);
+        let scheduled_fetch = self.scheduled_fetch.as_ref().map(|fetch| fetch.at);
         let due = [
-            self.look_due(now),
-            self.doubt_due(now),
+            self.poll_due(now),
+            self.slow_poll_due(now),
             fetch,
-            wanted.filter(|at| idle || *at > now),
-            second,
-            compare.map(|(at, _)| at),
-            self.tell_at,
-            self.show_due(now),
-            self.read_due(now),
-            self.write_due(now),
-            Some(now + self.period),
+            scheduled_fetch.filter(|at| idle || *at > now),
+            backup,
+            comparison.map(|(at, _)| at),
+            self.broadcast_at,
+            self.publish_due(now),
+            self.directory_read_due(now),
+            self.directory_write_due(now),
+            Some(now + self.poll_interval),
         ];
         due.into_iter().flatten().min().unwrap_or(now)
     }
 
-    /// What this VM holds of the store has changed. `sure`, where its
-    /// registrations are just those that a look showed.
-    pub fn hold(&mut self, holds: spread::Holds, sure: bool, now: clock::Moment) {
-        let news = holds.config != self.holds.config;
-        self.holds = holds;
-        self.sure = sure;
-        if news {
-            self.sending.renew(now);
-            self.offer_news(now);
+    /// Sets how far this VM has read the store. `verified` is set if its
+    /// registrations are equal to what a poll showed.
+    pub fn set_position(&mut self, position: spread::Position, verified: bool, now: clock::Moment) {
+        let changed = position.config != self.position.config;
+        self.position = position;
+        self.verified = verified;
+        if changed {
+            self.answers.content_changed(now);
+            self.offer_config(now);
         }
     }
 
-    /// How far this VM knows the store.
-    pub fn holds(&self) -> spread::Holds {
-        self.holds
+    /// Returns how far this VM has read the store.
+    pub fn position(&self) -> spread::Position {
+        self.position
     }
 
-    /// Whether this VM's registrations are just those that a look showed.
-    pub fn is_sure(&self) -> bool {
-        self.sure
+    /// Returns whether this VM's registrations are equal to what a poll showed.
+    pub fn is_verified(&self) -> bool {
+        self.verified
     }
 
-    /// The VMs known.
+    /// Returns the known VMs.
     pub fn members(&self) -> &spread::Members {
         &self.members
     }
 
-    /// How old the latest look is that what this VM holds includes; `None`
-    /// before the first one.
+    /// Returns the age of the latest poll whose result this VM holds; `None` before
+    /// the first one.
     pub fn age(&self, now: clock::Moment) -> Option<time::Duration> {
         self.latest.as_ref().map(|latest| now.since(latest.at))
     }
 
-    /// Whether another VM's registrations or configuration show what this VM
-    /// lacks.
-    pub fn lacks(&self, theirs: &spread::Holds, sure: bool) -> bool {
-        if theirs.config > self.holds.config {
+    /// Returns whether another VM's position shows registrations or a configuration
+    /// that this VM lacks.
+    pub fn lacks(&self, theirs: &spread::Position, verified: bool) -> bool {
+        if theirs.config > self.position.config {
             return true;
         }
-        let differs = theirs.digest != self.holds.digest;
-        match (theirs.revision, self.holds.revision) {
+        let differs = theirs.digest != self.position.digest;
+        match (theirs.revision, self.position.revision) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some(theirs), Some(own)) => differs && (theirs > own || theirs == own && sure),
+            (Some(theirs), Some(own)) => differs && (theirs > own || theirs == own && verified),
         }
     }
 
-    /// How many VMs there are, this one included; `None` where this VM can't
-    /// tell yet.
+    /// Returns the number of VMs, this one included; `None` while it is unknown.
     pub fn vms(&self, now: clock::Moment) -> Option<usize> {
-        let floor = self.floor.filter(|(_, until)| now < *until);
-        let floor = floor.map(|(vms, _)| vms);
-        let told = if self.is_settled(now) {
-            // Nobody else's figure: two VMs that repeat each other's would keep
-            // the count of a fleet that has shrunk.
-            Some(floor.unwrap_or_default())
+        let directory_vms = self.directory_vms.filter(|(_, until)| now < *until);
+        let directory_vms = directory_vms.map(|(vms, _)| vms);
+        let reported = if self.can_count_vms(now) {
+            // Ignores the numbers that others report: two VMs that repeat each
+            // other's number would keep the count of a fleet that has shrunk.
+            Some(directory_vms.unwrap_or_default())
         } else {
-            self.heard_vms.max(floor)
+            self.reported_vms.max(directory_vms)
         };
-        told.map(|told| told.max(self.members.count()))
+        reported.map(|reported| reported.max(self.members.count()))
     }
 
-    /// Whether this VM can count the fleet by itself: it reads the store for
-    /// all, and has had time to hear from VMs that started with it, and those
-    /// in the directory.
-    fn is_settled(&self, now: clock::Moment) -> bool {
-        self.duty_since.is_some()
-            && self.own_look.is_some()
-            && self.listed
-            && now.since(self.started) >= self.period * SETTLE
+    /// Returns whether this VM can count the fleet by itself: it is a poller, has
+    /// read the directory, and has had time to receive records from VMs that
+    /// started with it.
+    fn can_count_vms(&self, now: clock::Moment) -> bool {
+        self.poller_since.is_some()
+            && self.own_poll.is_some()
+            && self.has_directory
+            && now.since(self.started) >= self.poll_interval * SETTLE_TIME_POLLS
     }
 
-    /// Until when a VM that has just started waits for what it asked; `None`
-    /// where it waits no more.
+    /// Returns until when a VM that has just started waits for the directory or for
+    /// its first answer; `None` if it doesn't wait.
     fn starting_until(&self, now: clock::Moment) -> Option<clock::Moment> {
         let alone = self.members.count() == 1 && self.seeds.is_empty();
-        let wait = match self.listed {
-            false => OPENING,
-            true if alone || self.asked => return None,
-            true => PEERS,
+        let timeout = match self.has_directory {
+            false => DIRECTORY_TIMEOUT,
+            true if alone || self.fetch_ended => return None,
+            true => FIRST_ANSWER_TIMEOUT,
         };
-        Some(self.started + wait).filter(|until| now < *until)
+        Some(self.started + timeout).filter(|until| now < *until)
     }
 
-    fn is_near(&self, member: &spread::Member) -> bool {
+    fn is_local(&self, member: &spread::Member) -> bool {
         member.data_centre == self.members.own().data_centre
     }
 
-    /// A random other VM, of this data centre where `near`.
-    fn any(&mut self, near: bool) -> Option<net::SocketAddr> {
+    /// Returns a random other VM, only of this data centre if `local` is set.
+    fn random_vm(&mut self, local: bool) -> Option<net::SocketAddr> {
         let own = self.members.own().data_centre.clone();
-        let fits = |member: &&spread::Member| !near || member.data_centre == own;
+        let fits = |member: &&spread::Member| !local || member.data_centre == own;
         let members = self.members.others().filter(fits);
         members.choose(&mut self.rng).map(|member| member.address)
     }
 
-    /// A random part of the look period.
-    fn part(&mut self, parts: std::ops::Range<f64>) -> time::Duration {
-        self.period.mul_f64(self.rng.random_range(parts))
+    /// Returns a random delay within `range`, which is given in poll intervals.
+    fn random_delay(&mut self, range: std::ops::Range<f64>) -> time::Duration {
+        self.poll_interval.mul_f64(self.rng.random_range(range))
     }
 
-    /// What this VM knows, in short.
+    /// Returns a summary of what this VM knows.
     fn summary(&self, now: clock::Moment) -> spread::Summary {
         spread::Summary {
-            holds: self.holds,
-            sure: self.sure,
-            look: self.look(now),
+            position: self.position,
+            verified: self.verified,
+            poll: self.poll(now),
             vms: self.vms(now),
             members: self.members.digest(),
         }
--- a/crates/geraniumgauge/src/spread/wire/member.rs
+++ b/crates/geraniumgauge/src/spread/wire/member.rs
@@ -1,4 +1,4 @@
-//! Records of VMs.
+//! Encoding of VMs' records.
 
 use std::time;
 
@@ -6,7 +6,7 @@
 use crate::spread;
 use crate::time as clock;
 
-/// [`spread::Member`], and how long ago its record was refreshed.
+/// Encoding of [`spread::Record`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(super) struct Member {
@@ -21,7 +21,7 @@
     #[prost(string, tag = "5")]
     data_centre: String,
     #[prost(double, tag = "6")]
-    power: f64,
+    cores: f64,
     #[prost(uint64, tag = "7")]
     age_ms: u64,
 }
@@ -43,20 +43,20 @@
             beat: member.beat,
             address: member.address.to_string(),
             data_centre: member.data_centre.to_string(),
-            power: member.power,
+            cores: member.cores,
             age_ms: 0,
         }
     }
 }
 
 impl Member {
-    /// The record; `None` where it can't be read.
+    /// Converts to a record; `None` if a field is invalid.
     pub(super) fn read(&self) -> Option<spread::Record> {
         let age = time::Duration::from_millis(self.age_ms);
         Some((self.member()?, age))
     }
 
-    /// The VM alone.
+    /// Converts to a record without its age; `None` if a field is invalid.
     pub(super) fn member(&self) -> Option<spread::Member> {
         Some(spread::Member {
             vm: self.vm.parse().ok()?,
@@ -64,7 +64,7 @@
             beat: self.beat,
             address: self.address.parse().ok()?,
             data_centre: self.data_centre.parse().ok()?,
-            power: Some(self.power).filter(|power| power.is_finite() && *power > 0.0)?,
+            cores: Some(self.cores).filter(|cores| cores.is_finite() && *cores > 0.0)?,
         })
     }
 }
--- a/crates/geraniumgauge/src/spread/wire/mod.rs
+++ b/crates/geraniumgauge/src/spread/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Updates, questions and answers as bytes. Prost derives the encoding.
+//! Encoding of updates, requests and answers. Prost derives it.
 
 mod fetch;
 mod member;
@@ -30,12 +30,12 @@
     Update(Update),
     #[prost(message, tag = "2")]
     Hello(Hello),
-    /// A request that crashed an upstream.
+    /// A request that is suspected of crashing upstreams.
     #[prost(fixed64, tag = "3")]
-    Blamed(u64),
+    CrashSuspect(u64),
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Datagram {
     /// What the sender knows.
@@ -43,31 +43,32 @@
     /// VMs that the receiver may not know, and how long ago their records were
     /// refreshed.
     Hello(Vec<spread::Record>),
-    /// A request that crashed an upstream.
-    Blamed(ids::Fingerprint),
+    /// A request that is suspected of crashing upstreams.
+    CrashSuspect(ids::Fingerprint),
 }
 
 impl Datagram {
-    /// The datagram's bytes.
+    /// Returns the encoded datagram.
     pub fn encode(&self) -> Vec<u8> {
         let kind = match self {
             Self::Update(update) => Kind::Update(update.into()),
             Self::Hello(members) => Kind::Hello(Hello {
                 members: members.iter().map(member::Member::from).collect(),
             }),
-            Self::Blamed(request) => Kind::Blamed(request.0),
+            Self::CrashSuspect(request) => Kind::CrashSuspect(request.0),
         };
         Frame { kind: Some(kind) }.encode_to_vec()
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// Where the bytes are none.
+    ///
+    /// Returns an error if the bytes aren't a valid frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, prost::DecodeError> {
         let frame = Frame::decode(bytes)?;
         Ok(match frame.kind {
-            Some(Kind::Update(update)) => update.read().map_or_else(nobody, Self::Update),
+            Some(Kind::Update(update)) => update.read().map_or_else(empty, Self::Update),
             Some(Kind::Hello(hello)) => Self::Hello(
                 hello
                     .members
@@ -75,14 +76,14 @@
                     .filter_map(member::Member::read)
                     .collect(),
             ),
-            Some(Kind::Blamed(request)) => Self::Blamed(ids::Fingerprint(request)),
-            None => nobody(),
+            Some(Kind::CrashSuspect(request)) => Self::CrashSuspect(ids::Fingerprint(request)),
+            None => empty(),
         })
     }
 }
 
-/// A datagram that says nothing: an identifier in it can't be read.
-fn nobody() -> Datagram {
+/// Returns a datagram without content, for one that contains an invalid identifier.
+fn empty() -> Datagram {
     Datagram::Hello(Vec::new())
 }
 
@@ -101,11 +102,11 @@
     #[prost(message, required, tag = "2")]
     summary: summary::Summary,
     #[prost(bool, tag = "3")]
-    away: bool,
-    /// 0 none, 1 first, 2 second.
+    unavailable: bool,
+    /// 0 for none, 1 for the primary VM, 2 for the backup.
     #[prost(uint32, tag = "4")]
-    pass: u32,
-    /// The digest that the changes are applied to.
+    forwarding: u32,
+    /// Digest of the registrations that the changes apply to.
     #[prost(fixed64, tag = "5")]
     before: u64,
     #[prost(message, optional, tag = "6")]
@@ -118,20 +119,20 @@
         Self {
             vm: update.vm.to_string(),
             summary: (&update.summary).into(),
-            away: update.away,
-            pass: match update.pass {
-                spread::Pass::None => 0,
-                spread::Pass::First => 1,
-                spread::Pass::Second => 2,
+            unavailable: update.unavailable,
+            forwarding: match update.forwarding {
+                spread::Forwarding::None => 0,
+                spread::Forwarding::Primary => 1,
+                spread::Forwarding::Backup => 2,
             },
-            before: changes.map_or(0, |told| told.before.0),
-            changes: changes.map(|told| told.changes.as_slice().into()),
+            before: changes.map_or(0, |changes| changes.before.0),
+            changes: changes.map(|changes| changes.changes.as_slice().into()),
         }
     }
 }
 
 impl Update {
-    /// The update; `None` where its teller can't be read.
+    /// Converts to an update; `None` if the sender's name is invalid.
     fn read(self) -> Option<spread::Update> {
         let before = follow::Digest(self.before);
         let changes = self.changes.map(|changes| spread::Changes {
@@ -141,23 +142,23 @@
         Some(spread::Update {
             vm: self.vm.parse().ok()?,
             summary: self.summary.into(),
-            away: self.away,
-            pass: match self.pass {
-                1 => spread::Pass::First,
-                2 => spread::Pass::Second,
-                _ => spread::Pass::None,
+            unavailable: self.unavailable,
+            forwarding: match self.forwarding {
+                1 => spread::Forwarding::Primary,
+                2 => spread::Forwarding::Backup,
+                _ => spread::Forwarding::None,
             },
             changes,
         })
     }
 }
 
-/// Bytes that registrations take in an answer.
+/// Returns the size of registrations in an answer, in bytes.
 pub(super) fn size_of(registrations: &spread::Registrations) -> usize {
-    registration::News::from(registrations).encoded_len()
+    registration::Registrations::from(registrations).encoded_len()
 }
 
-/// Bytes that changes take in an update.
+/// Returns the size of changes in an update, in bytes.
 pub(super) fn size(changes: &[follow::Change<registry::Entry>]) -> usize {
     registration::Changes::from(changes).encoded_len()
 }
