--- a/crates/geraniumgauge/src/edge/answer.rs
+++ b/crates/geraniumgauge/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, as bytes.
+//! Encodes answers to callers.
 
 use std::io::Write as _;
 use std::time;
@@ -6,34 +6,34 @@
 use crate::forward;
 use crate::h1;
 
-/// Pause told to callers while this VM knows no configuration yet. Another VM
-/// may know one.
-pub(super) const STARTING_PAUSE: time::Duration = time::Duration::from_millis(100);
+/// `Retry-After` sent to callers while this VM has no configuration. Another VM may
+/// have one.
+pub(super) const STARTING_RETRY_AFTER: time::Duration = time::Duration::from_millis(100);
 
-/// An answer, ready to be written.
+/// An encoded answer.
 #[derive(Debug)]
 pub(super) struct Answer {
-    /// Its bytes.
+    /// The encoded status line, headers and body.
     pub(super) bytes: Vec<u8>,
-    /// Whether the connection ends after it.
+    /// Whether the connection is closed after the answer.
     pub(super) close: bool,
-    /// How the request ended, for logs and metrics.
+    /// The outcome as named in logs and metrics.
     pub(super) outcome: &'static str,
-    /// Its status.
+    /// The HTTP status.
     pub(super) status: u16,
 }
 
-/// What an answer says beside its outcome.
+/// Builds the answer to one request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Frame<'r> {
+pub(super) struct Builder<'r> {
     pub(super) names: &'r h1::Names,
-    pub(super) request: &'r str,
+    pub(super) request_id: &'r str,
     pub(super) head_only: bool,
     pub(super) close: bool,
 }
 
-impl Frame<'_> {
-    /// The answer that tells `outcome`.
+impl Builder<'_> {
+    /// Encodes the outcome of a request.
     pub(super) fn outcome(self, outcome: &forward::Outcome) -> Answer {
         match outcome {
             forward::Outcome::Reply(reply) => self.reply(reply),
@@ -46,17 +46,18 @@
         }
     }
 
-    /// An upstream's own reply, unchanged.
+    /// Encodes an upstream's reply unchanged.
     fn reply(self, reply: &h1::Reply) -> Answer {
-        let mut bytes = start(reply.status, reply.headers.len() + reply.body.len());
+        let mut bytes = status_line(reply.status, reply.headers.len() + reply.body.len());
         bytes.extend_from_slice(&reply.headers);
-        self.end(bytes, reply.status, &reply.body, "reply")
+        self.finish(bytes, reply.status, &reply.body, "reply")
     }
 
+    /// Encodes an answer merged from the replies of shards.
     fn merged(self, merged: &forward::Merged) -> Answer {
         let signatures = merged.signatures.join(", ");
-        let mut bytes = start(200, signatures.len() + merged.records.len());
-        self.id(&mut bytes);
+        let mut bytes = status_line(200, signatures.len() + merged.records.len());
+        self.add_request_id(&mut bytes);
         // Writing to memory can't fail.
         let _ = write!(
             bytes,
@@ -68,31 +69,32 @@
         } else {
             "partial"
         };
-        self.end(bytes, 200, &merged.records, outcome)
+        self.finish(bytes, 200, &merged.records, outcome)
     }
 
-    /// A refusal of something that wasn't run and never will be.
+    /// Encodes the refusal of a request that wasn't run and never will be.
     pub(super) fn not_run(self, status: u16, retry_after: time::Duration) -> Answer {
-        let mut bytes = start(status, 0);
-        self.id(&mut bytes);
+        let mut bytes = status_line(status, 0);
+        self.add_request_id(&mut bytes);
         let _ = write!(bytes, "Retry-After: {:.3}\r\n", retry_after.as_secs_f64());
-        self.end(bytes, status, b"", "not_run")
+        self.finish(bytes, status, b"", "not_run")
     }
 
-    /// An answer that is a status alone.
+    /// Encodes an answer with only a status.
     pub(super) fn plain(self, status: u16, outcome: &'static str) -> Answer {
-        let mut bytes = start(status, 0);
-        self.id(&mut bytes);
-        self.end(bytes, status, b"", outcome)
+        let mut bytes = status_line(status, 0);
+        self.add_request_id(&mut bytes);
+        self.finish(bytes, status, b"", outcome)
     }
 
-    fn id(self, bytes: &mut Vec<u8>) {
-        if !self.request.is_empty() {
-            let _ = write!(bytes, "{}: {}\r\n", self.names.request_id, self.request);
+    fn add_request_id(self, bytes: &mut Vec<u8>) {
+        if !self.request_id.is_empty() {
+            let _ = write!(bytes, "{}: {}\r\n", self.names.request_id, self.request_id);
         }
     }
 
-    fn end(self, mut bytes: Vec<u8>, status: u16, body: &[u8], outcome: &'static str) -> Answer {
+    /// Adds the remaining headers and the body.
+    fn finish(self, mut bytes: Vec<u8>, status: u16, body: &[u8], outcome: &'static str) -> Answer {
         let bodiless = status < 200 || matches!(status, 204 | 304);
         if !bodiless {
             let _ = write!(bytes, "Content-Length: {}\r\n", body.len());
@@ -113,13 +115,15 @@
     }
 }
 
-fn start(status: u16, more: usize) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(160 + more);
-    let _ = write!(bytes, "HTTP/1.1 {status} {}\r\n", phrase(status));
+/// Starts an answer with its status line and reserves `extra_capacity` bytes.
+fn status_line(status: u16, extra_capacity: usize) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(160 + extra_capacity);
+    let _ = write!(bytes, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     bytes
 }
 
-fn phrase(status: u16) -> &'static str {
+/// Returns the reason phrase of a status.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/geraniumgauge/src/edge/backlog.rs
+++ b/crates/geraniumgauge/src/edge/backlog.rs
@@ -1,36 +1,35 @@
-//! Messages of another VM that came together.
+//! Messages of another VM that were received together.
 
 use std::collections;
 
 use crate::edge::frame;
 
-/// Takes out calls that a later message of the same batch already leaves.
+/// Removes calls that a later message of the same backlog abandons.
 ///
-/// Guards against calls that run for nobody: a VM that was paused finds seconds
-/// of messages when it wakes, and each call in them would still go out with
-/// nearly its whole time, up to 2.4 s after its search had been answered
-/// elsewhere. The VM that asked has long left those calls, and says so in the
-/// same backlog.
-pub(super) fn prune(batch: &mut Vec<frame::Kind>) {
-    let left = batch.iter().filter_map(|kind| match kind {
-        frame::Kind::Leave(leave) => Some(&leave.calls),
+/// Guards against calls whose results nobody wants: a VM that resumes after a pause
+/// reads seconds of messages, and would make each call in them with nearly its whole
+/// time left, up to 2.4 s after its search was answered from elsewhere. The requester
+/// abandoned those calls long ago, and that message is in the same backlog.
+pub(super) fn prune(messages: &mut Vec<frame::Kind>) {
+    let abandoned = messages.iter().filter_map(|kind| match kind {
+        frame::Kind::Abandon(abandon) => Some(&abandon.calls),
         _ => None,
     });
-    let left: collections::HashSet<u64> = left.flatten().copied().collect();
-    if left.is_empty() {
+    let abandoned: collections::HashSet<u64> = abandoned.flatten().copied().collect();
+    if abandoned.is_empty() {
         return;
     }
     let mut pruned = 0;
-    for kind in batch.iter_mut() {
-        if let frame::Kind::Ask(ask) = kind {
-            let before = ask.calls.len();
-            ask.calls.retain(|call| !left.contains(&call.id));
-            pruned += before - ask.calls.len();
+    for kind in messages.iter_mut() {
+        if let frame::Kind::Batch(batch) = kind {
+            let before = batch.calls.len();
+            batch.calls.retain(|call| !abandoned.contains(&call.id));
+            pruned += before - batch.calls.len();
         }
     }
-    batch.retain(|kind| !matches!(kind, frame::Kind::Ask(ask) if ask.calls.is_empty()));
+    messages.retain(|kind| !matches!(kind, frame::Kind::Batch(batch) if batch.calls.is_empty()));
     if pruned > 0 {
-        log::info!(calls = pruned; "calls not made: the VM that asked has left them");
+        log::info!(calls = pruned; "calls not made: the requester has abandoned them");
     }
 }
 
--- a/crates/geraniumgauge/src/edge/backlog/tests.rs
+++ b/crates/geraniumgauge/src/edge/backlog/tests.rs
@@ -1,36 +1,41 @@
 use crate::edge::backlog;
 use crate::edge::frame;
 
-fn ask(calls: &[u64]) -> frame::Kind {
+fn batch(calls: &[u64]) -> frame::Kind {
     let calls = calls.iter().map(|id| frame::Call {
         id: *id,
         ..frame::Call::default()
     });
-    frame::Kind::Ask(frame::Ask {
+    frame::Kind::Batch(frame::Batch {
         calls: calls.collect(),
-        ..frame::Ask::default()
+        ..frame::Batch::default()
     })
 }
 
-fn leave(calls: &[u64]) -> frame::Kind {
-    frame::Kind::Leave(frame::Leave {
+fn abandon(calls: &[u64]) -> frame::Kind {
+    frame::Kind::Abandon(frame::Abandon {
         calls: calls.to_vec(),
     })
 }
 
-/// A VM is paused for two seconds. Meanwhile another one asks it for calls,
-/// hears nothing, calls elsewhere and leaves them. When the VM wakes it made
-/// all of those calls first, for searches answered long ago.
+/// Guards against calls for searches that were answered long ago: while a VM is
+/// paused for two seconds, a requester sends it calls, gets no report, calls elsewhere
+/// and abandons them. On resuming, the VM used to make all of those calls.
 #[test]
-fn calls_that_were_left_meanwhile_are_not_made() {
-    let mut batch = vec![ask(&[1, 2]), ask(&[3, 4]), leave(&[1, 2, 4]), ask(&[5])];
-    backlog::prune(&mut batch);
-    assert!(batch == [ask(&[3]), leave(&[1, 2, 4]), ask(&[5])]);
+fn calls_abandoned_meanwhile_are_not_made() {
+    let mut messages = vec![
+        batch(&[1, 2]),
+        batch(&[3, 4]),
+        abandon(&[1, 2, 4]),
+        batch(&[5]),
+    ];
+    backlog::prune(&mut messages);
+    assert!(messages == [batch(&[3]), abandon(&[1, 2, 4]), batch(&[5])]);
 }
 
 #[test]
-fn messages_that_leave_nothing_stay() {
-    let mut batch = vec![ask(&[1]), frame::Kind::Bye(frame::Bye {})];
-    backlog::prune(&mut batch);
-    assert!(batch == [ask(&[1]), frame::Kind::Bye(frame::Bye {})]);
+fn messages_that_abandon_nothing_stay() {
+    let mut messages = vec![batch(&[1]), frame::Kind::GoAway(frame::GoAway {})];
+    backlog::prune(&mut messages);
+    assert!(messages == [batch(&[1]), frame::Kind::GoAway(frame::GoAway {})]);
 }
--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -1,4 +1,4 @@
-//! One call to one upstream: its bytes, and what its reply means.
+//! One call to one upstream: how it is encoded and its reply interpreted.
 
 use std::net;
 use std::rc;
@@ -11,27 +11,27 @@
 use crate::registry;
 use crate::time as clock;
 
-/// What all calls of one request share.
+/// The content of a request, shared by all of its calls.
 #[derive(Debug)]
 pub(super) struct Message {
-    /// The caller's id of the request.
+    /// The request id that the caller set.
     pub(super) id: String,
-    /// Request line and headers, each with its line end.
+    /// The request line and headers, each with its line ending.
     pub(super) head: bytes::Bytes,
-    /// The body.
+    /// The request body.
     pub(super) body: bytes::Bytes,
-    /// Whether the caller stated a body.
+    /// Whether the request has a body, which may be empty.
     pub(super) has_body: bool,
-    /// Whether replies have no body.
+    /// Whether the method is HEAD, so that replies have no body.
     pub(super) head_only: bool,
-    /// Whether replies are parts of an answer.
+    /// Whether the request is a search, whose replies are merged into one answer.
     pub(super) sharded: bool,
-    /// When nobody waits any more.
+    /// When the caller stops waiting for an answer.
     pub(super) deadline: clock::Moment,
 }
 
 impl Message {
-    /// The bytes of a call to `upstream`, into `out`.
+    /// Encodes a call to `upstream` into `out`.
     pub(super) fn write(
         &self,
         names: &h1::Names,
@@ -55,13 +55,14 @@
         out.extend_from_slice(&self.body);
     }
 
-    /// What makes the request the same when its caller sends it again.
+    /// Returns the fingerprint of the request line and body, which is the same when the
+    /// caller repeats the request.
     pub(super) fn fingerprint(&self) -> ids::Fingerprint {
         let line = self.head.split(|byte| *byte == b'\r').next();
         ids::Fingerprint::of_request(line.unwrap_or_default(), &self.body)
     }
 
-    /// What a reply to the call means.
+    /// Classifies a reply to the call.
     pub(super) fn verdict(&self, reply: h1::Reply) -> forward::Verdict {
         let success = (200..300).contains(&reply.status);
         let signed = reply.signature.is_some();
@@ -74,8 +75,8 @@
         if reply.coded || !signed && success {
             return forward::Verdict::Lost;
         }
-        // A refusal that the upstream made for the request's own sake is the
-        // answer; asking another upstream wouldn't change it.
+        // A status below 500 concerns the request itself, so another upstream would
+        // answer the same.
         let own_answer = !self.sharded && reply.status < 500;
         if success || own_answer {
             return forward::Verdict::Good(reply);
@@ -84,17 +85,17 @@
     }
 }
 
-/// Who waits for a call's end.
+/// The owner of a call, to which its end is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Owner {
-    /// A part of a request of this VM; the request may be over.
+    /// A part of this VM's job `job`, which may be over.
     Job { job: u64, part: usize },
-    /// Another VM, which knows the call by the number `remote`.
-    Ask { ask: u64, remote: u64 },
+    /// A requester's batch. `remote` is the requester's id of the call.
+    Batch { batch: u64, remote: u64 },
 }
 
 impl Owner {
-    /// The part of request `job` that `send` is for.
+    /// Returns the part of `job` that `send` is for.
     pub(super) fn of(job: u64, send: &forward::Send) -> Self {
         Self::Job {
             job,
@@ -103,34 +104,34 @@
     }
 }
 
-/// A call that was begun and hasn't ended.
+/// A call in progress.
 #[derive(Debug)]
 pub(super) struct Call {
-    /// Who waits for its end.
+    /// The owner, to which the end is delivered.
     pub(super) owner: Owner,
-    /// Where it goes.
+    /// The upstream that is called.
     pub(super) upstream: registry::Handle,
-    /// When it began.
+    /// When the call began.
     pub(super) began: clock::Moment,
-    /// What is sent.
+    /// The request that is sent.
     pub(super) message: rc::Rc<Message>,
-    /// The connection it was written to.
+    /// The connection to which the call was written.
     pub(super) link: Option<pool::Link>,
-    /// The VM that was asked to make it.
+    /// The relay that makes the call; `None` where this VM makes it.
     pub(super) via: Option<net::SocketAddr>,
-    /// How long such calls usually take.
-    pub(super) usual: time::Duration,
-    /// Whether nobody waits for it any more.
-    pub(super) orphaned: bool,
+    /// Typical duration of such calls.
+    pub(super) typical: time::Duration,
+    /// Whether the result is no longer wanted.
+    pub(super) abandoned: bool,
 }
 
 impl Call {
-    /// A call that begins now.
+    /// Creates a call that begins now.
     pub(super) fn new(
         owner: Owner,
         upstream: registry::Handle,
         message: rc::Rc<Message>,
-        usual: time::Duration,
+        typical: time::Duration,
         now: clock::Moment,
     ) -> Self {
         Self {
@@ -140,17 +141,17 @@
             message,
             link: None,
             via: None,
-            usual,
-            orphaned: false,
+            typical,
+            abandoned: false,
         }
     }
 
-    /// What is learned by of its upstream.
+    /// Returns what the upstream's health is updated from.
     pub(super) fn made(&self) -> forward::Made {
         forward::Made {
             upstream: self.upstream,
             began: self.began,
-            usual: self.usual,
+            usual: self.typical,
         }
     }
 }
--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's connection.
+//! Serves one caller's connection.
 
 use std::pin;
 use std::rc;
@@ -19,35 +19,35 @@
 use crate::route;
 use crate::time as clock;
 
-/// Limits until the first configuration says what they are.
-const FIRST_LIMITS: route::Limits = route::Limits {
+/// Limits until the first configuration is applied.
+const INITIAL_LIMITS: route::Limits = route::Limits {
     head: rate::Bytes(16 << 10),
     body: rate::Bytes(256 << 10),
     head_time: time::Duration::from_secs(3),
     idle: time::Duration::from_secs(15),
 };
-/// Room for a usual request.
-const BUFFER: usize = 2048;
-/// Bytes of later requests that are read while one is under way.
-const MAX_AHEAD: usize = 16 << 10;
-/// Longest time that a caller may take to read an answer.
-const WRITE: time::Duration = time::Duration::from_secs(10);
-/// How long a connection that was refused is read on, so that the caller can
-/// read the refusal before the connection is reset.
-const LINGER: time::Duration = time::Duration::from_millis(500);
+/// Buffer space for each read, enough for a typical request.
+const READ_BUFFER_SIZE: usize = 2048;
+/// How many bytes of later requests are read while one is in progress.
+const MAX_READ_AHEAD: usize = 16 << 10;
+/// Timeout of writing an answer.
+const WRITE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// How long a connection is read after its last answer, so that the caller can read
+/// that answer before the connection is reset.
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Shards that the log names where an answer lacks some.
-const MAX_NAMED: usize = 8;
+/// Maximum number of missing shards named in the log of an answer.
+const MAX_LOGGED_SHARDS: usize = 8;
 
-/// What reading came to.
+/// The result of reading a request.
 enum Next {
     Request(h1::Request),
-    /// The caller left, or was idle for too long.
+    /// The caller disconnected or was idle for too long.
     End,
-    /// What came is no request.
+    /// The bytes received aren't a valid request.
     Bad(h1::Error),
-    /// The request took too long to come.
-    Slow,
+    /// The request wasn't received completely in time.
+    TimedOut,
 }
 
 /// One caller's connection.
@@ -57,12 +57,13 @@
     buffer: bytes::BytesMut,
     codec: h1::RequestCodec,
     done: rc::Rc<sync::Notify>,
+    /// Reused for every wait of a request.
     timer: pin::Pin<Box<tokio::time::Sleep>>,
 }
 
 impl Connection {
     pub(super) fn new(engine: edge::Engine, stream: tokio::net::TcpStream) -> Self {
-        let limits = FIRST_LIMITS;
+        let limits = INITIAL_LIMITS;
         Self {
             codec: h1::RequestCodec::new(*engine.names(), limits.head, limits.body),
             engine,
@@ -75,8 +76,8 @@
 
     /// Serves requests until the connection ends.
     pub(super) async fn run(mut self) {
-        if let Err(error) = link::prepare(&self.stream) {
-            log::info!(error:% = error; "caller's connection can't be set up");
+        if let Err(error) = link::set_socket_options(&self.stream) {
+            log::info!(error:% = error; "can't set socket options on caller's connection");
             return;
         }
         loop {
@@ -87,7 +88,7 @@
                     None => return,
                 },
                 Next::Bad(error) => self.refuse(&error),
-                Next::Slow => self.frame("", true).plain(408, "slow"),
+                Next::TimedOut => self.answer("", true).plain(408, "slow"),
             };
             if !self.write(&answer).await {
                 return;
@@ -98,12 +99,12 @@
         }
     }
 
-    /// The next request.
+    /// Reads the next request.
     async fn next(&mut self) -> Next {
         let limits = self
             .engine
             .table()
-            .map_or(FIRST_LIMITS, |table| table.limits());
+            .map_or(INITIAL_LIMITS, |table| table.limits());
         self.codec.limit(limits.head, limits.body);
         let mut began = None;
         loop {
@@ -112,46 +113,48 @@
                 Ok(None) => {}
                 Err(error) => return Next::Bad(error),
             }
-            if self.codec.expects_continue() && self.go_on().await.is_err() {
+            if self.codec.expects_continue() && self.send_continue().await.is_err() {
                 return Next::End;
             }
-            let in_head = !self.buffer.is_empty() && !self.codec.in_body();
+            let reading_head = !self.buffer.is_empty() && !self.codec.in_body();
             let now = tokio::time::Instant::now();
-            let until = if in_head {
+            let until = if reading_head {
                 *began.get_or_insert(now) + limits.head_time
             } else {
                 now + limits.idle
             };
-            let idle = !in_head && !self.codec.in_body();
+            let idle = !reading_head && !self.codec.in_body();
             match self.read(until, idle).await {
                 Ok(true) => {}
                 Ok(false) => return Next::End,
                 Err(_) if idle => return Next::End,
-                Err(_) => return Next::Slow,
+                Err(_) => return Next::TimedOut,
             }
         }
     }
 
-    async fn go_on(&mut self) -> std::io::Result<()> {
+    /// Sends `100 Continue`, for which the caller waits before sending the body.
+    async fn send_continue(&mut self) -> std::io::Result<()> {
         self.stream
             .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
             .await
     }
 
-    /// Reads more; false where the connection ended, or an idle one is to.
+    /// Reads more bytes. Returns false if the connection ended, or if it is idle and
+    /// the edge is closing.
     ///
     /// # Errors
-    /// Where `until` passed.
+    /// If nothing is read before `until`.
     async fn read(
         &mut self,
         until: tokio::time::Instant,
         idle: bool,
     ) -> Result<bool, tokio::time::error::Elapsed> {
         if idle {
-            // A connection between requests keeps no buffer.
+            // Frees the buffer while the connection is between requests.
             self.buffer = bytes::BytesMut::new();
         }
-        self.buffer.reserve(BUFFER);
+        self.buffer.reserve(READ_BUFFER_SIZE);
         let mut phases = self.engine.phases();
         let read = async {
             let closing = phases.wait_for(|phase| *phase >= engine::Phase::Closing);
@@ -164,26 +167,26 @@
         tokio::time::timeout_at(until, read).await
     }
 
-    /// The answer to a request; `None` where the caller left.
+    /// Runs a request and returns its answer; `None` if the caller disconnected.
     async fn serve(&mut self, request: h1::Request) -> Option<answer::Answer> {
         let leaving = self.engine.phase() >= engine::Phase::Leaving;
         let close = request.close || leaving;
         let head_only = request.method == "HEAD";
         let id = request.id.clone();
         let names = *self.engine.names();
-        let frame = |close| answer::Frame {
+        let answer = |close| answer::Builder {
             names: &names,
-            request: &id,
+            request_id: &id,
             head_only,
             close,
         };
         let Some(table) = self.engine.table() else {
             log::info!(request = id.as_str(); "refused: no configuration yet");
-            return Some(frame(close).not_run(503, answer::STARTING_PAUSE));
+            return Some(answer(close).not_run(503, answer::STARTING_RETRY_AFTER));
         };
         if id.is_empty() || request.host.is_empty() {
-            log::info!(host = request.host.as_str(), path = request.path.as_str(); "refused: no id or host");
-            return Some(frame(close).plain(400, "bad_request"));
+            log::info!(host = request.host.as_str(), path = request.path.as_str(); "refused: no request id or no host");
+            return Some(answer(close).plain(400, "bad_request"));
         }
         let Some(entry) = table.find(&request.host, &request.path) else {
             log::info!(
@@ -191,18 +194,18 @@
                 version:% = table.version();
                 "refused: no route"
             );
-            return Some(frame(close).plain(404, "no_route"));
+            return Some(answer(close).plain(404, "no_route"));
         };
         let entry = entry.clone();
         let job = self.engine.submit(entry, request, self.done.clone());
         let (outcome, job) = self.wait(job).await?;
         let close = close || self.engine.phase() >= engine::Phase::Leaving;
-        let answer = frame(close).outcome(&outcome);
-        self.tell(&id, &job, &outcome, &answer, &table);
+        let answer = answer(close).outcome(&outcome);
+        self.record_outcome(&id, &job, &outcome, &answer, &table);
         Some(answer)
     }
 
-    /// Waits for the end of a request; `None` where the caller left before.
+    /// Waits for a request to end; `None` if the caller disconnects before.
     async fn wait(&mut self, id: u64) -> Option<(forward::Outcome, forward::Job)> {
         loop {
             if let Some(done) = self.engine.take(id) {
@@ -210,7 +213,7 @@
             }
             let wake = self.engine.wake_at(id)?;
             self.timer.as_mut().reset(self.engine.clock().instant(wake));
-            let may_read = self.buffer.len() < MAX_AHEAD;
+            let may_read = self.buffer.len() < MAX_READ_AHEAD;
             tokio::select! {
                 biased;
                 () = self.done.notified() => {}
@@ -225,8 +228,8 @@
         }
     }
 
-    /// Logs and counts the end of a request.
-    fn tell(
+    /// Logs the outcome of a request and records its metrics.
+    fn record_outcome(
         &self,
         id: &str,
         job: &forward::Job,
@@ -242,13 +245,13 @@
             }
             _ => None,
         };
-        // A single request names its upstreams, a search the shards it lacks.
+        // Logs the upstreams tried for a single call, and the missing shards of a search.
         let (upstreams, missing) = if all == 1 {
-            (self.engine.names_of(job.tried()), String::new())
+            (self.engine.upstream_ids(job.tried()), String::new())
         } else {
             let missing: Vec<&str> = job
                 .missing()
-                .take(MAX_NAMED)
+                .take(MAX_LOGGED_SHARDS)
                 .map(|name| name.as_str())
                 .collect();
             (String::new(), missing.join(" "))
@@ -261,45 +264,49 @@
             took_ms = clock::millis(took);
             "answered"
         );
-        let count = self.engine.count();
-        count.request(&job.route().name, answer.outcome, took);
+        let instruments = self.engine.instruments();
+        instruments.request(&job.route().name, answer.outcome, took);
         if answer.outcome == "partial" {
-            count.missing(all - done);
+            instruments.missing_shards(all - done);
         }
     }
 
-    fn frame<'r>(&'r self, request: &'r str, close: bool) -> answer::Frame<'r> {
-        answer::Frame {
+    fn answer<'r>(&'r self, request_id: &'r str, close: bool) -> answer::Builder<'r> {
+        answer::Builder {
             names: self.engine.names(),
-            request,
+            request_id,
             head_only: false,
             close,
         }
     }
 
+    /// Returns the answer to an invalid request.
     fn refuse(&self, error: &h1::Error) -> answer::Answer {
-        log::info!(error:% = error; "refused: no proper request");
+        log::info!(error:% = error; "refused: invalid request");
         let status = match error {
             h1::Error::HeadTooLarge(_) => 431,
             h1::Error::BodyTooLarge(_) => 413,
             h1::Error::Coding => 501,
             h1::Error::Malformed(_) | h1::Error::Io(_) => 400,
         };
-        self.frame("", true).plain(status, "bad_request")
+        self.answer("", true).plain(status, "bad_request")
     }
 
+    /// Writes an answer and returns whether that succeeded in time.
     async fn write(&mut self, answer: &answer::Answer) -> bool {
-        let written = tokio::time::timeout(WRITE, self.stream.write_all(&answer.bytes)).await;
+        let written =
+            tokio::time::timeout(WRITE_TIMEOUT, self.stream.write_all(&answer.bytes)).await;
         matches!(written, Ok(Ok(())))
     }
 
-    /// Lets the caller read the last answer: closing with unread bytes would
-    /// reset the connection under it.
+    /// Closes the connection gracefully: shuts down writing, then discards what the
+    /// caller still sends. Closing with unread bytes would reset the connection before
+    /// the caller has read the last answer.
     async fn linger(mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
-        let drain = async {
+        let discard = async {
             loop {
                 self.buffer.clear();
                 match self.stream.read_buf(&mut self.buffer).await {
@@ -308,12 +315,12 @@
                 }
             }
         };
-        // Whether the caller closed in time makes no difference.
-        let _ = tokio::time::timeout(LINGER, drain).await;
+        // The connection is closed now even if the caller hasn't closed it.
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, discard).await;
     }
 }
 
-/// Why parts have no reply, as `cause=count` in a row.
+/// Formats the reasons why parts have no reply, as space-separated `cause=count`.
 fn lacks(job: &forward::Job) -> String {
     let lacks = job.lacks().into_iter();
     let lacks: Vec<String> = lacks.map(|(why, count)| format!("{why}={count}")).collect();
--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -1,4 +1,4 @@
-//! The handle by which tasks reach the edge's state.
+//! The handle through which tasks access the edge's state.
 
 use std::cell;
 use std::collections;
@@ -23,74 +23,75 @@
 use crate::spread::wire;
 use crate::time as clock;
 
-/// How far a stop has come.
+/// A phase of a VM's life, from start to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Before the first configuration: not ready.
+    /// Not ready: the configuration and the upstreams aren't known yet.
     Starting,
-    /// Ready.
+    /// Ready for requests.
     Serving,
-    /// Not ready any more, but every request is still served: the balancer
-    /// needs a while to notice.
+    /// No longer ready, but still serving every request, since the load balancer
+    /// takes a while to notice.
     Leaving,
-    /// Requests under way are finished, no new one is read.
+    /// Finishing the requests in progress; new ones aren't read.
     Closing,
 }
 
-/// The edge of one VM; cheap to clone. Use it from one local set only.
+/// The edge of one VM. Clones share its state and are cheap; all of them must be
+/// used from one local set.
 #[derive(Clone, derive_more::Debug)]
 pub struct Engine {
     state: rc::Rc<cell::RefCell<state::State>>,
     phase: rc::Rc<watch::Sender<Phase>>,
     clock: clock::Clock,
     names: h1::Names,
-    count: edge::Count,
-    /// Other VMs to which a connection is kept.
+    instruments: edge::Count,
+    /// Relays to which a task keeps a connection open.
     peers: rc::Rc<cell::RefCell<collections::HashSet<net::SocketAddr>>>,
-    blames: Once<sync::mpsc::UnboundedReceiver<ids::Fingerprint>>,
+    crash_suspects: TakeOnce<sync::mpsc::UnboundedReceiver<ids::Fingerprint>>,
     #[debug(skip)]
-    teller: rc::Rc<cell::RefCell<Option<Teller>>>,
+    responder: rc::Rc<cell::RefCell<Option<Teller>>>,
 }
 
-/// Answers other VMs that ask what this one knows; the answer's part of the link
-/// is given back when the connection ends.
+/// Answers other VMs' fetches of this VM's replicated state. The slot limits how many
+/// answers are sent at the same time and is released when the connection ends.
 pub type Teller = Box<dyn Fn(&spread::Fetch) -> (spread::Answer, Option<spread::Slot>)>;
 
-/// Something that one part takes.
-type Once<T> = rc::Rc<cell::RefCell<Option<T>>>;
+/// A value shared by all clones that one of them takes.
+type TakeOnce<T> = rc::Rc<cell::RefCell<Option<T>>>;
 
 impl Engine {
-    /// An edge without a configuration.
+    /// Creates an edge without a configuration.
     pub fn new(
         fleet: forward::Fleet,
         relays: forward::Relays,
         names: h1::Names,
         clock: clock::Clock,
-        count: edge::Count,
+        instruments: edge::Count,
     ) -> Self {
-        let (blamed, blames) = sync::mpsc::unbounded_channel();
-        let state = state::State::new(fleet, relays, names, count.clone(), blamed);
+        let (suspects_sender, suspects_receiver) = sync::mpsc::unbounded_channel();
+        let state = state::State::new(fleet, relays, names, instruments.clone(), suspects_sender);
         Self {
             state: rc::Rc::new(cell::RefCell::new(state)),
             phase: rc::Rc::new(watch::Sender::new(Phase::Starting)),
             clock,
             names,
-            count,
+            instruments,
             peers: rc::Rc::default(),
-            blames: rc::Rc::new(cell::RefCell::new(Some(blames))),
-            teller: rc::Rc::default(),
+            crash_suspects: rc::Rc::new(cell::RefCell::new(Some(suspects_receiver))),
+            responder: rc::Rc::default(),
         }
     }
 
-    /// Sets how other VMs are answered that ask what this one knows.
-    pub fn answer_by(&self, teller: Teller) {
-        self.teller.replace(Some(teller));
+    /// Sets the responder to other VMs' fetches. Without one they aren't answered.
+    pub fn answer_by(&self, responder: Teller) {
+        self.responder.replace(Some(responder));
     }
 
-    /// Asks the VM at `address` what it knows.
+    /// Fetches the replicated state that the VM at `address` has.
     ///
     /// # Errors
-    /// Where it can't be connected to, or doesn't answer.
+    /// If it can't be connected to or doesn't answer.
     pub async fn fetch(
         &self,
         address: net::SocketAddr,
@@ -99,61 +100,61 @@
         peers::fetch(address, fetch).await
     }
 
-    /// Answers a VM that asks what this one knows.
+    /// Answers a VM's fetch over the connection `peer`.
     pub(super) fn answer(&self, peer: u64, fetch: wire::Fetch) -> Option<spread::Slot> {
         let Some(fetch) = fetch.read() else {
-            log::warn!(peer = peer; "question of a VM can't be read");
+            log::warn!(peer = peer; "malformed fetch from VM");
             return None;
         };
-        let teller = self.teller.borrow();
-        let (answer, slot) = teller.as_ref().map(|answer| answer(&fetch))?;
+        let responder = self.responder.borrow();
+        let (answer, slot) = responder.as_ref().map(|answer| answer(&fetch))?;
         let config = answer.config.as_ref().map(String::len);
         let kind = frame::Kind::Answer(answer.into());
         let mut state = self.state.borrow_mut();
         state.send_to(peer, kind);
         if let Some(bytes) = config {
             log::info!(
-                vm:% = fetch.member.vm, config_bytes = bytes, sending = state.sending();
-                "configuration told to another VM"
+                vm:% = fetch.member.vm, config_bytes = bytes, sending = state.senders_writing();
+                "configuration sent to another VM"
             );
         }
         slot
     }
 
-    /// The registration of an upstream.
+    /// Returns the registration of the upstream with id `name`.
     pub fn registration(&self, name: &str) -> Option<registry::Entry> {
         let id = name.parse().ok()?;
         let state = self.state.borrow();
         state.fleet.registry.registration(&id).cloned()
     }
 
-    /// The requests that this VM blames for crashes, for the other VMs to be
-    /// told; `None` where they were taken before.
+    /// Takes the receiver of this VM's crash suspects, which are to be reported to the
+    /// other VMs. Returns `None` if it was taken before.
     pub fn blames(&self) -> Option<sync::mpsc::UnboundedReceiver<ids::Fingerprint>> {
-        self.blames.borrow_mut().take()
+        self.crash_suspects.borrow_mut().take()
     }
 
-    /// Another VM blames a request for a crash.
+    /// Records a crash suspect that another VM reported.
     pub fn blame(&self, request: ids::Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         if state.fleet.blame.blame(request, now) {
             let refused = state.fleet.blame.is_quarantined(request, now);
-            log::warn!(fingerprint:% = request, refused = refused; "another VM blames a request");
+            log::warn!(fingerprint:% = request, refused = refused; "crash suspect reported by another VM");
         }
     }
 
-    /// Takes calls of other VMs on `address` until the process ends.
+    /// Accepts connections of other VMs on `address` until the process ends.
     ///
     /// # Errors
-    /// Where the address can't be listened on.
+    /// If listening on the address fails.
     pub async fn listen(&self, address: net::SocketAddr) -> std::io::Result<()> {
         peers::listen(self.clone(), address).await
     }
 
-    /// Takes how many VMs may be alive, where that is known, and which are known;
-    /// connects to those that may make calls for this one.
-    pub fn set_fleet(&self, vms: Option<usize>, helpers: Vec<forward::Helper>) {
+    /// Sets how many VMs may be alive, if known, and the VMs that may serve as relays.
+    /// Connects to those that suit this VM.
+    pub fn set_fleet(&self, vms: Option<usize>, relays: Vec<forward::Helper>) {
         let wanted = {
             let mut state = self.state.borrow_mut();
             let before = state.fleet.vms();
@@ -162,39 +163,41 @@
                 log::info!(vms = vms, before = before; "number of VMs changed");
                 state.fleet.set_vms(vms);
             }
-            let first = state.relays.makes_own_calls().is_none();
-            state.relays.set(helpers);
+            let first_update = state.relays.makes_own_calls().is_none();
+            state.relays.set(relays);
             let parts = state.relays.parts(vms);
             state.fleet.set_parts(parts);
-            if first {
-                state.warm_all();
+            if first_update {
+                state.preconnect_all();
             }
             let wanted = state.relays.wanted();
-            self.carry_out(state);
+            self.run_effects(state);
             wanted
         };
         for address in wanted {
             if self.peers.borrow_mut().insert(address) {
-                tokio::task::spawn_local(peers::keep(self.clone(), address));
+                tokio::task::spawn_local(peers::maintain(self.clone(), address));
             }
         }
     }
 
+    /// Returns whether a connection to the relay at `address` is still needed.
     pub(super) fn wants_peer(&self, address: net::SocketAddr) -> bool {
         self.state.borrow().relays.wanted().contains(&address)
     }
 
+    /// Notes that no task keeps a connection to `address` open any more.
     pub(super) fn forget_peer(&self, address: net::SocketAddr) {
         self.peers.borrow_mut().remove(&address);
     }
 
-    /// Takes a configuration. An older one than that in force changes nothing:
-    /// what was in force for one request must not be undone for the next.
+    /// Applies a configuration unless the current one is at least as new, so that the
+    /// configuration never goes back between two requests.
     pub fn configure(&self, config: route::Config) {
         let mut state = self.state.borrow_mut();
         let current = state.table.as_ref().map(|table| table.version());
         if current.is_some_and(|current| current >= config.version) {
-            log::info!(version:% = config.version, current:? = current; "configuration not newer");
+            log::info!(version:% = config.version, current:? = current; "configuration ignored: not newer than the current one");
             return;
         }
         let table = route::Table::new(config);
@@ -205,30 +208,32 @@
         state.fleet.keep_routes(&table);
         state.table = Some(rc::Rc::new(table));
         drop(state);
-        self.serve_if_known();
+        self.serve_if_configured();
     }
 
-    /// The registrations were listed, so that those missing are truly missing.
+    /// Notes that the upstreams' registrations were listed completely, so that an
+    /// upstream without one doesn't exist.
     pub fn listed(&self) {
-        self.state.borrow_mut().listed = true;
-        self.serve_if_known();
+        self.state.borrow_mut().registrations_listed = true;
+        self.serve_if_configured();
     }
 
-    /// Gets ready once both the configuration and the upstreams are known. A VM
-    /// that knew routes alone would refuse what any other VM can serve.
-    fn serve_if_known(&self) {
+    /// Becomes ready once both the configuration and the upstreams are known. A VM that
+    /// knew only the routes would refuse requests that other VMs can serve.
+    fn serve_if_configured(&self) {
         if self.table().is_some() && self.phase() == Phase::Starting {
             self.enter(Phase::Serving);
         }
     }
 
-    /// The version in force.
+    /// Returns the version of the current configuration.
     pub fn version(&self) -> Option<ids::Generation> {
         let state = self.state.borrow();
         state.table.as_ref().map(|table| table.version())
     }
 
-    /// Changes which upstreams there are.
+    /// Applies `change` to the registry of upstreams and handles the changes that it
+    /// returns.
     pub fn upstreams(
         &self,
         change: impl FnOnce(&mut registry::Registry, clock::Moment) -> Vec<registry::Change>,
@@ -236,21 +241,21 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let changes = change(&mut state.fleet.registry, now);
-        state.changed(&changes, now);
-        self.carry_out(state);
+        state.upstreams_changed(&changes, now);
+        self.run_effects(state);
     }
 
-    /// How many VMs may be alive.
+    /// Returns how many VMs may be alive.
     pub fn vms(&self) -> usize {
         self.state.borrow().fleet.vms()
     }
 
-    /// How far a stop has come.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Goes on to a later phase.
+    /// Advances to a later phase; an earlier one is ignored.
     pub fn enter(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
             let later = phase > *current;
@@ -260,22 +265,22 @@
             later
         });
         if phase == Phase::Leaving {
-            self.with(|state, _| state.decline());
+            self.with(|state, _| state.decline_calls());
         }
     }
 
-    /// Follows the phases.
+    /// Subscribes to changes of the phase.
     pub fn phases(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in progress, of callers and of other VMs.
     pub fn running(&self) -> usize {
         self.state.borrow().running()
     }
 
-    /// The ids of upstreams, for logs.
-    pub(super) fn names_of(&self, upstreams: &[registry::Handle]) -> String {
+    /// Returns the ids of upstreams, separated by spaces, for logs.
+    pub(super) fn upstream_ids(&self, upstreams: &[registry::Handle]) -> String {
         let state = self.state.borrow();
         let ids = upstreams
             .iter()
@@ -284,17 +289,17 @@
         ids.join(" ")
     }
 
-    /// Calls that this VM made for others.
+    /// Returns the number of calls made for other VMs since this process started.
     pub fn calls_for_others(&self) -> u64 {
         self.state.borrow().calls_for_others()
     }
 
-    /// Upstreams registered.
+    /// Returns the number of registered upstreams.
     pub fn known(&self) -> usize {
         self.state.borrow().fleet.registry.len()
     }
 
-    /// Upstreams registered that may get requests.
+    /// Returns the number of registered upstreams that may get requests.
     pub fn usable(&self) -> usize {
         let now = self.clock.now();
         let state = self.state.borrow();
@@ -305,7 +310,7 @@
             .count()
     }
 
-    /// The edge's clock.
+    /// Returns the edge's clock.
     pub fn clock(&self) -> clock::Clock {
         self.clock
     }
@@ -314,18 +319,18 @@
         &self.names
     }
 
-    pub(super) fn count(&self) -> &edge::Count {
-        &self.count
+    pub(super) fn instruments(&self) -> &edge::Count {
+        &self.instruments
     }
 
-    /// The configuration in force, once the upstreams are known too.
+    /// Returns the current configuration; `None` until the upstreams are known too.
     pub(super) fn table(&self) -> Option<route::Shared> {
         let state = self.state.borrow();
-        state.table.clone().filter(|_| state.listed)
+        state.table.clone().filter(|_| state.registrations_listed)
     }
 
-    /// Whether a call waits for its reply on a connection. Asked for each reply:
-    /// unlike [`Self::with`], it reads no clock.
+    /// Returns whether a connection has a call that waits for its reply. Doesn't read
+    /// the clock, unlike [`Self::with`], since it is called for every read.
     pub(super) fn is_busy(&self, link: pool::Link) -> bool {
         self.state.borrow().is_busy(link)
     }
@@ -355,43 +360,44 @@
         self.with(|state, now| state.cancel(id, now));
     }
 
-    /// Changes the state, then does what only tasks can.
+    /// Runs `change` on the state, then carries out the resulting effects.
     pub(super) fn with<T>(&self, change: impl FnOnce(&mut state::State, clock::Moment) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let result = change(&mut state, now);
-        self.carry_out(state);
+        self.run_effects(state);
         result
     }
 
-    fn carry_out(&self, mut state: cell::RefMut<'_, state::State>) {
-        if state.orders.is_empty() {
+    /// Carries out the state's pending effects by spawning tasks.
+    fn run_effects(&self, mut state: cell::RefMut<'_, state::State>) {
+        if state.effects.is_empty() {
             return;
         }
-        for order in std::mem::take(&mut state.orders) {
+        for order in std::mem::take(&mut state.effects) {
             match order {
-                state::Order::Open {
+                state::Effect::Open {
                     link,
                     address,
                     head_only,
                 } => {
-                    let opened = link::Opening {
+                    let opening = link::Opening {
                         engine: self.clone(),
                         link,
                         address,
                         head_only,
                     };
-                    let task = tokio::task::spawn_local(opened.run());
-                    state.started(link, task.abort_handle());
+                    let task = tokio::task::spawn_local(opening.run());
+                    state.task_started(link, task.abort_handle());
                 }
-                state::Order::Sweep => {
+                state::Effect::Sweep => {
                     tokio::task::spawn_local(link::sweep(self.clone()));
                 }
-                state::Order::Merge { ask, at } => {
+                state::Effect::Merge { batch, at } => {
                     let engine = self.clone();
                     tokio::task::spawn_local(async move {
                         tokio::time::sleep_until(engine.clock.instant(at)).await;
-                        engine.with(|state, _| state.merge(ask));
+                        engine.with(|state, _| state.merge_due(batch));
                     });
                 }
             }
--- a/crates/geraniumgauge/src/edge/frame.rs
+++ b/crates/geraniumgauge/src/edge/frame.rs
@@ -1,10 +1,10 @@
-//! Messages between VMs that make calls for each other.
+//! Messages between a VM and the relay that makes calls for it.
 //!
-//! A VM asks another to make calls, each to an upstream that it has chosen, and
-//! is told of their ends. Replies that came until a point in time are merged
-//! into one frame; later ones come one by one. Nothing is decided by the VM
-//! that is asked: which upstream, when to hedge and when to give up stay with
-//! the VM that took the caller's request.
+//! The requester sends a [`Batch`] of calls, each with the upstream it has
+//! chosen, and the relay sends back [`Report`]s of how they ended. Replies that
+//! arrive before the batch's merge time are merged into one report; each later
+//! one gets a report of its own. The requester alone chooses upstreams, and
+//! decides when to hedge and when to give up.
 
 use std::net;
 
@@ -15,12 +15,13 @@
 use crate::registry;
 use crate::spread::wire;
 
-/// Largest frame: the replies of a search come as its greatest records.
-pub(super) const MAX: usize = 4 << 20;
-/// Bytes of the length before each frame.
-const HEAD: usize = 4;
+/// Largest frame in bytes. The merged replies of a search hold only its top
+/// records, so they fit.
+pub(super) const MAX_FRAME_LEN: usize = 4 << 20;
+/// Size in bytes of the length prefix of a frame.
+const LENGTH_PREFIX: usize = 4;
 
-/// One message.
+/// One message between VMs.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(super) struct Frame {
@@ -28,94 +29,93 @@
     pub(super) kind: Option<Kind>,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Oneof)]
 pub(super) enum Kind {
     #[prost(message, tag = "1")]
-    Ask(Ask),
+    Batch(Batch),
     #[prost(message, tag = "2")]
-    Leave(Leave),
+    Abandon(Abandon),
     #[prost(message, tag = "3")]
-    Told(Told),
+    Report(Report),
     #[prost(message, tag = "4")]
-    Bye(Bye),
+    GoAway(GoAway),
     #[prost(message, tag = "5")]
     Fetch(wire::Fetch),
     #[prost(message, tag = "6")]
     Answer(wire::Answer),
 }
 
-/// The VM takes no more calls.
+/// Announces that the sender is stopping and accepts no more batches of calls.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
-pub(super) struct Bye {}
+pub(super) struct GoAway {}
 
-/// Make these calls.
+/// Asks a relay to make calls for one request.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub(super) struct Ask {
-    /// The caller's id of the request.
+pub(super) struct Batch {
+    /// The request id that the caller set.
     #[prost(string, tag = "1")]
-    pub(super) request: String,
-    /// Request line and headers, each with its line end.
+    pub(super) request_id: String,
+    /// The request line and headers, each with its line ending.
     #[prost(bytes = "bytes", tag = "2")]
     pub(super) head: bytes::Bytes,
-    /// The body.
+    /// The request body.
     #[prost(bytes = "bytes", tag = "3")]
     pub(super) body: bytes::Bytes,
-    /// Whether the caller stated a body.
+    /// Whether the request has a body, which may be empty.
     #[prost(bool, tag = "4")]
     pub(super) has_body: bool,
-    /// How long anybody waits for the replies, in microseconds.
+    /// Time left until the request's deadline, in microseconds.
     #[prost(uint64, tag = "5")]
-    pub(super) wait_us: u64,
-    /// After how long the replies that came are told, in microseconds.
+    pub(super) timeout_us: u64,
+    /// Delay after which the relay merges and reports the replies it has, in
+    /// microseconds. With 0 it reports each reply at once.
     #[prost(uint64, tag = "6")]
-    pub(super) merge_us: u64,
-    /// How many records of the merged replies are wanted.
+    pub(super) merge_after_us: u64,
+    /// Maximum number of records in the merged replies.
     #[prost(uint32, tag = "7")]
-    pub(super) top: u32,
-    /// The calls.
+    pub(super) top_k: u32,
+    /// The calls to make.
     #[prost(message, repeated, tag = "8")]
     pub(super) calls: Vec<Call>,
-    /// Whether they are the first ones of their parts: requests by which the VM
-    /// that is asked counts what it may pay.
+    /// Whether each call is the first one for its part. The relay's allowance of
+    /// extra calls grows with the number of first calls that it makes.
     #[prost(bool, tag = "9")]
     pub(super) first: bool,
-    /// Whether the VM that is asked is to pay for them.
+    /// Whether the relay pays for the calls from its own allowance.
     #[prost(bool, tag = "10")]
-    pub(super) unpaid: bool,
-    /// How long such calls usually take, in microseconds.
+    pub(super) charge_relay: bool,
+    /// Typical duration of such calls, in microseconds.
     #[prost(uint64, tag = "11")]
-    pub(super) usual_us: u64,
-    /// Whether the VM that is asked makes the calls also where it would advise
-    /// against their upstreams.
+    pub(super) typical_us: u64,
+    /// Whether the relay makes the calls even to upstreams it advises against.
     #[prost(bool, tag = "12")]
-    pub(super) insist: bool,
+    pub(super) mandatory: bool,
 }
 
 /// One call to make.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(super) struct Call {
-    /// Its id at the VM that asks.
+    /// The requester's id of the call.
     #[prost(uint64, tag = "1")]
     pub(super) id: u64,
-    /// The upstream's id.
+    /// The id of the upstream to call.
     #[prost(string, tag = "2")]
     pub(super) upstream: String,
-    /// Its address, where the VM that is asked is known not to know it: the
-    /// octets of its IP address, then its port, the high byte first. Frames are
-    /// kept small otherwise, since connections between VMs have small windows
-    /// and what goes beyond one waits: with all addresses, searches of 90 shards
-    /// took 20 ms longer.
+    /// The upstream's address, sent only to a relay that recently lacked one: the
+    /// octets of the IP address, then the port in big-endian order. Empty
+    /// otherwise, to keep frames within the small TCP windows between VMs: with
+    /// all addresses, searches of 90 shards took 20 ms longer.
     #[prost(bytes = "vec", tag = "3")]
     pub(super) address: Vec<u8>,
 }
 
 impl Call {
-    /// Call number `id` to the upstream of `entry`, with its address or without.
+    /// Creates a call to the upstream of `entry`, optionally with its address.
     pub(super) fn new(id: ids::Attempt, entry: &registry::Entry, with_address: bool) -> Self {
         let mut address = Vec::new();
         if with_address {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The address that another VM tells; `None` where it tells none.
+    /// Returns the upstream's address; `None` if absent or malformed.
     pub(super) fn address(&self) -> Option<net::SocketAddr> {
         let (ip, port) = self.address.split_last_chunk::<2>()?;
         let ip = match ip.len() {
@@ -143,31 +143,31 @@
     }
 }
 
-/// Nobody waits for these calls any more.
+/// Tells a relay that the results of calls are no longer wanted.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub(super) struct Leave {
-    /// Their ids at the VM that asked.
+pub(super) struct Abandon {
+    /// The requester's ids of the calls.
     #[prost(uint64, repeated, tag = "1")]
     pub(super) calls: Vec<u64>,
 }
 
-/// How calls ended.
+/// Reports how calls of a batch ended.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub(super) struct Told {
-    /// The calls.
+pub(super) struct Report {
+    /// The calls that ended.
     #[prost(message, repeated, tag = "1")]
     pub(super) ends: Vec<End>,
-    /// The greatest records of the good replies among them, falling.
+    /// The top records of the good replies among them, in descending order.
     #[prost(bytes = "bytes", tag = "2")]
     pub(super) records: bytes::Bytes,
-    /// The ids of the other calls of the same request, which have no reply: told
-    /// where replies are merged.
+    /// The requester's ids of the batch's calls that have no reply yet. Set only
+    /// in the report sent at the merge time.
     #[prost(uint64, repeated, tag = "3")]
-    pub(super) out: Vec<u64>,
-    /// How late the frame was to be sent after the request for the calls was
-    /// read, in microseconds; 0 where it tells of a single call.
+    pub(super) pending: Vec<u64>,
+    /// Time from receiving the batch until this report was due, in microseconds;
+    /// 0 in reports of failed calls and of calls that end after the merge time.
     #[prost(uint64, tag = "4")]
     pub(super) due_us: u64,
 }
@@ -176,29 +176,30 @@
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(super) struct End {
-    /// Its id at the VM that asked.
+    /// The requester's id of the call.
     #[prost(uint64, tag = "1")]
     pub(super) id: u64,
-    /// How.
+    /// How the call ended.
     #[prost(enumeration = "How", tag = "2")]
     pub(super) how: i32,
-    /// The upstream's signature, of a good reply.
+    /// The signature that the upstream put on a good reply.
     #[prost(string, tag = "3")]
     pub(super) signature: String,
-    /// How long the call took, in microseconds.
+    /// Duration of the call, in microseconds.
     #[prost(uint64, tag = "4")]
     pub(super) took_us: u64,
-    /// How much slower than usual the upstream is, in percent, where the VM
-    /// advises against it.
+    /// Latency of the upstream relative to the typical one, in percent. Set with
+    /// [`How::Advised`].
     #[prost(uint32, tag = "5")]
     pub(super) slowness: u32,
-    /// Which share of its calls the upstream declines, in percent, likewise.
+    /// Share of its calls that the upstream declines, in percent. Set with
+    /// [`How::Advised`].
     #[prost(uint32, tag = "6")]
     pub(super) declined: u32,
 }
 
 impl End {
-    /// The end of call `id`, without a reply.
+    /// Creates the end of call `id`, without a reply.
     pub(super) fn new(id: u64, how: How) -> Self {
         Self {
             id,
@@ -207,9 +208,10 @@
         }
     }
 
-    /// The end of call `id`, which the VM that was asked advises against.
+    /// Creates the end of call `id`, which the relay didn't make because of
+    /// `advice`.
     pub(super) fn advised(id: u64, advice: forward::Advice) -> Self {
-        // Percents of values of two digits at most.
+        // Both values have two digits at most, so their percents fit in a u32.
         let percent = |value: f64| (value * 100.0) as u32;
         Self {
             slowness: percent(advice.slowness),
@@ -218,7 +220,7 @@
         }
     }
 
-    /// What the VM that was asked knows of the upstream.
+    /// Returns the relay's advice against the upstream.
     pub(super) fn advice(&self) -> forward::Advice {
         forward::Advice {
             slowness: f64::from(self.slowness) / 100.0,
@@ -227,38 +229,38 @@
     }
 }
 
-/// The ways in which a call ends.
+/// How a call made by a relay ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(prost::Enumeration)]
 pub(super) enum How {
-    /// Not known: it may have run.
+    /// The connection ended or the reply was unusable; the call may have run.
     Lost = 0,
-    /// With a good reply, merged into the frame's records.
+    /// The upstream sent a good reply, merged into the report's records.
     Good = 1,
-    /// The upstream ran it and failed.
+    /// The upstream replied with a failure; the call may have run.
     Failure = 2,
-    /// The upstream didn't run it.
+    /// The upstream stated that it didn't run the call.
     NotRun = 3,
-    /// Another upstream has the address.
+    /// A different upstream answered at the address and didn't run the call.
     Misdirected = 4,
-    /// Nothing was sent.
+    /// No byte of the call was sent.
     NotSent = 5,
-    /// Nothing was sent: the VM doesn't know the upstream.
+    /// Not sent: the relay doesn't know the upstream.
     Unknown = 6,
-    /// Nothing was sent: the VM couldn't pay for it.
+    /// Not sent: the relay's allowance of extra calls is used up.
     Unpaid = 7,
-    /// Nothing was sent: the VM knows the upstream to do badly.
+    /// Not sent: the relay advises against the upstream, see [`End::advice`].
     Advised = 8,
 }
 
 impl Frame {
-    /// The bytes of a message, its length first.
+    /// Encodes a message with its length prefix.
     pub(super) fn bytes(kind: Kind) -> bytes::Bytes {
         let frame = Self { kind: Some(kind) };
         let len = frame.encoded_len();
-        let mut bytes = bytes::BytesMut::with_capacity(HEAD + len);
+        let mut bytes = bytes::BytesMut::with_capacity(LENGTH_PREFIX + len);
         bytes::BufMut::put_u32(&mut bytes, u32::try_from(len).unwrap_or(u32::MAX));
-        // Encoding into memory with room can't fail.
+        // Encoding into a buffer with enough capacity can't fail.
         let _ = frame.encode(&mut bytes);
         bytes.freeze()
     }
--- a/crates/geraniumgauge/src/edge/count.rs
+++ b/crates/geraniumgauge/src/edge/instruments.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the edge.
+//! The edge's metrics.
 
 use std::time;
 
@@ -7,21 +7,21 @@
 
 use crate::forward;
 
-/// The edge's instruments.
+/// The edge's OpenTelemetry instruments.
 #[derive(Debug, Clone)]
 pub struct Count {
     requests: metrics::Counter<u64>,
-    seconds: metrics::Histogram<f64>,
+    request_seconds: metrics::Histogram<f64>,
     calls: metrics::Counter<u64>,
     ended: metrics::Counter<u64>,
     call_seconds: metrics::Histogram<f64>,
     connections: metrics::Counter<u64>,
-    missing: metrics::Counter<u64>,
+    missing_shards: metrics::Counter<u64>,
     frame_late: metrics::Histogram<f64>,
 }
 
 impl Count {
-    /// The instruments of `meter`.
+    /// Creates the instruments with `meter`.
     pub fn new(meter: &metrics::Meter) -> Self {
         let bounds = vec![
             0.002, 0.005, 0.01, 0.02, 0.03, 0.05, 0.08, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.0, 4.0,
@@ -39,7 +39,7 @@
                 "edge_requests",
                 "Callers' requests answered, by route and outcome",
             ),
-            seconds: seconds(
+            request_seconds: seconds(
                 "edge_request",
                 "Time from a request to its answer, by route",
             ),
@@ -54,41 +54,41 @@
                 "edge_frame_late",
                 "How late frames of VMs that make calls for this one came",
             ),
-            missing: counter("edge_missing_shards", "Shards left out of merged answers"),
+            missing_shards: counter("edge_missing_shards", "Shards left out of merged answers"),
         }
     }
 
-    /// A request was answered.
+    /// Records an answered request.
     pub fn request(&self, route: &str, outcome: &'static str, took: time::Duration) {
         let route = KeyValue::new("route", route.to_owned());
-        self.seconds
+        self.request_seconds
             .record(took.as_secs_f64(), std::slice::from_ref(&route));
         self.requests
             .add(1, &[route, KeyValue::new("outcome", outcome)]);
     }
 
-    /// A merged answer left shards out.
-    pub fn missing(&self, shards: usize) {
-        self.missing.add(shards as u64, &[]);
+    /// Counts shards that are missing from a merged answer.
+    pub fn missing_shards(&self, shards: usize) {
+        self.missing_shards.add(shards as u64, &[]);
     }
 
-    /// A frame of a VM that makes calls for this one came so late.
+    /// Records how late a relay's report arrived.
     pub fn frame_late(&self, late: time::Duration) {
         self.frame_late.record(late.as_secs_f64(), &[]);
     }
 
-    /// A call began.
+    /// Counts a call that begins.
     pub fn call(&self, why: forward::Why) {
         self.calls.add(1, &[KeyValue::new("why", why.name())]);
     }
 
-    /// A call ended.
+    /// Records a call that ended.
     pub fn ended(&self, how: &'static str, took: time::Duration) {
         self.ended.add(1, &[KeyValue::new("how", how)]);
         self.call_seconds.record(took.as_secs_f64(), &[]);
     }
 
-    /// A connection to an upstream was tried.
+    /// Counts an attempt to connect to an upstream.
     pub fn connection(&self, outcome: &'static str) {
         self.connections
             .add(1, &[KeyValue::new("outcome", outcome)]);
--- a/crates/geraniumgauge/src/edge/link.rs
+++ b/crates/geraniumgauge/src/edge/link.rs
@@ -1,4 +1,4 @@
-//! The tasks of one connection to an upstream.
+//! The tasks that open and read connections to upstreams.
 
 use std::cell;
 use std::io;
@@ -16,27 +16,29 @@
 use crate::h1;
 use crate::rate;
 
-/// Longest wait for a connection. One without power doesn't refuse.
-const CONNECT: time::Duration = time::Duration::from_millis(500);
-/// Largest reply that is passed on. Replies are held whole, so that one that
-/// breaks off never looks complete.
+/// Timeout of connecting to an upstream or a VM. A host that is powered off never
+/// refuses a connection.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Largest reply that is passed on. Replies are buffered whole, so that a truncated
+/// one never looks complete.
 const MAX_REPLY: rate::Bytes = rate::Bytes(8 << 20);
 /// How long sent bytes may stay unacknowledged before the connection fails. A
-/// connection may go silent for good while new ones work.
-pub(super) const UNACKED: time::Duration = time::Duration::from_millis(1000);
-/// Room for a usual reply; a larger one makes the buffer grow.
-const BUFFER: usize = 4096;
+/// connection may stay dead while new ones to the same host work.
+pub(super) const UNACKED_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
+/// Initial size of the read buffer, enough for a typical reply.
+const READ_BUFFER_SIZE: usize = 4096;
 
-/// A connection to be opened and then read.
+/// A connection to an upstream that is to be opened and then read.
 pub(super) struct Opening {
     pub(super) engine: edge::Engine,
     pub(super) link: pool::Link,
     pub(super) address: net::SocketAddr,
-    /// Whether the next reply has no body.
+    /// Whether the next reply answers a HEAD request and so has no body.
     pub(super) head_only: rc::Rc<cell::Cell<bool>>,
 }
 
 impl Opening {
+    /// Opens the connection and serves it until it ends.
     pub(super) async fn run(self) {
         let (reader, writer) = match connect(self.address).await {
             Ok(stream) => stream.into_split(),
@@ -62,10 +64,12 @@
         let mut codec = h1::ReplyCodec::new(*self.engine.names(), MAX_REPLY);
         let mut buffer = bytes::BytesMut::new();
         loop {
-            buffer.reserve(BUFFER);
+            buffer.reserve(READ_BUFFER_SIZE);
             let count = reader.read_buf(&mut buffer).await?;
             if !self.engine.is_busy(self.link) {
-                return Err(h1::Error::Malformed("idle connection ended or spoke"));
+                return Err(h1::Error::Malformed(
+                    "idle connection closed, or sent unexpected data",
+                ));
             }
             codec.expect(self.head_only.get());
             loop {
@@ -77,17 +81,17 @@
                 let Some(reply) = decoded else {
                     break;
                 };
-                let more = !buffer.is_empty();
+                let extra_bytes = !buffer.is_empty();
                 let link = self.link;
                 if !self
                     .engine
-                    .with(|state, now| state.replied(link, reply, more, now))
+                    .with(|state, now| state.replied(link, reply, extra_bytes, now))
                 {
                     return Ok(());
                 }
             }
             if buffer.is_empty() {
-                // An idle connection keeps no buffer.
+                // Frees the buffer while the connection is idle.
                 buffer = bytes::BytesMut::new();
             }
             if count == 0 {
@@ -100,20 +104,20 @@
 /// Opens a connection to an upstream or another VM.
 pub(super) async fn connect(address: net::SocketAddr) -> io::Result<tokio::net::TcpStream> {
     let connect = tokio::net::TcpStream::connect(address);
-    let stream = tokio::time::timeout(CONNECT, connect).await??;
-    prepare(&stream)?;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect).await??;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
-/// Sets what every connection of the edge needs.
-pub(super) fn prepare(stream: &tokio::net::TcpStream) -> io::Result<()> {
+/// Sets the socket options that every connection of the edge needs.
+pub(super) fn set_socket_options(stream: &tokio::net::TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED))
+    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
 }
 
-/// Stops calls that nobody waits for, until there are none.
+/// Stops abandoned calls after their grace period, until there are none.
 pub(super) async fn sweep(engine: edge::Engine) {
-    tokio::time::sleep(state::ORPHAN_GRACE).await;
+    tokio::time::sleep(state::ABANDONED_CALL_GRACE).await;
     while let Some(due) = engine.with(|state, now| state.sweep(now)) {
         tokio::time::sleep_until(engine.clock().instant(due)).await;
     }
--- a/crates/geraniumgauge/src/edge/mod.rs
+++ b/crates/geraniumgauge/src/edge/mod.rs
@@ -1,18 +1,18 @@
-//! Callers' and upstreams' connections: carries out what [`crate::forward`]
-//! decides.
+//! Serves connections to callers, upstreams and other VMs, and carries out the
+//! decisions of [`crate::forward`].
 //!
-//! Everything here runs on one thread, as tasks of one local set. [`Engine`]
-//! holds the state; no borrow of it outlives a call. A call to an upstream
-//! costs one write and one read: it is written from the task that decided it,
-//! and its reply is handled in the task that read it.
+//! Everything runs on one thread, as tasks of one local set. [`Engine`] holds the
+//! state, which is never borrowed across an await. A call to an upstream costs one
+//! write and one read: the task that decides on a call writes it, and the task that
+//! reads the reply handles it.
 
 mod answer;
 mod backlog;
 mod call;
 mod caller;
-mod count;
 mod engine;
 mod frame;
+mod instruments;
 mod link;
 mod operators;
 mod peers;
@@ -21,10 +21,10 @@
 mod server;
 mod state;
 
-pub use count::Count;
 pub use engine::Engine;
 pub use engine::Phase;
 pub use engine::Teller;
+pub use instruments::Count;
 pub use operators::Operators;
 pub use server::Server;
 
--- a/crates/geraniumgauge/src/edge/operators.rs
+++ b/crates/geraniumgauge/src/edge/operators.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics over HTTP.
+//! Readiness, liveness and metrics over HTTP.
 
 use std::net;
 use std::time;
@@ -14,13 +14,13 @@
 use crate::metrics;
 use crate::rate;
 
-/// Largest request here; probes have a head of a few lines.
-const LIMIT: rate::Bytes = rate::Bytes(8 << 10);
-/// Longest time for a request to come or an answer to be read.
-const TIME: time::Duration = time::Duration::from_secs(30);
+/// Largest head and largest body of a request. Probes send a few header lines.
+const MAX_REQUEST: rate::Bytes = rate::Bytes(8 << 10);
+/// Timeout of each read of a request, and of writing an answer.
+const IO_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Answers probes: 200 on `/readyz` while requests are served, on `/healthz`
-/// while the process runs; the figures on `/metrics`.
+/// The operators' HTTP server. `/readyz` answers 200 while the VM is ready, `/healthz`
+/// always, and `/metrics` with the metrics.
 #[derive(Debug, Clone)]
 pub struct Operators {
     engine: edge::Engine,
@@ -28,15 +28,15 @@
 }
 
 impl Operators {
-    /// Answers for `engine`.
+    /// Creates a server for `engine` and `metrics`.
     pub fn new(engine: edge::Engine, metrics: metrics::Metrics) -> Self {
         Self { engine, metrics }
     }
 
-    /// Listens on `address` until the process ends.
+    /// Listens on `address` and serves requests until the process ends.
     ///
     /// # Errors
-    /// Where the address can't be listened on.
+    /// If listening on the address fails.
     pub async fn start(self, address: net::SocketAddr) -> std::io::Result<()> {
         let listener = tokio::net::TcpListener::bind(address).await?;
         tokio::task::spawn_local(async move {
@@ -47,7 +47,7 @@
                     }
                     Err(error) => {
                         log::warn!(error:% = error; "operator's connection not accepted");
-                        tokio::time::sleep(server::ACCEPT_PAUSE).await;
+                        tokio::time::sleep(server::ACCEPT_RETRY_DELAY).await;
                     }
                 }
             }
@@ -56,13 +56,13 @@
     }
 
     async fn serve(self, mut stream: tokio::net::TcpStream) {
-        let mut codec = h1::RequestCodec::new(*self.engine.names(), LIMIT, LIMIT);
+        let mut codec = h1::RequestCodec::new(*self.engine.names(), MAX_REQUEST, MAX_REQUEST);
         let mut buffer = bytes::BytesMut::new();
         loop {
             let request = match codec.decode(&mut buffer) {
                 Ok(Some(request)) => request,
                 Ok(None) => {
-                    let read = tokio::time::timeout(TIME, stream.read_buf(&mut buffer)).await;
+                    let read = tokio::time::timeout(IO_TIMEOUT, stream.read_buf(&mut buffer)).await;
                     if !matches!(read, Ok(Ok(count)) if count > 0) {
                         return;
                     }
@@ -75,7 +75,7 @@
             };
             let answer = self.answer(&request);
             let write = stream.write_all(&answer);
-            let written = tokio::time::timeout(TIME, write).await;
+            let written = tokio::time::timeout(IO_TIMEOUT, write).await;
             if request.close || !matches!(written, Ok(Ok(()))) {
                 return;
             }
@@ -100,7 +100,7 @@
             "/metrics" => match self.metrics.text() {
                 Ok(text) => ("200 OK", text),
                 Err(error) => {
-                    log::warn!(error:% = error; "metrics can't be shown");
+                    log::warn!(error:% = error; "can't encode metrics");
                     ("500 Internal Server Error", String::new())
                 }
             },
--- a/crates/geraniumgauge/src/edge/peers.rs
+++ b/crates/geraniumgauge/src/edge/peers.rs
@@ -1,4 +1,4 @@
-//! The tasks of connections between VMs.
+//! The tasks that serve connections between VMs.
 
 use std::io;
 use std::net;
@@ -21,36 +21,38 @@
 use crate::spread;
 use crate::spread::sending;
 
-/// Pause before a VM is connected to again.
-const RETRY: time::Duration = time::Duration::from_millis(800);
+/// Delay before reconnecting to a VM, and before accepting again after an error.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(800);
 
-/// Longest wait for a connection on which a question is asked. A VM without
-/// power doesn't refuse, and others are there to ask.
-const CONNECT: time::Duration = time::Duration::from_millis(100);
-/// Longest silence before and within the answer to a question. Not the longest
-/// answer: a large one takes a narrow link for a while.
-const SILENCE: time::Duration = time::Duration::from_millis(1000);
-/// Room for what is read of an answer at a time.
-const BUFFER: usize = 16 << 10;
+/// Timeout of connecting to a VM for a fetch. A host that is powered off never refuses
+/// a connection, and another VM can be asked instead.
+const FETCH_CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(100);
+/// How long a fetch waits without receiving any byte of the answer. The answer as a
+/// whole may take longer: a large one takes a while over a slow link.
+const ANSWER_IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
+/// Buffer space for each read of an answer, in bytes.
+const ANSWER_READ_SIZE: usize = 16 << 10;
 
-/// Keeps a connection to another VM while it is wanted.
-pub(super) async fn keep(engine: edge::Engine, address: net::SocketAddr) {
+/// Keeps a connection to a relay open while it is needed.
+pub(super) async fn maintain(engine: edge::Engine, address: net::SocketAddr) {
     while engine.wants_peer(address) {
         let error = match link::connect(address).await {
             Ok(stream) => {
                 let (reader, writer) = stream.into_split();
                 let sender = sender::Sender::new(writer);
-                engine.with(|state, _| state.peer_up(address, sender));
+                engine.with(|state, _| state.peer_connected(address, sender));
                 read(reader, |kind| match kind {
-                    frame::Kind::Told(told) => {
-                        engine.with(|state, now| state.told(address, told, now));
+                    frame::Kind::Report(report) => {
+                        engine.with(|state, now| state.report_received(address, report, now));
                     }
-                    frame::Kind::Bye(_) => engine.with(|state, _| state.declined(address)),
-                    frame::Kind::Ask(_)
-                    | frame::Kind::Leave(_)
+                    frame::Kind::GoAway(_) => {
+                        engine.with(|state, _| state.peer_going_away(address))
+                    }
+                    frame::Kind::Batch(_)
+                    | frame::Kind::Abandon(_)
                     | frame::Kind::Fetch(_)
                     | frame::Kind::Answer(_) => {
-                        log::warn!(vm:% = address; "unexpected message of a VM");
+                        log::warn!(vm:% = address; "unexpected message from VM");
                     }
                 })
                 .await
@@ -59,15 +61,15 @@
         };
         let error = error.to_string();
         engine.with(|state, now| state.peer_lost(address, &error, now));
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     engine.forget_peer(address);
 }
 
-/// Accepts other VMs on `address` until the process ends.
+/// Accepts connections of other VMs on `address` until the process ends.
 ///
 /// # Errors
-/// Where the address can't be listened on.
+/// If listening on the address fails.
 pub(super) async fn listen(engine: edge::Engine, address: net::SocketAddr) -> io::Result<()> {
     let listener = tokio::net::TcpListener::bind(address).await?;
     tokio::task::spawn_local(async move {
@@ -77,8 +79,8 @@
                     tokio::task::spawn_local(serve(engine.clone(), stream));
                 }
                 Err(error) => {
-                    log::warn!(error:% = error; "VM not accepted");
-                    tokio::time::sleep(RETRY).await;
+                    log::warn!(error:% = error; "can't accept connection from VM");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -86,69 +88,72 @@
     Ok(())
 }
 
+/// Serves one incoming connection of another VM until it ends.
 async fn serve(engine: edge::Engine, stream: tokio::net::TcpStream) {
-    if let Err(error) = link::prepare(&stream) {
-        log::info!(error:% = error; "connection of a VM can't be set up");
+    if let Err(error) = link::set_socket_options(&stream) {
+        log::info!(error:% = error; "can't set socket options on connection from VM");
         return;
     }
     let (reader, writer) = stream.into_split();
     let sender = sender::Sender::new(writer);
-    let peer = engine.with(|state, _| state.peer_came(sender));
-    // A question ends with its connection, which is nothing to tell.
-    let mut asks = true;
+    let peer = engine.with(|state, _| state.peer_accepted(sender));
+    // The connection of a fetch always ends after it, which isn't worth logging.
+    let mut log_end = true;
     let mut slot = None;
     let error = read(reader, |kind| match kind {
-        frame::Kind::Ask(ask) => engine.with(|state, now| state.asked(peer, ask, now)),
-        frame::Kind::Leave(leave) => {
-            engine.with(|state, now| state.left(peer, &leave.calls, now));
+        frame::Kind::Batch(batch) => {
+            engine.with(|state, now| state.batch_received(peer, batch, now))
+        }
+        frame::Kind::Abandon(abandon) => {
+            engine.with(|state, now| state.calls_abandoned(peer, &abandon.calls, now));
         }
         frame::Kind::Fetch(fetch) => {
-            asks = false;
+            log_end = false;
             slot = engine.answer(peer, fetch);
         }
-        frame::Kind::Told(_) | frame::Kind::Bye(_) | frame::Kind::Answer(_) => {
-            log::warn!(peer = peer; "unexpected message of a VM")
+        frame::Kind::Report(_) | frame::Kind::GoAway(_) | frame::Kind::Answer(_) => {
+            log::warn!(peer = peer; "unexpected message from VM")
         }
     })
     .await;
-    if asks {
-        log::info!(peer = peer, error:% = error; "connection of a VM ended");
+    if log_end {
+        log::info!(peer = peer, error:% = error; "connection from VM ended");
     }
     drop(slot);
-    engine.with(|state, now| state.peer_left(peer, now));
+    engine.with(|state, now| state.peer_disconnected(peer, now));
 }
 
-/// Asks the VM at `address` what it knows, on a connection of its own.
+/// Fetches the replicated state of the VM at `address` over a new connection.
 pub(super) async fn fetch(
     address: net::SocketAddr,
     fetch: &spread::Fetch,
 ) -> io::Result<spread::Answer> {
-    let asked = async {
-        let connect = tokio::time::timeout(CONNECT, link::connect(address)).await;
+    let exchange = async {
+        let connect = tokio::time::timeout(FETCH_CONNECT_TIMEOUT, link::connect(address)).await;
         let mut stream = connect.map_err(|_| io::ErrorKind::TimedOut)??;
         let bytes = frame::Frame::bytes(frame::Kind::Fetch(fetch.into()));
         stream.write_all(&bytes).await?;
         read_answer(stream).await
     };
-    let answer = tokio::time::timeout(sending::LONGEST, asked).await;
+    let answer = tokio::time::timeout(sending::LONGEST, exchange).await;
     answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Reads the answer to a question, for as long as some of it comes.
+/// Reads the answer to a fetch, for as long as bytes keep arriving.
 pub(super) async fn read_answer(
     mut stream: impl tokio::io::AsyncRead + Unpin,
 ) -> io::Result<spread::Answer> {
     let mut codec = frame_codec();
     let mut buffer = bytes::BytesMut::new();
     loop {
-        buffer.reserve(BUFFER);
-        let read = tokio::time::timeout(SILENCE, stream.read_buf(&mut buffer)).await;
+        buffer.reserve(ANSWER_READ_SIZE);
+        let read = tokio::time::timeout(ANSWER_IDLE_TIMEOUT, stream.read_buf(&mut buffer)).await;
         let count = read.map_err(|_| io::ErrorKind::TimedOut)??;
         if count == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         while let Some(bytes) = codec.decode(&mut buffer)? {
-            // A VM that is stopping says so first.
+            // A VM that is stopping sends `GoAway` first.
             if let Some(frame::Kind::Answer(answer)) = decode(bytes)?.kind {
                 return Ok(answer.into());
             }
@@ -158,7 +163,7 @@
 
 fn frame_codec() -> codec::LengthDelimitedCodec {
     codec::LengthDelimitedCodec::builder()
-        .max_frame_length(frame::MAX)
+        .max_frame_length(frame::MAX_FRAME_LEN)
         .new_codec()
 }
 
@@ -167,15 +172,15 @@
     decoded.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
 }
 
-/// Reads messages until the connection ends; why it did.
-async fn read(reader: tcp::OwnedReadHalf, mut take: impl FnMut(frame::Kind)) -> io::Error {
+/// Passes messages to `handle` until the connection ends, and returns the cause.
+async fn read(reader: tcp::OwnedReadHalf, mut handle: impl FnMut(frame::Kind)) -> io::Error {
     let mut frames = codec::FramedRead::new(reader, frame_codec());
-    let mut batch = Vec::new();
+    let mut messages = Vec::new();
     loop {
-        let ended = gather(&mut frames, &mut batch).await;
-        backlog::prune(&mut batch);
-        for kind in batch.drain(..) {
-            take(kind);
+        let ended = read_available(&mut frames, &mut messages).await;
+        backlog::prune(&mut messages);
+        for kind in messages.drain(..) {
+            handle(kind);
         }
         if let Some(error) = ended {
             return error;
@@ -185,9 +190,9 @@
 
 type Frames = codec::FramedRead<tcp::OwnedReadHalf, codec::LengthDelimitedCodec>;
 
-/// Waits for a message, and takes all that have come with it; the error that
-/// ends the connection, if one does.
-async fn gather(frames: &mut Frames, batch: &mut Vec<frame::Kind>) -> Option<io::Error> {
+/// Waits for a message and appends it and all others that have arrived with it.
+/// Returns an error if the connection has ended.
+async fn read_available(frames: &mut Frames, messages: &mut Vec<frame::Kind>) -> Option<io::Error> {
     let mut next = frames.next().await;
     loop {
         let bytes = match next {
@@ -196,11 +201,11 @@
             None => return Some(io::ErrorKind::UnexpectedEof.into()),
         };
         match decode(bytes) {
-            Ok(frame) => batch.extend(frame.kind),
+            Ok(frame) => messages.extend(frame.kind),
             Err(error) => return Some(error),
         }
-        // Mostly one message comes at a time, and asking for more would cost
-        // another look at the socket for nothing.
+        // Mostly one message arrives at a time, and polling for more would cost
+        // another system call for nothing.
         if frames.read_buffer().is_empty() {
             return None;
         }
--- a/crates/geraniumgauge/src/edge/sender.rs
+++ b/crates/geraniumgauge/src/edge/sender.rs
@@ -1,4 +1,4 @@
-//! Writes to a connection without waiting, in order.
+//! Ordered writes to a connection that don't block the caller.
 
 use std::cell;
 use std::io;
@@ -7,21 +7,21 @@
 use bytes::Buf as _;
 use tokio::net::tcp;
 
-/// Bytes that wait for a connection at most, beyond one message of any size. A
-/// peer that doesn't read would otherwise fill the memory.
-const MAX_WAITING: usize = 1 << 20;
+/// Maximum number of unsent bytes to which a message may be added; a single message
+/// may be larger. Bounds the memory that a peer which doesn't read can take up.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
 
-/// The writing half of a connection; clones share it.
+/// The write half of a connection; clones share it.
 #[derive(Debug, Clone)]
 pub(super) struct Sender {
     writer: rc::Rc<tcp::OwnedWriteHalf>,
-    waiting: rc::Rc<cell::RefCell<Waiting>>,
+    queue: rc::Rc<cell::RefCell<Queue>>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Queue {
     bytes: bytes::BytesMut,
-    /// Whether a task writes them.
+    /// Whether a task is writing the queued bytes.
     writing: bool,
     failed: bool,
 }
@@ -30,22 +30,23 @@
     pub(super) fn new(writer: tcp::OwnedWriteHalf) -> Self {
         Self {
             writer: rc::Rc::new(writer),
-            waiting: rc::Rc::default(),
+            queue: rc::Rc::default(),
         }
     }
 
-    /// Sends bytes; what the system doesn't take at once follows from a task.
+    /// Sends bytes. Those that the socket doesn't accept at once are queued and
+    /// written by a task.
     ///
     /// # Errors
-    /// Where nothing of them was sent, nor will be.
+    /// If none of the bytes were sent, nor will be.
     pub(super) fn send(&self, bytes: &[u8]) -> io::Result<()> {
-        let mut waiting = self.waiting.borrow_mut();
-        let full = !waiting.bytes.is_empty() && waiting.bytes.len() + bytes.len() > MAX_WAITING;
-        if waiting.failed || full {
+        let mut queue = self.queue.borrow_mut();
+        let full = !queue.bytes.is_empty() && queue.bytes.len() + bytes.len() > MAX_QUEUED_BYTES;
+        if queue.failed || full {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
-        if waiting.writing {
-            waiting.bytes.extend_from_slice(bytes);
+        if queue.writing {
+            queue.bytes.extend_from_slice(bytes);
             return Ok(());
         }
         let written = match self.writer.try_write(bytes) {
@@ -54,36 +55,36 @@
             Err(error) => return Err(error),
         };
         if written < bytes.len() {
-            waiting.bytes.extend_from_slice(&bytes[written..]);
-            waiting.writing = true;
+            queue.bytes.extend_from_slice(&bytes[written..]);
+            queue.writing = true;
             tokio::task::spawn_local(self.clone().flush());
         }
         Ok(())
     }
 
-    /// Whether bytes are still being written.
+    /// Returns whether queued bytes are still being written.
     pub(super) fn is_writing(&self) -> bool {
-        self.waiting.borrow().writing
+        self.queue.borrow().writing
     }
 
-    /// Writes what waits. A failure shows where the connection is read.
+    /// Writes the queued bytes. The task that reads the connection reports failures.
     async fn flush(self) {
         loop {
             if self.writer.writable().await.is_err() {
-                self.waiting.borrow_mut().failed = true;
+                self.queue.borrow_mut().failed = true;
                 return;
             }
-            let mut waiting = self.waiting.borrow_mut();
-            match self.writer.try_write(&waiting.bytes) {
-                Ok(written) => waiting.bytes.advance(written),
+            let mut queue = self.queue.borrow_mut();
+            match self.writer.try_write(&queue.bytes) {
+                Ok(written) => queue.bytes.advance(written),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => {
-                    waiting.failed = true;
+                    queue.failed = true;
                     return;
                 }
             }
-            if waiting.bytes.is_empty() {
-                waiting.writing = false;
+            if queue.bytes.is_empty() {
+                queue.writing = false;
                 return;
             }
         }
--- a/crates/geraniumgauge/src/edge/server.rs
+++ b/crates/geraniumgauge/src/edge/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections.
+//! The listener for callers' connections.
 
 use std::cell;
 use std::net;
@@ -9,52 +9,52 @@
 use crate::edge::caller;
 use crate::edge::engine;
 
-/// Pause after a connection couldn't be accepted, such as for want of
-/// descriptors: trying again at once would only burn time.
-pub(super) const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(20);
+/// Delay before accepting again after an error, such as too many open descriptors,
+/// which retrying at once wouldn't solve.
+pub(super) const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
 
-/// Accepts callers and serves each in a task of its own.
+/// Accepts callers' connections and serves each in its own task.
 #[derive(Debug)]
 pub struct Server {
     engine: edge::Engine,
     listener: tokio::net::TcpListener,
     open: rc::Rc<cell::Cell<usize>>,
-    most: usize,
+    max_connections: usize,
 }
 
 impl Server {
-    /// Listens on `address` for at most `most` connections at once.
+    /// Listens on `address` for at most `max_connections` at the same time.
     ///
     /// # Errors
-    /// Where the address can't be listened on.
+    /// If listening on the address fails.
     pub async fn bind(
         engine: edge::Engine,
         address: net::SocketAddr,
-        most: usize,
+        max_connections: usize,
     ) -> std::io::Result<Self> {
         let listener = tokio::net::TcpListener::bind(address).await?;
         Ok(Self {
             engine,
             listener,
             open: rc::Rc::new(cell::Cell::new(0)),
-            most,
+            max_connections,
         })
     }
 
-    /// The address that callers connect to.
+    /// Returns the address that it listens on.
     ///
     /// # Errors
-    /// Where the system doesn't tell it.
+    /// If the system doesn't return the address.
     pub fn address(&self) -> std::io::Result<net::SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Connections open, shared with whoever waits for their end.
+    /// Returns the shared count of open connections.
     pub fn open(&self) -> rc::Rc<cell::Cell<usize>> {
         self.open.clone()
     }
 
-    /// Accepts until the edge closes.
+    /// Accepts connections until the edge is closing.
     pub async fn run(self) {
         let mut phases = self.engine.phases();
         loop {
@@ -64,12 +64,12 @@
                 _ = closing => return,
             };
             match accepted {
-                Ok((stream, _)) if self.open.get() < self.most => self.serve(stream),
-                // Dropping it closes it: nothing was read.
+                Ok((stream, _)) if self.open.get() < self.max_connections => self.serve(stream),
+                // Dropping the stream closes it before any request is read.
                 Ok(_) => log::warn!(open = self.open.get(); "too many connections; one closed"),
                 Err(error) => {
                     log::warn!(error:% = error; "connection not accepted");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/geraniumgauge/src/edge/state/orphans.rs
+++ b/crates/geraniumgauge/src/edge/state/abandoned.rs
@@ -1,4 +1,4 @@
-//! Calls that nobody waits for any more.
+//! Abandoned calls: calls whose result is no longer wanted.
 
 use std::time;
 
@@ -8,15 +8,15 @@
 use crate::ids;
 use crate::time as clock;
 
-/// How long a call that nobody waits for may go on before its connection is
-/// closed, which is the only way to stop it. Most end by themselves in this
-/// time and leave the connection to the next call; a new one costs the upstream
-/// a slot for some milliseconds. Upstreams must be free of a caller's request
-/// half a second after it left.
-pub(in crate::edge) const ORPHAN_GRACE: time::Duration = time::Duration::from_millis(200);
+/// How long an abandoned call may continue before it is stopped by closing its
+/// connection. Most calls end within this time and their connection is reused; a
+/// new connection costs the upstream a slot for some milliseconds. Upstreams must
+/// be free of a request half a second after its caller disconnected.
+pub(in crate::edge) const ABANDONED_CALL_GRACE: time::Duration = time::Duration::from_millis(200);
 
 impl state::State {
-    pub(super) fn orphan_ended(
+    /// Records the end of an abandoned call for its upstream's health.
+    pub(super) fn abandoned_call_ended(
         &mut self,
         call: &call::Call,
         verdict: &forward::Verdict,
@@ -29,15 +29,15 @@
         self.fleet.orphan_ended(&call.made(), replied, now);
     }
 
-    /// Nobody waits for a call any more.
-    pub(super) fn orphan(&mut self, id: ids::Attempt, now: clock::Moment) {
+    /// Marks a call as abandoned; ends it at once if it wasn't sent yet.
+    pub(super) fn abandon(&mut self, id: ids::Attempt, now: clock::Moment) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.orphaned = true;
+        call.abandoned = true;
         if call.via.is_some() {
-            // Its reply may be merged with others, which are of use: it goes on
-            // until the request is over.
+            // The relay may merge its reply with others that are still wanted, so
+            // the call continues until the request ends.
             return;
         }
         if call.link.is_none() {
@@ -46,28 +46,29 @@
             self.end(id, forward::Verdict::NotSent, now);
             return;
         }
-        if self.orphans.is_empty() {
-            self.orders.push(state::Order::Sweep);
+        if self.abandoned.is_empty() {
+            self.effects.push(state::Effect::Sweep);
         }
-        self.orphans.push_back((now + ORPHAN_GRACE, id));
+        self.abandoned.push_back((now + ABANDONED_CALL_GRACE, id));
     }
 
-    /// Stops calls that nobody has waited for in a while; when to sweep again.
+    /// Stops abandoned calls whose grace period has passed. Returns when the next
+    /// one is due; `None` if there are no more.
     pub(in crate::edge) fn sweep(&mut self, now: clock::Moment) -> Option<clock::Moment> {
-        while let Some((due, id)) = self.orphans.front().copied() {
+        while let Some((due, id)) = self.abandoned.front().copied() {
             let known = self.calls.get(&id);
             let Some((link, upstream)) = known.and_then(|call| Some((call.link?, call.upstream)))
             else {
-                self.orphans.pop_front();
+                self.abandoned.pop_front();
                 continue;
             };
             if due > now {
                 return Some(due);
             }
-            self.orphans.pop_front();
+            self.abandoned.pop_front();
             self.end(id, forward::Verdict::Lost, now);
             self.close(link);
-            self.settle(now);
+            self.deliver_ended(now);
             self.dispatch(upstream, now);
         }
         None
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, and which call goes over which.
+//! Connections to upstreams and the assignment of calls to them.
 
 use std::cell;
 use std::rc;
@@ -16,12 +16,12 @@
 use crate::registry;
 use crate::time as clock;
 
-/// Part of an upstream's own idle timeout after which a connection isn't used
-/// again: it may be closed under the next call otherwise.
-const IDLE_USED: f64 = 0.6;
+/// Fraction of an upstream's keep-alive timeout after which an idle connection
+/// isn't used again. Later, the upstream might close it while a call is being sent.
+const MAX_IDLE_FRACTION: f64 = 0.6;
 
-/// Upstreams that a line of the log names at most.
-const MOST_NAMED: usize = 4;
+/// Maximum number of upstreams named in one log line.
+const MAX_LOGGED_UPSTREAMS: usize = 4;
 
 /// A connection to an upstream.
 #[derive(Debug)]
@@ -35,6 +35,7 @@
 }
 
 impl state::State {
+    /// Returns the connection pool of an upstream.
     pub(super) fn pool(&mut self, upstream: registry::Handle) -> &mut pool::Pool {
         if self.pools.len() <= upstream.index() {
             let handles = self.fleet.registry.handles().max(upstream.index() + 1);
@@ -43,12 +44,13 @@
         &mut self.pools[upstream.index()]
     }
 
-    /// Whether a call to an upstream could go out at once.
+    /// Returns whether a call to an upstream could be sent at once.
     pub(super) fn has_idle(&mut self, upstream: registry::Handle) -> bool {
         !self.pool(upstream).idle.is_empty()
     }
 
-    /// Gives waiting calls to idle connections, and opens what is missing.
+    /// Assigns waiting calls to idle connections, and opens connections for the rest
+    /// within the limit.
     pub(super) fn dispatch(&mut self, upstream: registry::Handle, now: clock::Moment) {
         while let Some(call) = self.pool(upstream).waiting.front().copied() {
             let Some(link) = self.idle_link(upstream, now) else {
@@ -58,28 +60,32 @@
             self.write(call, link, now);
         }
         let allowed = self.allowed(upstream);
-        while self.pool(upstream).wants_link(allowed) {
+        while self.pool(upstream).needs_link(allowed) {
             self.open(upstream);
         }
     }
 
+    /// Returns how many connections this VM may have to an upstream.
     fn allowed(&self, upstream: registry::Handle) -> u32 {
         let entry = &self.fleet.registry.get(upstream).entry;
-        let known = self
+        let service = self
             .table
             .as_ref()
             .and_then(|table| table.service(&entry.service));
-        let limit = known.map_or(1, |service| service.max_connections);
+        let limit = service.map_or(1, |service| service.max_connections);
         let vms = self.fleet.vms();
         pool::Pool::allowed(self.relays.connections(&entry.data_centre, limit, vms))
     }
 
-    /// The idle connection used last, unless the upstream may be closing it.
+    /// Takes the most recently used idle connection. Closes those that the upstream
+    /// may be about to close.
     fn idle_link(&mut self, upstream: registry::Handle, now: clock::Moment) -> Option<pool::Link> {
         while let Some((link, since)) = self.pool(upstream).idle.pop() {
-            let known = self.links.get(&link)?;
-            let usable = known.keep_alive.map(|keep| keep.mul_f64(IDLE_USED));
-            if usable.is_none_or(|usable| now.since(since) < usable) {
+            let connection = self.links.get(&link)?;
+            let max_idle = connection
+                .keep_alive
+                .map(|keep| keep.mul_f64(MAX_IDLE_FRACTION));
+            if max_idle.is_none_or(|max_idle| now.since(since) < max_idle) {
                 return Some(link);
             }
             self.close(link);
@@ -88,12 +94,12 @@
     }
 
     fn open(&mut self, upstream: registry::Handle) {
-        let link = pool::Link(self.next());
+        let link = pool::Link(self.new_id());
         let head_only = rc::Rc::new(cell::Cell::new(false));
         let pool = self.pool(upstream);
         pool.links += 1;
         pool.opening += 1;
-        let known = Link {
+        let connection = Link {
             upstream,
             sender: None,
             task: None,
@@ -101,128 +107,132 @@
             keep_alive: None,
             head_only: head_only.clone(),
         };
-        self.links.insert(link, known);
-        self.orders.push(state::Order::Open {
+        self.links.insert(link, connection);
+        self.effects.push(state::Effect::Open {
             link,
             address: self.fleet.registry.get(upstream).entry.address,
             head_only,
         });
     }
 
-    /// The task that serves a connection runs.
-    pub(in crate::edge) fn started(&mut self, link: pool::Link, task: task::AbortHandle) {
-        if let Some(known) = self.links.get_mut(&link) {
-            known.task = Some(task);
+    /// Stores the handle of the task that reads a connection.
+    pub(in crate::edge) fn task_started(&mut self, link: pool::Link, task: task::AbortHandle) {
+        if let Some(connection) = self.links.get_mut(&link) {
+            connection.task = Some(task);
         }
     }
 
-    /// A connection is open.
+    /// Handles a connection that was opened.
     pub(in crate::edge) fn connected(
         &mut self,
         link: pool::Link,
         writer: tcp::OwnedWriteHalf,
         now: clock::Moment,
     ) {
-        let Some(known) = self.links.get_mut(&link) else {
+        let Some(connection) = self.links.get_mut(&link) else {
             return;
         };
-        self.count.connection("open");
-        known.sender = Some(sender::Sender::new(writer));
-        let upstream = known.upstream;
+        self.instruments.connection("open");
+        connection.sender = Some(sender::Sender::new(writer));
+        let upstream = connection.upstream;
         self.pool(upstream).opening -= 1;
-        self.rest(link, now);
-        self.settle(now);
+        self.release(link, now);
+        self.deliver_ended(now);
     }
 
-    /// A connection couldn't be opened.
+    /// Handles a connection that couldn't be opened.
     pub(in crate::edge) fn unreachable(
         &mut self,
         link: pool::Link,
         error: &str,
         now: clock::Moment,
     ) {
-        let Some(known) = self.links.remove(&link) else {
+        let Some(connection) = self.links.remove(&link) else {
             return;
         };
-        self.count.connection("failed");
-        let entry = &self.fleet.registry.get(known.upstream).entry;
+        self.instruments.connection("failed");
+        let entry = &self.fleet.registry.get(connection.upstream).entry;
         log::info!(
             upstream = entry.id.as_str(), service = entry.service.as_str(), error = error;
-            "upstream can't be connected to"
+            "can't connect to upstream"
         );
-        self.fleet.standing(known.upstream).unreachable(now);
-        self.blame(known.upstream, now);
-        let pool = self.pool(known.upstream);
+        self.fleet.standing(connection.upstream).unreachable(now);
+        self.report_crash_suspects(connection.upstream, now);
+        let pool = self.pool(connection.upstream);
         pool.links -= 1;
         pool.opening -= 1;
-        self.refuse_waiting(known.upstream, now);
-        self.settle(now);
+        self.end_waiting(connection.upstream, now);
+        self.deliver_ended(now);
     }
 
-    /// Blames the requests under which an upstream that is gone was lost.
-    fn blame(&mut self, upstream: registry::Handle, now: clock::Moment) {
+    /// Records the requests that were running when an unreachable upstream's
+    /// connections were lost as crash suspects, and reports them to the other VMs.
+    fn report_crash_suspects(&mut self, upstream: registry::Handle, now: clock::Moment) {
         for request in self.fleet.blame.unreachable(upstream, now) {
             let id = &self.fleet.registry.get(upstream).entry.id;
             let refused = self.fleet.blame.is_quarantined(request, now);
             log::warn!(
                 fingerprint:% = request, upstream = id.as_str(), refused = refused;
-                "upstream crashed under a request"
+                "upstream crashed while running a request"
             );
-            // Whoever took the receiver stops with the process.
-            let _ = self.blamed.send(request);
+            // The receiver is only dropped when the process stops.
+            let _ = self.crash_suspects.send(request);
         }
     }
 
-    /// Ends the calls that wait for a connection to an upstream: nothing of
-    /// them was sent.
-    fn refuse_waiting(&mut self, upstream: registry::Handle, now: clock::Moment) {
+    /// Ends the calls that wait for a connection to an upstream as not sent.
+    fn end_waiting(&mut self, upstream: registry::Handle, now: clock::Moment) {
         let waiting = std::mem::take(&mut self.pool(upstream).waiting);
         for call in waiting {
             self.end(call, forward::Verdict::NotSent, now);
         }
     }
 
+    /// Writes a call to a connection.
     fn write(&mut self, id: ids::Attempt, link: pool::Link, now: clock::Moment) {
-        let (Some(call), Some(known)) = (self.calls.get_mut(&id), self.links.get_mut(&link)) else {
+        let (Some(call), Some(connection)) = (self.calls.get_mut(&id), self.links.get_mut(&link))
+        else {
             return;
         };
-        let Some(sender) = known.sender.clone() else {
+        let Some(sender) = connection.sender.clone() else {
             return;
         };
-        known.call = Some(id);
-        known.head_only.set(call.message.head_only);
+        connection.call = Some(id);
+        connection.head_only.set(call.message.head_only);
         call.link = Some(link);
         let entry = &self.fleet.registry.get(call.upstream).entry;
         self.scratch.clear();
         call.message
             .write(&self.names, entry, now, &mut self.scratch);
         if sender.send(&self.scratch).is_err() {
-            // Nothing of this call left the VM.
+            // No byte of the call was sent.
             self.end(id, forward::Verdict::NotSent, now);
             self.close(link);
         }
     }
 
-    /// Whether a call waits for its reply on a connection.
+    /// Returns whether a connection has a call that waits for its reply.
     pub(in crate::edge) fn is_busy(&self, link: pool::Link) -> bool {
         self.links
             .get(&link)
-            .is_some_and(|known| known.call.is_some())
+            .is_some_and(|connection| connection.call.is_some())
     }
 
-    /// A reply was read; `more` where bytes followed it. Returns whether the
-    /// connection goes on.
+    /// Handles a reply; `extra_bytes` is set if more bytes were received after it.
+    /// Returns whether the connection stays open.
     pub(in crate::edge) fn replied(
         &mut self,
         link: pool::Link,
         reply: h1::Reply,
-        more: bool,
+        extra_bytes: bool,
         now: clock::Moment,
     ) -> bool {
-        let Some(known) = self.links.get_mut(&link) else {
+        let Some(connection) = self.links.get_mut(&link) else {
             return false;
         };
-        let call = known.call.and_then(|id| Some((id, self.calls.get(&id)?)));
+        let call = connection
+            .call
+            .and_then(|id| Some((id, self.calls.get(&id)?)));
         let Some((id, call)) = call else {
             self.close(link);
             return false;
@@ -232,42 +242,43 @@
             .as_deref()
             .is_some_and(|echoed| echoed != call.message.id)
         {
-            // A second reply to an earlier call: ours is still to come.
+            // A second reply to an earlier call; this call's reply is still to come.
             log::warn!(
                 request = call.message.id.as_str(), echoed = reply.id.as_deref();
                 "reply to another request dropped"
             );
             return true;
         }
-        known.call = None;
-        known.keep_alive = reply.keep_alive.or(known.keep_alive);
-        // While a part of the call is unwritten, the upstream would take the
-        // next call's bytes for it.
-        let writing = known
+        connection.call = None;
+        connection.keep_alive = reply.keep_alive.or(connection.keep_alive);
+        // If part of the call is still unwritten, the upstream would take the next
+        // call's bytes for the rest of this one.
+        let writing = connection
             .sender
             .as_ref()
             .is_some_and(sender::Sender::is_writing);
-        let ends = reply.close || more || writing;
+        let closes = reply.close || extra_bytes || writing;
         let verdict = call.message.verdict(reply);
         self.end(id, verdict, now);
-        if ends {
+        if closes {
             self.close(link);
         } else {
-            self.rest(link, now);
+            self.release(link, now);
         }
-        self.settle(now);
-        !ends
+        self.deliver_ended(now);
+        !closes
     }
 
-    /// A connection ended, or what came on it is no reply.
+    /// Handles a connection that ended or on which something other than a reply was
+    /// received.
     pub(in crate::edge) fn ended(&mut self, link: pool::Link, error: &str, now: clock::Moment) {
-        let Some(known) = self.links.get(&link) else {
+        let Some(connection) = self.links.get(&link) else {
             return;
         };
-        let (upstream, call) = (known.upstream, known.call);
+        let (upstream, call) = (connection.upstream, connection.call);
         if let Some(id) = call {
             let request = self.calls.get(&id).map(|call| call.message.id.as_str());
-            log::info!(request = request, error = error; "connection ended under a call");
+            log::info!(request = request, error = error; "connection ended during a call");
             if let Some(call) = self.calls.get(&id) {
                 let request = call.message.fingerprint();
                 self.fleet.blame.lost(call.upstream, request, now);
@@ -276,18 +287,19 @@
         }
         self.close(link);
         if call.is_some() && self.fleet.registry.get(upstream).usable(now) != registry::Use::Never {
-            // A new connection shows whether the upstream went with this one.
+            // Whether this one succeeds shows if the upstream crashed.
             self.open(upstream);
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    /// A connection has nothing to do: gives it a waiting call, or keeps it.
-    fn rest(&mut self, link: pool::Link, now: clock::Moment) {
-        let Some(known) = self.links.get(&link) else {
+    /// Returns a connection to its pool and assigns waiting calls; closes it if the
+    /// upstream isn't to be used any more.
+    fn release(&mut self, link: pool::Link, now: clock::Moment) {
+        let Some(connection) = self.links.get(&link) else {
             return;
         };
-        let upstream = known.upstream;
+        let upstream = connection.upstream;
         if self.fleet.registry.get(upstream).usable(now) == registry::Use::Never {
             self.close(link);
             return;
@@ -296,45 +308,50 @@
         self.dispatch(upstream, now);
     }
 
+    /// Removes a connection and stops its task, which closes it.
     pub(super) fn close(&mut self, link: pool::Link) {
-        let Some(known) = self.links.remove(&link) else {
+        let Some(connection) = self.links.remove(&link) else {
             return;
         };
-        let opening = known.sender.is_none();
-        let pool = self.pool(known.upstream);
+        let opening = connection.sender.is_none();
+        let pool = self.pool(connection.upstream);
         pool.links -= 1;
         if opening {
             pool.opening -= 1;
         }
-        pool.forget_idle(link);
-        if let Some(task) = known.task {
+        pool.remove_idle(link);
+        if let Some(task) = connection.task {
             task.abort();
         }
     }
 
-    /// Takes what changed of the upstreams.
-    pub(in crate::edge) fn changed(&mut self, changes: &[registry::Change], now: clock::Moment) {
-        self.tell_changes(changes);
+    /// Handles changes of the upstreams' registrations.
+    pub(in crate::edge) fn upstreams_changed(
+        &mut self,
+        changes: &[registry::Change],
+        now: clock::Moment,
+    ) {
+        self.log_changes(changes);
         for change in changes {
             match *change {
-                registry::Change::Came(upstream) => self.warm(upstream),
+                registry::Change::Came(upstream) => self.preconnect(upstream),
                 registry::Change::Draining(upstream) | registry::Change::Gone(upstream) => {
-                    self.leave(upstream, now);
+                    self.stop_using(upstream, now);
                 }
                 registry::Change::Vanished(_) | registry::Change::Returned(_) => {}
             }
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    /// Logs changes, a line for all that came together: the VMs that read the
-    /// store tell each one's story.
-    fn tell_changes(&self, changes: &[registry::Change]) {
+    /// Logs changes of registrations in one line. The VMs that read the store log each
+    /// one in detail.
+    fn log_changes(&self, changes: &[registry::Change]) {
         if changes.is_empty() {
             return;
         }
         let (mut came, mut draining, mut vanished, mut returned, mut gone) = (0, 0, 0, 0, 0);
-        let mut named = Vec::new();
+        let mut ids = Vec::new();
         for change in changes {
             let (upstream, count) = match *change {
                 registry::Change::Came(upstream) => (upstream, &mut came),
@@ -344,25 +361,25 @@
                 registry::Change::Gone(upstream) => (upstream, &mut gone),
             };
             *count += 1;
-            if named.len() < MOST_NAMED {
-                named.push(self.fleet.registry.get(upstream).entry.id.as_str());
+            if ids.len() < MAX_LOGGED_UPSTREAMS {
+                ids.push(self.fleet.registry.get(upstream).entry.id.as_str());
             }
         }
         log::info!(
             came = came, draining = draining, vanished = vanished, returned = returned,
-            gone = gone, first = named.join(" ");
+            gone = gone, first = ids.join(" ");
             "upstreams changed"
         );
     }
 
-    /// Opens a first connection, so that the first request doesn't wait for it.
-    /// Only where this VM's own first calls will go: a connection of every VM to
-    /// every upstream would pass the upstreams' limits on a fleet of some sixty,
-    /// take slots from calls where all start at one moment, and most would close
-    /// unused.
-    fn warm(&mut self, upstream: registry::Handle) {
+    /// Opens a connection to a new upstream in advance, so that the first request
+    /// doesn't wait for one. Only done for upstreams that this VM itself calls first:
+    /// if every VM connected to every upstream, a fleet of about sixty would exceed
+    /// the upstreams' connection limits, VMs that start at the same time would take
+    /// slots from calls, and most connections would be closed unused.
+    fn preconnect(&mut self, upstream: registry::Handle) {
         let makes_calls = match self.relays.makes_own_calls() {
-            // Once the other VMs are known, all are warmed.
+            // `preconnect_all` does this once the other VMs are connection.
             None => false,
             Some(true) => true,
             Some(false) => {
@@ -376,23 +393,23 @@
         }
     }
 
-    /// Opens first connections to all upstreams that were known before the other
-    /// VMs were.
-    pub(in crate::edge) fn warm_all(&mut self) {
+    /// Opens connections in advance to upstreams that became connection before the other
+    /// VMs did.
+    pub(in crate::edge) fn preconnect_all(&mut self) {
         let upstreams: Vec<registry::Handle> = self.fleet.registry.registered().collect();
         for upstream in upstreams {
             if self.pool(upstream).links == 0 {
-                self.warm(upstream);
+                self.preconnect(upstream);
             }
         }
     }
 
-    /// Sends nothing more to an upstream; its running calls go on.
-    fn leave(&mut self, upstream: registry::Handle, now: clock::Moment) {
+    /// Stops sending calls to an upstream. Calls in progress continue.
+    fn stop_using(&mut self, upstream: registry::Handle, now: clock::Moment) {
         let idle = std::mem::take(&mut self.pool(upstream).idle);
         for (link, _) in idle {
             self.close(link);
         }
-        self.refuse_waiting(upstream, now);
+        self.end_waiting(upstream, now);
     }
 }
--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -1,12 +1,13 @@
-//! The edge's state, and what changes it. No awaits.
+//! The edge's state and every change to it, as synchronous code. Work that needs a
+//! task is queued as [`Effect`]s.
 
+mod abandoned;
 mod links;
-mod orphans;
 mod relay;
+mod report;
 mod serve;
-mod told;
 
-pub(super) use orphans::ORPHAN_GRACE;
+pub(super) use abandoned::ABANDONED_CALL_GRACE;
 
 use std::cell;
 use std::collections;
@@ -24,33 +25,34 @@
 use crate::route;
 use crate::time as clock;
 
-/// A request under way.
+/// A caller's request in progress.
 #[derive(Debug)]
 struct Running {
     job: forward::Job,
     message: rc::Rc<call::Message>,
+    /// Wakes the caller's task when there is an outcome or an earlier wake time.
     done: rc::Rc<sync::Notify>,
     outcome: Option<forward::Outcome>,
-    /// Its calls that other VMs were asked to make.
+    /// Calls that were handed to relays.
     relayed: Vec<ids::Attempt>,
 }
 
-/// What the tasks are to do that only they can.
+/// Work that needs a task: I/O or a timer. [`edge::Engine`] carries it out.
 #[derive(Debug)]
-pub(super) enum Order {
+pub(super) enum Effect {
     /// Open a connection to an upstream.
     Open {
         link: pool::Link,
         address: std::net::SocketAddr,
         head_only: rc::Rc<cell::Cell<bool>>,
     },
-    /// Look after orphaned calls.
+    /// Start the task that stops abandoned calls after a grace period.
     Sweep,
-    /// Merge the replies to another VM's calls at a point in time.
-    Merge { ask: u64, at: clock::Moment },
+    /// Merge and report the replies to a requester's batch at time `at`.
+    Merge { batch: u64, at: clock::Moment },
 }
 
-/// A call that has ended.
+/// A call that has ended, to be delivered to its owner.
 #[derive(Debug)]
 struct Ended {
     call: ids::Attempt,
@@ -58,27 +60,30 @@
     at: clock::Moment,
 }
 
-/// The edge's state.
+/// The state of the edge: requests, calls, connections and what is known of
+/// upstreams and relays.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) fleet: forward::Fleet,
     pub(super) relays: forward::Relays,
     pub(super) table: Option<route::Shared>,
-    /// Whether the registrations were listed.
-    pub(super) listed: bool,
-    pub(super) orders: Vec<Order>,
+    /// Set once the upstreams' registrations have been listed.
+    pub(super) registrations_listed: bool,
+    pub(super) effects: Vec<Effect>,
     names: h1::Names,
-    count: edge::Count,
+    instruments: edge::Count,
     running: collections::HashMap<u64, Running>,
     calls: collections::HashMap<ids::Attempt, call::Call>,
     links: collections::HashMap<pool::Link, links::Link>,
     pools: Vec<pool::Pool>,
     peers: relay::Peers,
-    /// Takes the requests that the other VMs are to be told of.
-    blamed: sync::mpsc::UnboundedSender<ids::Fingerprint>,
-    orphans: collections::VecDeque<(clock::Moment, ids::Attempt)>,
+    /// Sends crash suspects to the task that reports them to the other VMs.
+    crash_suspects: sync::mpsc::UnboundedSender<ids::Fingerprint>,
+    /// Abandoned calls in progress and when to stop each, soonest first.
+    abandoned: collections::VecDeque<(clock::Moment, ids::Attempt)>,
     ended: collections::VecDeque<Ended>,
-    next: u64,
+    last_id: u64,
+    /// Reused buffer for encoding calls.
     scratch: Vec<u8>,
 }
 
@@ -87,38 +92,38 @@
         fleet: forward::Fleet,
         relays: forward::Relays,
         names: h1::Names,
-        count: edge::Count,
-        blamed: sync::mpsc::UnboundedSender<ids::Fingerprint>,
+        instruments: edge::Count,
+        crash_suspects: sync::mpsc::UnboundedSender<ids::Fingerprint>,
     ) -> Self {
         Self {
             fleet,
-            blamed,
+            crash_suspects,
             relays,
             table: None,
-            listed: false,
-            orders: Vec::new(),
+            registrations_listed: false,
+            effects: Vec::new(),
             names,
-            count,
+            instruments,
             running: collections::HashMap::new(),
             calls: collections::HashMap::new(),
             links: collections::HashMap::new(),
             pools: Vec::new(),
             peers: relay::Peers::default(),
-            orphans: collections::VecDeque::new(),
+            abandoned: collections::VecDeque::new(),
             ended: collections::VecDeque::new(),
-            next: 0,
+            last_id: 0,
             scratch: Vec::new(),
         }
     }
 
-    /// A number never used before by this process.
-    fn next(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    /// Returns an id that this process hasn't used before.
+    fn new_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// Begins a request; its id, by which the caller's task asks for the
-    /// outcome.
+    /// Starts a request and returns its id, with which the caller's task polls
+    /// [`Self::take`].
     pub(super) fn submit(
         &mut self,
         entry: rc::Rc<route::table::Entry>,
@@ -126,12 +131,12 @@
         done: rc::Rc<sync::Notify>,
         now: clock::Moment,
     ) -> u64 {
-        let order = forward::Request {
+        let job_request = forward::Request {
             entry,
             began: now,
             time_left: request.time_left,
         };
-        let mut job = forward::Job::new(order, &mut self.fleet);
+        let mut job = forward::Job::new(job_request, &mut self.fleet);
         let message = rc::Rc::new(call::Message {
             head_only: request.method == "HEAD",
             sharded: matches!(job.route().target, route::Target::Shards(_)),
@@ -147,7 +152,7 @@
         } else {
             job.start(&mut self.fleet, now, &mut actions);
         }
-        let id = self.next();
+        let id = self.new_id();
         let running = Running {
             job,
             message,
@@ -156,17 +161,18 @@
             relayed: Vec::new(),
         };
         self.running.insert(id, running);
-        self.act(id, actions, now);
-        self.settle(now);
+        self.apply(id, actions, now);
+        self.deliver_ended(now);
         id
     }
 
     fn is_quarantined(&self, message: &call::Message, now: clock::Moment) -> bool {
-        // Hashing each request only pays while any is blamed.
+        // Skips hashing the request while there are no crash suspects.
         !self.fleet.blame.is_empty() && self.fleet.blame.is_quarantined(message.fingerprint(), now)
     }
 
-    /// The outcome of a request, once it has one; it is over then.
+    /// Removes a request that has an outcome and returns both; `None` while it is
+    /// in progress.
     pub(super) fn take(
         &mut self,
         id: u64,
@@ -175,26 +181,27 @@
         let running = self.running.get_mut(&id)?;
         let outcome = running.outcome.take()?;
         let running = self.running.remove(&id)?;
-        self.leave_relayed(&running.relayed, now);
+        self.abandon_relayed(&running.relayed, now);
         Some((outcome, running.job))
     }
 
-    /// When [`Self::tick`] is to be called for a request.
+    /// Returns when [`Self::tick`] is to be called for a request.
     pub(super) fn wake_at(&self, id: u64) -> Option<clock::Moment> {
         self.running.get(&id).map(|running| running.job.wake_at())
     }
 
+    /// Handles the timers of a request that are due.
     pub(super) fn tick(&mut self, id: u64, now: clock::Moment) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
         };
         let mut actions = Vec::new();
         running.job.tick(&mut self.fleet, now, &mut actions);
-        self.act(id, actions, now);
-        self.settle(now);
+        self.apply(id, actions, now);
+        self.deliver_ended(now);
     }
 
-    /// The caller of a request has left.
+    /// Cancels a request whose caller has disconnected.
     pub(super) fn cancel(&mut self, id: u64, now: clock::Moment) {
         let Some(running) = self.running.get_mut(&id) else {
             return;
@@ -206,20 +213,21 @@
         );
         let mut actions = Vec::new();
         running.job.cancel(&mut actions);
-        self.act(id, actions, now);
+        self.apply(id, actions, now);
         if let Some(running) = self.running.remove(&id) {
-            self.leave_relayed(&running.relayed, now);
+            self.abandon_relayed(&running.relayed, now);
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    fn act(&mut self, id: u64, actions: Vec<forward::Action>, now: clock::Moment) {
+    /// Carries out a job's actions.
+    fn apply(&mut self, id: u64, actions: Vec<forward::Action>, now: clock::Moment) {
         let mut sends = Vec::new();
         for action in actions {
             match action {
                 forward::Action::Send(send) => sends.push(send),
-                forward::Action::Abandon(call) => self.orphan(call, now),
-                forward::Action::Silent(call) => self.helper_silent(call),
+                forward::Action::Abandon(call) => self.abandon(call, now),
+                forward::Action::Silent(call) => self.relay_silent(call),
                 forward::Action::Finish(outcome) => {
                     if let Some(running) = self.running.get_mut(&id) {
                         running.outcome = Some(outcome);
@@ -228,18 +236,19 @@
                 }
             }
         }
-        for send in self.relay(id, sends, now) {
-            self.call(id, send, now);
+        for send in self.relay_calls(id, sends, now) {
+            self.start_call(id, send, now);
         }
     }
 
-    /// A call has ended; [`Self::settle`] tells its owner.
+    /// Queues a call's end for [`Self::deliver_ended`].
     fn end(&mut self, call: ids::Attempt, verdict: forward::Verdict, at: clock::Moment) {
         self.ended.push_back(Ended { call, verdict, at });
     }
 
-    /// Tells the owners of calls of their ends, until none is left.
-    fn settle(&mut self, now: clock::Moment) {
+    /// Delivers queued ends of calls to their owners until the queue is empty;
+    /// handling one may queue more.
+    fn deliver_ended(&mut self, now: clock::Moment) {
         while let Some(ended) = self.ended.pop_front() {
             let Some(call) = self.calls.remove(&ended.call) else {
                 continue;
@@ -249,24 +258,25 @@
             if good && !self.fleet.blame.is_empty() {
                 self.fleet.blame.clear(call.message.fingerprint());
             }
-            self.count.ended(kind(&ended.verdict), took);
-            if call.orphaned {
-                self.orphan_ended(&call, &ended.verdict, now);
+            self.instruments.ended(verdict_name(&ended.verdict), took);
+            if call.abandoned {
+                self.abandoned_call_ended(&call, &ended.verdict, now);
                 continue;
             }
             match call.owner {
-                call::Owner::Ask { ask, remote } => {
+                call::Owner::Batch { batch, remote } => {
                     self.fleet.learn(&call.made(), &ended.verdict, took, now);
-                    self.ask_ended(ask, remote, ended.verdict, took, now);
+                    self.batch_call_ended(batch, remote, ended.verdict, took, now);
                 }
                 call::Owner::Job { job, part } => {
-                    self.job_ended(job, part, &call, ended, took, now);
+                    self.job_call_ended(job, part, &call, ended, took, now);
                 }
             }
         }
     }
 
-    fn job_ended(
+    /// Passes the end of a call to its job.
+    fn job_call_ended(
         &mut self,
         id: u64,
         part: usize,
@@ -282,9 +292,9 @@
             let entry = &self.fleet.registry.get(call.upstream).entry;
             log::info!(
                 request = call.message.id.as_str(), service = entry.service.as_str(),
-                upstream = entry.id.as_str(), how = kind(&ended.verdict),
+                upstream = entry.id.as_str(), how = verdict_name(&ended.verdict),
                 took_ms = took.as_millis() as u64;
-                "call ended without a reply of use"
+                "call ended without a usable reply"
             );
         }
         let mut actions = Vec::new();
@@ -295,27 +305,27 @@
             took,
         };
         running.job.ended(end, &mut self.fleet, now, &mut actions);
-        self.act(id, actions, now);
+        self.apply(id, actions, now);
     }
 
-    /// Makes a call for a job.
-    fn call(&mut self, job: u64, send: forward::Send, now: clock::Moment) {
+    /// Starts a call for a job on one of this VM's own connections.
+    fn start_call(&mut self, job: u64, send: forward::Send, now: clock::Moment) {
         let Some(running) = self.running.get(&job) else {
             return;
         };
-        self.count.call(send.why);
+        self.instruments.call(send.why);
         let message = running.message.clone();
         let owner = call::Owner::of(job, &send);
-        let usual = running.job.times().median();
-        self.tell_extra(&message, &send, now);
-        let call = call::Call::new(owner, send.upstream, message, usual, now);
+        let typical = running.job.times().median();
+        self.log_extra_call(&message, &send, now);
+        let call = call::Call::new(owner, send.upstream, message, typical, now);
         self.calls.insert(send.call, call);
         self.pool(send.upstream).waiting.push_back(send.call);
         self.dispatch(send.upstream, now);
     }
 
-    /// Logs a call that isn't the first of its part.
-    fn tell_extra(&self, message: &call::Message, send: &forward::Send, now: clock::Moment) {
+    /// Logs a call unless it is the first one for its part.
+    fn log_extra_call(&self, message: &call::Message, send: &forward::Send, now: clock::Moment) {
         if send.why == forward::Why::First {
             return;
         }
@@ -328,13 +338,13 @@
         );
     }
 
-    /// Requests under way, of callers and of other VMs.
+    /// Returns the number of callers' requests and requesters' batches in progress.
     pub(super) fn running(&self) -> usize {
-        self.running.len() + self.peers.asks()
+        self.running.len() + self.peers.batch_count()
     }
 }
 
-fn kind(verdict: &forward::Verdict) -> &'static str {
+fn verdict_name(verdict: &forward::Verdict) -> &'static str {
     match verdict {
         forward::Verdict::Good(_) => "good",
         forward::Verdict::Failure(_) => "failure",
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -1,4 +1,4 @@
-//! Calls that other VMs make for this one.
+//! Calls that relays make for this VM.
 
 use std::collections;
 use std::net;
@@ -13,46 +13,47 @@
 use crate::ids;
 use crate::time as clock;
 
-/// Time that a frame of merged replies has to arrive before the calls that it
-/// tells of would be hedged.
-const ON_TIME: time::Duration = time::Duration::from_millis(4);
-/// Least time after which replies are merged, however early calls are hedged.
-const LEAST_MERGE: time::Duration = time::Duration::from_millis(5);
+/// How long before calls are hedged a relay sends its report of merged replies,
+/// to allow for the report's way back.
+const MERGE_MARGIN: time::Duration = time::Duration::from_millis(4);
+/// Minimum delay before a relay merges replies, however early calls are hedged.
+const MIN_MERGE_DELAY: time::Duration = time::Duration::from_millis(5);
 
-/// The connections to other VMs, and the calls made for them.
+/// Connections between VMs and the batches that this VM runs as a relay.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    /// Connections that this VM opened, by address.
+    /// Connections that this VM opened to relays, by address.
     pub(super) outgoing: collections::HashMap<net::SocketAddr, sender::Sender>,
-    /// Connections that others opened.
+    /// Connections that other VMs opened to this one, by id.
     pub(super) incoming: collections::HashMap<u64, sender::Sender>,
-    pub(super) asks: collections::HashMap<u64, serve::Ask>,
-    /// Calls made for others since the start.
-    pub(super) made: u64,
-    /// Whether this VM takes no more calls of others.
-    pub(super) leaving: bool,
+    /// Batches of calls in progress for other VMs, by id.
+    pub(super) batches: collections::HashMap<u64, serve::Batch>,
+    /// Number of calls made for other VMs since this process started.
+    pub(super) calls_made: u64,
+    /// Set when this VM is stopping and accepts no more batches.
+    pub(super) draining: bool,
 }
 
 impl Peers {
-    /// Requests of other VMs under way.
-    pub(super) fn asks(&self) -> usize {
-        self.asks.len()
+    /// Returns the number of other VMs' batches in progress.
+    pub(super) fn batch_count(&self) -> usize {
+        self.batches.len()
     }
 }
 
-/// Where calls of a search go, and whether they are its first ones.
+/// Properties that calls must share to be sent in one batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Place {
+struct Group {
     data_centre: ids::DataCentre,
     first: bool,
     payer: forward::Payer,
-    insist: bool,
+    mandatory: bool,
 }
 
 impl state::State {
-    /// Hands calls of a search to other VMs where that pays; returns those that
-    /// this VM makes itself.
-    pub(super) fn relay(
+    /// Sends calls of a search to relays where that is cheaper, and returns those
+    /// that this VM makes itself.
+    pub(super) fn relay_calls(
         &mut self,
         job: u64,
         sends: Vec<forward::Send>,
@@ -68,96 +69,97 @@
         let (_, all) = running.job.progress();
         let crowded = self.relays.crowded(all);
         let mut own = Vec::new();
-        let mut places: Vec<(Place, Vec<forward::Send>)> = Vec::new();
+        let mut groups: Vec<(Group, Vec<forward::Send>)> = Vec::new();
         for send in sends {
             let upstream = &self.fleet.registry.get(send.upstream).entry;
-            let place = Place {
+            let group = Group {
                 data_centre: upstream.data_centre.clone(),
                 first: send.why == forward::Why::First,
                 payer: send.payer,
-                insist: send.insist,
+                mandatory: send.insist,
             };
             let paid = send.payer == forward::Payer::Own;
-            if !place.first && paid && (!crowded || self.has_idle(send.upstream)) {
+            if !group.first && paid && (!crowded || self.has_idle(send.upstream)) {
                 own.push(send);
                 continue;
             }
-            match places.iter_mut().find(|(known, _)| *known == place) {
+            match groups.iter_mut().find(|(known, _)| *known == group) {
                 Some((_, sends)) => sends.push(send),
-                None => places.push((place, vec![send])),
+                None => groups.push((group, vec![send])),
             }
         }
-        for (place, sends) in places {
-            // A first call alone is as cheap by itself, but that of a small VM
-            // would wait for a connection, which the other VM has.
-            let alone = place.first && sends.len() == 1 && !crowded;
-            let helper = if alone {
+        for (group, sends) in groups {
+            // Relaying a single first call saves nothing, except for a small VM: it
+            // would have to open a connection, while the relay has one open.
+            let single = group.first && sends.len() == 1 && !crowded;
+            let relay = if single {
                 None
             } else {
-                self.relays.choose(&place.data_centre, all, now)
+                self.relays.choose(&group.data_centre, all, now)
             };
-            let left = match helper {
-                Some(address) => self.ask(job, address, sends, &place, now),
+            let remaining = match relay {
+                Some(address) => self.send_batch(job, address, sends, &group, now),
                 None => sends,
             };
-            match place.payer {
-                forward::Payer::Own => own.extend(left),
-                forward::Payer::Helper => self.unpaid(job, left, now),
+            match group.payer {
+                forward::Payer::Own => own.extend(remaining),
+                forward::Payer::Helper => self.end_unpaid(job, remaining, now),
             }
         }
         own
     }
 
-    /// Ends calls that no other VM can be asked to pay for.
-    fn unpaid(&mut self, job: u64, sends: Vec<forward::Send>, now: clock::Moment) {
+    /// Ends calls as unpaid: a relay was to pay for them and none is available.
+    fn end_unpaid(&mut self, job: u64, sends: Vec<forward::Send>, now: clock::Moment) {
         let Some(running) = self.running.get(&job) else {
             return;
         };
         let message = running.message.clone();
-        let usual = running.job.times().median();
+        let typical = running.job.times().median();
         for send in sends {
             let owner = call::Owner::of(job, &send);
-            let call = call::Call::new(owner, send.upstream, message.clone(), usual, now);
+            let call = call::Call::new(owner, send.upstream, message.clone(), typical, now);
             self.calls.insert(send.call, call);
             self.end(send.call, forward::Verdict::Unpaid, now);
         }
     }
 
-    /// Asks another VM to make calls; returns them where it can't be asked.
-    fn ask(
+    /// Sends calls to the relay at `address` as one batch. Returns them if the relay
+    /// can't be reached, and nothing otherwise.
+    fn send_batch(
         &mut self,
         job: u64,
         address: net::SocketAddr,
         sends: Vec<forward::Send>,
-        place: &Place,
+        group: &Group,
         now: clock::Moment,
     ) -> Vec<forward::Send> {
         let Some(running) = self.running.get_mut(&job) else {
             return Vec::new();
         };
         let message = running.message.clone();
-        let usual = running.job.times().median();
-        let merge = running
+        let typical = running.job.times().median();
+        let merge_after = running
             .job
             .hedge_after()
-            .saturating_sub(ON_TIME)
-            .max(LEAST_MERGE);
-        // Later calls are late already: each reply is told at once.
-        let merge = if place.first {
-            merge
+            .saturating_sub(MERGE_MARGIN)
+            .max(MIN_MERGE_DELAY);
+        // Extra calls are late already, so their replies are reported at once.
+        let merge_after = if group.first {
+            merge_after
         } else {
             time::Duration::ZERO
         };
         let with_address = self.relays.lacks(address, now);
         let registry = &self.fleet.registry;
-        let ask = frame::Ask {
-            request: message.id.clone(),
+        let batch = frame::Batch {
+            request_id: message.id.clone(),
             head: message.head.clone(),
             body: message.body.clone(),
             has_body: message.has_body,
-            wait_us: clock::micros(now.until(message.deadline)),
-            merge_us: clock::micros(merge),
-            top: u32::try_from(running.job.top()).unwrap_or(u32::MAX),
+            timeout_us: clock::micros(now.until(message.deadline)),
+            merge_after_us: clock::micros(merge_after),
+            top_k: u32::try_from(running.job.top()).unwrap_or(u32::MAX),
             calls: sends
                 .iter()
                 .map(|send| {
@@ -165,65 +167,71 @@
                     frame::Call::new(send.call, entry, with_address)
                 })
                 .collect(),
-            first: place.first,
-            unpaid: place.payer == forward::Payer::Helper,
-            usual_us: clock::micros(usual),
-            insist: place.insist,
+            first: group.first,
+            charge_relay: group.payer == forward::Payer::Helper,
+            typical_us: clock::micros(typical),
+            mandatory: group.mandatory,
         };
-        let bytes = frame::Frame::bytes(frame::Kind::Ask(ask));
+        let bytes = frame::Frame::bytes(frame::Kind::Batch(batch));
         let sender = self.peers.outgoing.get(&address);
         if sender.is_none_or(|sender| sender.send(&bytes).is_err()) {
             return sends;
         }
         self.relays.asked(address, now);
         running.relayed.extend(sends.iter().map(|send| send.call));
-        running.job.handed(&sends, merge + self.relays.lateness());
+        running
+            .job
+            .handed(&sends, merge_after + self.relays.lateness());
         for send in sends {
-            self.count.call(send.why);
-            self.tell_extra(&message, &send, now);
+            self.instruments.call(send.why);
+            self.log_extra_call(&message, &send, now);
             let owner = call::Owner::of(job, &send);
-            let mut call = call::Call::new(owner, send.upstream, message.clone(), usual, now);
+            let mut call = call::Call::new(owner, send.upstream, message.clone(), typical, now);
             call.via = Some(address);
             self.calls.insert(send.call, call);
         }
         Vec::new()
     }
 
-    /// Tells other VMs that nobody waits for these calls any more.
-    pub(super) fn leave_relayed(&mut self, calls: &[ids::Attempt], now: clock::Moment) {
-        let mut left: collections::BTreeMap<net::SocketAddr, Vec<u64>> = Default::default();
+    /// Removes calls and tells their relays that they are abandoned.
+    pub(super) fn abandon_relayed(&mut self, calls: &[ids::Attempt], now: clock::Moment) {
+        let mut by_relay: collections::BTreeMap<net::SocketAddr, Vec<u64>> = Default::default();
         for id in calls {
             let Some(call) = self.calls.remove(id) else {
                 continue;
             };
             if let Some(address) = call.via {
-                left.entry(address).or_default().push(id.0);
+                by_relay.entry(address).or_default().push(id.0);
             }
-            self.orphan_ended(&call, &forward::Verdict::Lost, now);
+            self.abandoned_call_ended(&call, &forward::Verdict::Lost, now);
         }
-        for (address, calls) in left {
-            let bytes = frame::Frame::bytes(frame::Kind::Leave(frame::Leave { calls }));
+        for (address, calls) in by_relay {
+            let bytes = frame::Frame::bytes(frame::Kind::Abandon(frame::Abandon { calls }));
             if let Some(sender) = self.peers.outgoing.get(&address) {
-                // A connection that fails ends the calls as well.
+                // If the connection has failed, the relay abandons the calls anyway.
                 let _ = sender.send(&bytes);
             }
         }
     }
 
-    /// Calls that this VM made for others.
+    /// Returns the number of calls made for other VMs since this process started.
     pub(in crate::edge) fn calls_for_others(&self) -> u64 {
-        self.peers.made
+        self.peers.calls_made
     }
 
-    /// A connection to another VM is open.
-    pub(in crate::edge) fn peer_up(&mut self, address: net::SocketAddr, sender: sender::Sender) {
+    /// Handles a new connection to a relay.
+    pub(in crate::edge) fn peer_connected(
+        &mut self,
+        address: net::SocketAddr,
+        sender: sender::Sender,
+    ) {
         self.peers.outgoing.insert(address, sender);
         self.relays.connected(address);
         log::info!(vm:% = address; "connected to VM");
     }
 
-    /// A connection to another VM has ended: the calls it was asked to make may
-    /// have run.
+    /// Handles the loss of a connection to a relay: ends the calls sent to it as
+    /// lost, since they may have run.
     pub(in crate::edge) fn peer_lost(
         &mut self,
         address: net::SocketAddr,
@@ -242,12 +250,12 @@
         for id in lost {
             self.end(id, forward::Verdict::Lost, now);
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    /// Another VM takes no more calls: it is stopping. Those that it has, it
-    /// finishes.
-    pub(in crate::edge) fn declined(&mut self, address: net::SocketAddr) {
+    /// Handles the announcement of a relay that it is stopping: sends it no more
+    /// calls, and lets it finish those it has.
+    pub(in crate::edge) fn peer_going_away(&mut self, address: net::SocketAddr) {
         log::info!(vm:% = address; "VM takes no more calls");
         self.relays.lost(address);
     }
--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/report.rs
@@ -1,4 +1,4 @@
-//! What other VMs tell of the calls that they make for this one.
+//! Handles relays' reports on the calls that they make for this VM.
 
 use std::net;
 use std::time;
@@ -12,40 +12,44 @@
 use crate::time as clock;
 
 impl state::State {
-    /// Another VM tells how calls ended.
-    pub(in crate::edge) fn told(
+    /// Handles a report from the relay at `address`.
+    pub(in crate::edge) fn report_received(
         &mut self,
         address: net::SocketAddr,
-        told: frame::Told,
+        report: frame::Report,
         now: clock::Moment,
     ) {
         self.relays.told(address);
-        self.take_lateness(&told, now);
-        let out: Vec<ids::Attempt> = told.out.iter().copied().map(ids::Attempt).collect();
-        let good = told.ends.iter().filter(|end| end.how() == frame::How::Good);
-        let group = good.clone().count() > 1;
-        // Merged records can't be taken apart: where one of the calls isn't
-        // known any more, none of them is of use.
-        let whole = good
+        self.record_lateness(&report, now);
+        let pending: Vec<ids::Attempt> = report.pending.iter().copied().map(ids::Attempt).collect();
+        let good = report
+            .ends
+            .iter()
+            .filter(|end| end.how() == frame::How::Good);
+        let merged = good.clone().count() > 1;
+        // Merged records can't be separated by call: if one of the calls is no
+        // longer known, none of the records can be used.
+        let all_known = good
             .clone()
             .all(|end| self.calls.contains_key(&ids::Attempt(end.id)));
-        let mut records = Some(told.records);
-        for end in told.ends {
+        let mut records = Some(report.records);
+        for end in report.ends {
             let id = ids::Attempt(end.id);
             let at = match self.calls.get(&id) {
                 Some(call) => call.began + time::Duration::from_micros(end.took_us),
                 None => continue,
             };
             let verdict = match end.how() {
-                frame::How::Good if whole => {
+                frame::How::Good if all_known => {
                     let body = records.take().unwrap_or_default();
                     let reply = h1::Reply::merged(end.signature, body);
-                    if group && self.replace(id, &reply) {
+                    if merged && self.replace_reply(id, &reply) {
                         continue;
                     }
                     forward::Verdict::Good(reply)
                 }
-                // Too little of the reply is told to pass it on.
+                // A report doesn't contain the upstream's failure reply, so none can
+                // be passed on to the caller.
                 frame::How::Good | frame::How::Failure | frame::How::Lost => forward::Verdict::Lost,
                 frame::How::NotRun => forward::Verdict::NotRun,
                 frame::How::Misdirected => forward::Verdict::Misdirected,
@@ -60,31 +64,31 @@
             };
             self.end(id, verdict, at);
         }
-        self.settle(now);
-        self.still_out(&out, now);
+        self.deliver_ended(now);
+        self.calls_still_pending(&pending, now);
     }
 
-    /// Learns from a frame how late frames of other VMs come.
-    fn take_lateness(&mut self, told: &frame::Told, now: clock::Moment) {
-        if told.due_us == 0 {
+    /// Measures how late a report arrived after its due time.
+    fn record_lateness(&mut self, report: &frame::Report, now: clock::Moment) {
+        if report.due_us == 0 {
             return;
         }
-        let ids = told.ends.iter().map(|end| &end.id).chain(&told.out);
+        let ids = report.ends.iter().map(|end| &end.id).chain(&report.pending);
         let call = ids.filter_map(|id| self.calls.get(&ids::Attempt(*id)));
         let Some(began) = call.map(|call| call.began).next() else {
             return;
         };
-        let due = began + time::Duration::from_micros(told.due_us);
+        let due = began + time::Duration::from_micros(report.due_us);
         let late = now.since(due);
         self.relays.came_late(late);
-        self.count.frame_late(late);
+        self.instruments.frame_late(late);
     }
 
-    /// Another VM tells that these calls have no reply yet.
-    fn still_out(&mut self, calls: &[ids::Attempt], now: clock::Moment) {
+    /// Tells the job that the relay has no reply to these calls yet.
+    fn calls_still_pending(&mut self, calls: &[ids::Attempt], now: clock::Moment) {
         let owner = calls.iter().find_map(|id| match self.calls.get(id)?.owner {
             call::Owner::Job { job, .. } => Some(job),
-            call::Owner::Ask { .. } => None,
+            call::Owner::Batch { .. } => None,
         });
         let Some((id, running)) = owner.and_then(|id| Some((id, self.running.get_mut(&id)?)))
         else {
@@ -94,41 +98,42 @@
         running
             .job
             .still_out(calls, &mut self.fleet, now, &mut actions);
-        // Its task waits for a later point in time.
+        // The job may now wake earlier than its task's timer is set for.
         running.done.notify_one();
-        self.act(id, actions, now);
-        self.settle(now);
+        self.apply(id, actions, now);
+        self.deliver_ended(now);
     }
 
-    /// The VM that was asked to make a call hasn't told of it in time.
-    pub(super) fn helper_silent(&mut self, call: ids::Attempt) {
+    /// Records that the relay of a call hasn't reported on it in time.
+    pub(super) fn relay_silent(&mut self, call: ids::Attempt) {
         if let Some(address) = self.calls.get(&call).and_then(|call| call.via) {
             self.relays.silent(address);
         }
     }
 
-    /// Makes a call that another VM can't: it is cut off from the store and
-    /// hasn't heard of the upstream.
+    /// Makes a call that its relay can't make because it doesn't know the upstream,
+    /// which happens while that relay can't reach the store.
     fn call_directly(&mut self, id: ids::Attempt, now: clock::Moment) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        if call.orphaned {
+        if call.abandoned {
             self.end(id, forward::Verdict::NotSent, now);
             return;
         }
         call.via = None;
         let upstream = call.upstream;
         let entry = &self.fleet.registry.get(upstream).entry;
-        log::info!(request = call.message.id.as_str(), upstream = entry.id.as_str(); "call made directly: the VM that was asked doesn't know the upstream");
+        log::info!(request = call.message.id.as_str(), upstream = entry.id.as_str(); "call made directly: the relay doesn't know the upstream");
         self.pool(upstream).waiting.push_back(id);
         self.dispatch(upstream, now);
     }
 
-    /// Puts a reply that is merged with others in the place of the reply that
-    /// its part has already; false where the part has none.
-    fn replace(&mut self, id: ids::Attempt, reply: &h1::Reply) -> bool {
-        let Some(call) = self.calls.get(&id).filter(|call| call.orphaned) else {
+    /// Replaces the reply that an abandoned call's part already has by a merged one,
+    /// which also contains the records of other parts. Returns false if the call
+    /// isn't abandoned.
+    fn replace_reply(&mut self, id: ids::Attempt, reply: &h1::Reply) -> bool {
+        let Some(call) = self.calls.get(&id).filter(|call| call.abandoned) else {
             return false;
         };
         let call::Owner::Job { job, part } = call.owner else {
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -1,4 +1,4 @@
-//! Calls that this VM makes for others.
+//! Calls that this VM makes as a relay for other VMs, the requesters.
 
 use std::collections;
 use std::rc;
@@ -13,128 +13,141 @@
 use crate::registry;
 use crate::time as clock;
 
-/// What another VM asked for.
+/// A requester's batch of calls in progress.
 #[derive(Debug)]
-pub(super) struct Ask {
-    /// The connection that it came over.
+pub(super) struct Batch {
+    /// The connection over which it arrived.
     peer: u64,
-    /// Records wanted of the merged replies.
-    top: usize,
-    /// Its calls under way, by the id they have at the other VM.
+    /// Maximum number of records in the merged replies.
+    top_k: usize,
+    /// Calls in progress, by the requester's ids.
     pending: collections::HashMap<u64, ids::Attempt>,
-    /// Good replies that wait to be merged.
-    good: Vec<(frame::End, bytes::Bytes)>,
-    /// When it was read.
-    read_at: clock::Moment,
-    /// How long after that the good replies are merged and told.
+    /// Good replies that haven't been reported yet.
+    replies: Vec<(frame::End, bytes::Bytes)>,
+    /// When the batch was received.
+    received_at: clock::Moment,
+    /// How long after `received_at` the good replies are merged and reported.
     merge_after: time::Duration,
-    /// Whether replies are told at once.
-    merged: bool,
+    /// Whether each reply is reported at once, as it is after the merge time.
+    immediate: bool,
 }
 
-/// On which terms another VM wants calls to be made.
+/// The requester's terms for the calls of a batch.
 #[derive(Debug, Clone, Copy)]
 struct Terms {
-    /// They are the first ones of their parts.
+    /// Whether each call is the first one for its part.
     first: bool,
-    /// This VM is to pay for them.
-    unpaid: bool,
-    /// They are made also where this VM advises against their upstreams.
-    insist: bool,
-    /// How long they usually take.
-    usual: time::Duration,
+    /// Whether this VM pays for the calls from its own allowance.
+    charge_relay: bool,
+    /// Whether the calls are made even to upstreams this VM advises against.
+    mandatory: bool,
+    /// Typical duration of the calls.
+    typical: time::Duration,
 }
 
 impl state::State {
-    /// Another VM has connected; the connection's number.
-    pub(in crate::edge) fn peer_came(&mut self, sender: sender::Sender) -> u64 {
-        let peer = self.next();
-        if self.peers.leaving {
-            Self::say_bye(&sender);
+    /// Adds a connection that another VM opened and returns its id.
+    pub(in crate::edge) fn peer_accepted(&mut self, sender: sender::Sender) -> u64 {
+        let peer = self.new_id();
+        if self.peers.draining {
+            Self::send_go_away(&sender);
         }
         self.peers.incoming.insert(peer, sender);
         peer
     }
 
-    /// Tells the other VMs to ask this one for no more calls: it is stopping.
-    pub(in crate::edge) fn decline(&mut self) {
-        self.peers.leaving = true;
+    /// Announces to the connected VMs that this one is stopping and accepts no more
+    /// batches.
+    pub(in crate::edge) fn decline_calls(&mut self) {
+        self.peers.draining = true;
         for sender in self.peers.incoming.values() {
-            Self::say_bye(sender);
+            Self::send_go_away(sender);
         }
     }
 
-    fn say_bye(sender: &sender::Sender) {
-        let bytes = frame::Frame::bytes(frame::Kind::Bye(frame::Bye {}));
-        // Where the connection has failed, the other VM has noticed as well.
+    fn send_go_away(sender: &sender::Sender) {
+        let bytes = frame::Frame::bytes(frame::Kind::GoAway(frame::GoAway {}));
+        // If the connection has failed, the other VM notices by itself.
         let _ = sender.send(&bytes);
     }
 
-    /// A connection from another VM has ended: nobody waits for its calls.
-    pub(in crate::edge) fn peer_left(&mut self, peer: u64, now: clock::Moment) {
+    /// Removes a connection that has ended and abandons the calls of its batches.
+    pub(in crate::edge) fn peer_disconnected(&mut self, peer: u64, now: clock::Moment) {
         self.peers.incoming.remove(&peer);
-        let of_peer = self.peers.asks.iter().filter(|(_, ask)| ask.peer == peer);
-        let asks: Vec<u64> = of_peer.map(|(id, _)| *id).collect();
-        for ask in asks {
-            let Some(ask) = self.peers.asks.remove(&ask) else {
+        let of_peer = self
+            .peers
+            .batches
+            .iter()
+            .filter(|(_, batch)| batch.peer == peer);
+        let batches: Vec<u64> = of_peer.map(|(id, _)| *id).collect();
+        for batch in batches {
+            let Some(batch) = self.peers.batches.remove(&batch) else {
                 continue;
             };
-            for call in ask.pending.into_values() {
-                self.orphan(call, now);
+            for call in batch.pending.into_values() {
+                self.abandon(call, now);
             }
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    /// Another VM asks for calls. Those that aren't made are told at once, in one
-    /// frame, so that they are made elsewhere.
-    pub(in crate::edge) fn asked(&mut self, peer: u64, ask: frame::Ask, now: clock::Moment) {
+    /// Starts a requester's batch. Calls that can't be made are reported at once, in
+    /// one frame, so that the requester can make them elsewhere.
+    pub(in crate::edge) fn batch_received(
+        &mut self,
+        peer: u64,
+        batch: frame::Batch,
+        now: clock::Moment,
+    ) {
         let message = rc::Rc::new(call::Message {
-            id: ask.request,
-            head: ask.head,
-            body: ask.body,
-            has_body: ask.has_body,
+            id: batch.request_id,
+            head: batch.head,
+            body: batch.body,
+            has_body: batch.has_body,
             head_only: false,
             sharded: true,
-            deadline: now + time::Duration::from_micros(ask.wait_us),
+            deadline: now + time::Duration::from_micros(batch.timeout_us),
         });
-        let id = self.next();
-        self.peers.asks.insert(
+        let id = self.new_id();
+        self.peers.batches.insert(
             id,
-            Ask {
+            Batch {
                 peer,
-                top: ask.top as usize,
-                pending: collections::HashMap::with_capacity(ask.calls.len()),
-                good: Vec::with_capacity(ask.calls.len()),
-                read_at: now,
-                merge_after: time::Duration::from_micros(ask.merge_us),
-                merged: ask.merge_us == 0,
+                top_k: batch.top_k as usize,
+                pending: collections::HashMap::with_capacity(batch.calls.len()),
+                replies: Vec::with_capacity(batch.calls.len()),
+                received_at: now,
+                merge_after: time::Duration::from_micros(batch.merge_after_us),
+                immediate: batch.merge_after_us == 0,
             },
         );
         let terms = Terms {
-            first: ask.first,
-            unpaid: ask.unpaid,
-            insist: ask.insist,
-            usual: time::Duration::from_micros(ask.usual_us),
+            first: batch.first,
+            charge_relay: batch.charge_relay,
+            mandatory: batch.mandatory,
+            typical: time::Duration::from_micros(batch.typical_us),
         };
-        let wanted = ask.calls.iter();
-        let left: Vec<frame::End> = wanted
-            .filter_map(|wanted| self.call_for(id, wanted, terms, &message, now).err())
+        let wanted = batch.calls.iter();
+        let not_made: Vec<frame::End> = wanted
+            .filter_map(|wanted| self.call_for_peer(id, wanted, terms, &message, now).err())
             .collect();
-        if !left.is_empty() {
-            self.tell_ends(id, left, now);
+        if !not_made.is_empty() {
+            self.report_ends(id, not_made, now);
         }
-        if ask.merge_us > 0 && self.peers.asks.contains_key(&id) {
-            let at = now + time::Duration::from_micros(ask.merge_us);
-            self.orders.push(state::Order::Merge { ask: id, at });
+        if batch.merge_after_us > 0 && self.peers.batches.contains_key(&id) {
+            let at = now + time::Duration::from_micros(batch.merge_after_us);
+            self.effects.push(state::Effect::Merge { batch: id, at });
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    /// Makes a call for another VM; what that VM is told where it isn't made.
-    fn call_for(
+    /// Starts a call for a requester.
+    ///
+    /// # Errors
+    /// If the call isn't made; the error is the end to report.
+    fn call_for_peer(
         &mut self,
-        ask: u64,
+        batch: u64,
         wanted: &frame::Call,
         terms: Terms,
         message: &rc::Rc<call::Message>,
@@ -154,7 +167,7 @@
             };
             frame::End::new(wanted.id, how)
         })?;
-        if !terms.insist
+        if !terms.mandatory
             && let Some(advice) = self.fleet.advice(upstream, now)
         {
             return Err(frame::End::advised(wanted.id, advice));
@@ -163,48 +176,62 @@
             return Err(frame::End::new(wanted.id, frame::How::Unpaid));
         }
         let id = self.fleet.next_call();
-        if let Some(asked) = self.peers.asks.get_mut(&ask) {
-            asked.pending.insert(wanted.id, id);
+        if let Some(batch) = self.peers.batches.get_mut(&batch) {
+            batch.pending.insert(wanted.id, id);
         }
-        self.peers.made += 1;
+        self.peers.calls_made += 1;
         self.fleet.standing(upstream).start();
-        let owner = call::Owner::Ask {
-            ask,
+        let owner = call::Owner::Batch {
+            batch,
             remote: wanted.id,
         };
-        let call = call::Call::new(owner, upstream, message.clone(), terms.usual, now);
+        let call = call::Call::new(owner, upstream, message.clone(), terms.typical, now);
         self.calls.insert(id, call);
         self.pool(upstream).waiting.push_back(id);
         self.dispatch(upstream, now);
         Ok(())
     }
 
-    /// Counts another VM's call to an upstream, and pays for it where this VM is
-    /// to; whether it may be made.
+    /// Counts a requester's first call to an upstream. Returns whether the call is
+    /// paid for: by the requester, or from this VM's allowance.
     fn is_paid(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
         if terms.first {
             self.fleet.first_of_other(upstream, now);
         }
-        !terms.unpaid || self.fleet.lend(upstream, now)
+        !terms.charge_relay || self.fleet.lend(upstream, now)
     }
 
-    /// Another VM doesn't wait for these calls any more.
-    pub(in crate::edge) fn left(&mut self, peer: u64, calls: &[u64], now: clock::Moment) {
-        let mut left = Vec::new();
-        for ask in self.peers.asks.values_mut().filter(|ask| ask.peer == peer) {
-            left.extend(calls.iter().filter_map(|remote| ask.pending.remove(remote)));
+    /// Abandons calls whose results a requester no longer wants.
+    pub(in crate::edge) fn calls_abandoned(
+        &mut self,
+        peer: u64,
+        calls: &[u64],
+        now: clock::Moment,
+    ) {
+        let mut abandoned = Vec::new();
+        for batch in self
+            .peers
+            .batches
+            .values_mut()
+            .filter(|batch| batch.peer == peer)
+        {
+            abandoned.extend(
+                calls
+                    .iter()
+                    .filter_map(|remote| batch.pending.remove(remote)),
+            );
         }
         self.peers
-            .asks
-            .retain(|_, ask| !ask.pending.is_empty() || !ask.good.is_empty());
-        for call in left {
-            self.orphan(call, now);
+            .batches
+            .retain(|_, batch| !batch.pending.is_empty() || !batch.replies.is_empty());
+        for call in abandoned {
+            self.abandon(call, now);
         }
-        self.settle(now);
+        self.deliver_ended(now);
     }
 
-    /// A call made for another VM has ended.
-    pub(super) fn ask_ended(
+    /// Handles the end of a call of a batch.
+    pub(super) fn batch_call_ended(
         &mut self,
         id: u64,
         remote: u64,
@@ -212,10 +239,10 @@
         took: time::Duration,
         now: clock::Moment,
     ) {
-        let Some(ask) = self.peers.asks.get_mut(&id) else {
+        let Some(batch) = self.peers.batches.get_mut(&id) else {
             return;
         };
-        ask.pending.remove(&remote);
+        batch.pending.remove(&remote);
         let (how, reply) = match verdict {
             forward::Verdict::Good(reply) => (frame::How::Good, Some(reply)),
             forward::Verdict::Failure(_) => (frame::How::Failure, None),
@@ -231,100 +258,103 @@
         match reply {
             Some(reply) => {
                 end.signature = reply.signature.unwrap_or_default();
-                ask.good.push((end, reply.body));
-                if ask.merged || ask.pending.is_empty() {
-                    self.tell_good(id, now);
+                batch.replies.push((end, reply.body));
+                if batch.immediate || batch.pending.is_empty() {
+                    self.report_replies(id, now);
                 }
             }
-            None => self.tell_ends(id, vec![end], now),
+            None => self.report_ends(id, vec![end], now),
         }
     }
 
-    /// Tells the ends of calls without a good reply at once: whoever asked may
-    /// call other upstreams.
-    fn tell_ends(&mut self, id: u64, ends: Vec<frame::End>, now: clock::Moment) {
-        let Some(ask) = self.peers.asks.get(&id) else {
+    /// Reports calls that ended without a good reply. They are reported at once, so
+    /// that the requester can call other upstreams.
+    fn report_ends(&mut self, id: u64, ends: Vec<frame::End>, now: clock::Moment) {
+        let Some(batch) = self.peers.batches.get(&id) else {
             return;
         };
-        let (peer, last) = (ask.peer, ask.pending.is_empty());
-        let told = frame::Told {
+        let (peer, last) = (batch.peer, batch.pending.is_empty());
+        let report = frame::Report {
             ends,
-            ..frame::Told::default()
+            ..frame::Report::default()
         };
-        self.tell(peer, told);
+        self.send_report(peer, report);
         if last {
-            self.tell_good(id, now);
+            self.report_replies(id, now);
         }
     }
 
-    /// The time to merge what came has come: tells it, and which calls are out.
-    pub(in crate::edge) fn merge(&mut self, id: u64) {
-        let Some(ask) = self.peers.asks.get_mut(&id) else {
+    /// Handles the merge time of a batch: reports the merged replies and which calls
+    /// are still pending.
+    pub(in crate::edge) fn merge_due(&mut self, id: u64) {
+        let Some(batch) = self.peers.batches.get_mut(&id) else {
             return;
         };
-        ask.merged = true;
-        let out = ask.pending.keys().copied().collect();
-        let due = ask.merge_after;
-        for call in ask.pending.values() {
+        batch.immediate = true;
+        let pending = batch.pending.keys().copied().collect();
+        let due_after = batch.merge_after;
+        for call in batch.pending.values() {
             if let Some(call) = self.calls.get(call) {
                 self.fleet.standing(call.upstream).late();
             }
         }
-        self.tell_merged(id, out, due);
+        self.report_merged(id, pending, due_after);
     }
 
-    /// Tells the good replies that came, as one.
-    fn tell_good(&mut self, id: u64, now: clock::Moment) {
-        let Some(ask) = self.peers.asks.get(&id) else {
+    /// Reports the good replies of a batch in one merged report.
+    fn report_replies(&mut self, id: u64, now: clock::Moment) {
+        let Some(batch) = self.peers.batches.get(&id) else {
             return;
         };
-        let due = if ask.merged {
+        let due_after = if batch.immediate {
             time::Duration::ZERO
         } else {
-            now.since(ask.read_at)
+            now.since(batch.received_at)
         };
-        self.tell_merged(id, Vec::new(), due);
+        self.report_merged(id, Vec::new(), due_after);
     }
 
-    fn tell_merged(&mut self, id: u64, out: Vec<u64>, due: time::Duration) {
-        let Some(ask) = self.peers.asks.get_mut(&id) else {
+    /// Sends a merged report, and removes the batch if no call is pending. Sends
+    /// nothing if there is nothing to report.
+    fn report_merged(&mut self, id: u64, pending: Vec<u64>, due_after: time::Duration) {
+        let Some(batch) = self.peers.batches.get_mut(&id) else {
             return;
         };
-        let good = std::mem::take(&mut ask.good);
-        let (peer, top) = (ask.peer, ask.top);
-        if ask.pending.is_empty() {
-            self.peers.asks.remove(&id);
+        let replies = std::mem::take(&mut batch.replies);
+        let (peer, top_k) = (batch.peer, batch.top_k);
+        if batch.pending.is_empty() {
+            self.peers.batches.remove(&id);
         }
-        if good.is_empty() && out.is_empty() {
+        if replies.is_empty() && pending.is_empty() {
             return;
         }
-        let records = forward::top(good.iter().map(|(_, body)| body.as_ref()), top);
-        let told = frame::Told {
-            ends: good.into_iter().map(|(end, _)| end).collect(),
+        let records = forward::top(replies.iter().map(|(_, body)| body.as_ref()), top_k);
+        let report = frame::Report {
+            ends: replies.into_iter().map(|(end, _)| end).collect(),
             records: records.into(),
-            out,
-            due_us: clock::micros(due),
+            pending,
+            due_us: clock::micros(due_after),
         };
-        self.tell(peer, told);
+        self.send_report(peer, report);
     }
 
-    fn tell(&mut self, peer: u64, told: frame::Told) {
-        self.send_to(peer, frame::Kind::Told(told));
+    fn send_report(&mut self, peer: u64, report: frame::Report) {
+        self.send_to(peer, frame::Kind::Report(report));
     }
 
-    /// Connections of other VMs on which bytes wait to be sent.
-    pub(in crate::edge) fn sending(&self) -> usize {
+    /// Returns the number of incoming VM connections with unsent bytes.
+    pub(in crate::edge) fn senders_writing(&self) -> usize {
         let senders = self.peers.incoming.values();
         senders.filter(|sender| sender.is_writing()).count()
     }
 
-    /// Sends a message to a VM that has connected.
+    /// Sends a message over an incoming VM connection.
     pub(in crate::edge) fn send_to(&mut self, peer: u64, kind: frame::Kind) {
         let bytes = frame::Frame::bytes(kind);
         let sender = self.peers.incoming.get(&peer);
         if sender.is_some_and(|sender| sender.send(&bytes).is_err()) {
-            // The connection's reader finds its end and lets go of its calls.
-            log::info!(peer = peer; "message not sent to a VM");
+            // The task that reads the connection sees its end and abandons its calls.
+            log::info!(peer = peer; "message to VM not sent");
         }
     }
 }
--- a/crates/geraniumgauge/src/edge/tests/peers.rs
+++ b/crates/geraniumgauge/src/edge/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Questions between VMs.
+//! Fetches between VMs.
 
 use std::io;
 use std::time;
@@ -9,29 +9,29 @@
 use crate::spread::tests::news;
 use crate::trickle;
 
-/// Reads an answer with so many bytes of configuration, of which a tenth comes
-/// each `pause`, and none any more after `pieces`.
-fn read(size: usize, pieces: usize, pause: time::Duration) -> io::Result<spread::Answer> {
+/// Reads an answer with `size` bytes of configuration. A tenth of it is sent each
+/// `interval`, and nothing more after `pieces` tenths.
+fn read(size: usize, pieces: usize, interval: time::Duration) -> io::Result<spread::Answer> {
     let answer = spread::Answer {
         config: Some("a".repeat(size)),
         ..news::answer(news::nothing())
     };
     let bytes = frame::Frame::bytes(frame::Kind::Answer(answer.into()));
-    trickle::send(&bytes, pieces, pause, peers::read_answer)
+    trickle::send(&bytes, pieces, interval, peers::read_answer)
 }
 
-/// Guards against an answer that is given up though it comes, since the link is
-/// narrow or shared.
+/// Guards against a fetch that times out while the answer is still arriving over a
+/// slow or shared link.
 #[test]
-fn an_answer_is_waited_for_as_long_as_it_comes() {
+fn an_answer_is_read_as_long_as_bytes_arrive() {
     let answer = read(500_000, 11, time::Duration::from_millis(400));
     let config = answer.expect("an answer").config;
     assert_eq!(config.map(|text| text.len()), Some(500_000));
 }
 
-/// Guards against a question that waits for a VM without power.
+/// Guards against a fetch that waits for a VM that was powered off.
 #[test]
-fn an_answer_that_stops_coming_is_given_up() {
+fn an_answer_that_stops_arriving_times_out() {
     let answer = read(500_000, 4, time::Duration::from_millis(100));
     let error = answer.expect_err("half an answer");
     assert_eq!(error.kind(), io::ErrorKind::TimedOut);
--- a/crates/geraniumgauge/src/edge/tests/sender.rs
+++ b/crates/geraniumgauge/src/edge/tests/sender.rs
@@ -1,14 +1,14 @@
-//! Writing without waiting.
+//! Writes that don't block the caller.
 
 use tokio::io::AsyncReadExt as _;
 
 use crate::edge::sender;
 
-/// Bytes of a message that is larger than what may wait behind others.
+/// Size of a message that is larger than the queue's limit.
 const LARGE: usize = 3 << 20;
 
-/// Guards against an answer that is dropped since it is larger than the queue:
-/// the VM that asked waits in vain, and so does every other.
+/// Guards against an answer that is dropped because it is larger than the queue's
+/// limit, so that every VM that fetches it waits in vain.
 #[test]
 fn a_message_larger_than_the_queue_is_sent_whole() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -23,8 +23,8 @@
         let (_reader, writer) = stream.expect("a connection").into_split();
         let sender = sender::Sender::new(writer);
         let (mut other, _) = accepted.expect("a connection");
-        sender.send(&vec![7; LARGE]).expect("room");
-        // What comes behind it is bounded as ever, beyond what the system holds.
+        sender.send(&vec![7; LARGE]).expect("capacity");
+        // Messages queued behind it are limited, apart from the socket's buffer.
         let mut behind = (0..64).map(|_| sender.send(&[8; 1 << 20]));
         assert!(behind.any(|sent| sent.is_err()));
         let mut read = vec![0; LARGE];
