--- a/crates/geraniumgauge/src/h1/body.rs
+++ b/crates/geraniumgauge/src/h1/body.rs
@@ -1,95 +1,101 @@
-//! Where a body ends.
+//! Decoding of message bodies.
 
 use bytes::Buf as _;
 
 use crate::h1;
 use crate::rate;
 
-/// Longest line of a chunk's size, with its extensions.
+/// Longest chunk size line with its extensions, in bytes.
 const MAX_SIZE_LINE: usize = 256;
-/// Largest set of trailers; they are dropped.
+/// Largest size of all trailers, in bytes. Trailers are dropped.
 const MAX_TRAILERS: usize = 4096;
 
-/// A body that is being read.
+/// A decoder of one body.
 #[derive(Debug)]
 pub struct Body {
-    ends: Ends,
-    held: bytes::BytesMut,
+    end: End,
+    buffer: bytes::BytesMut,
     limit: rate::Bytes,
 }
 
+/// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ends {
-    /// After this many bytes more.
-    After(usize),
-    /// With a chunk of no size; the state within the chunks.
-    Chunks(Chunk),
-    /// With the connection.
-    WithConnection,
+enum End {
+    /// The body has this length in bytes.
+    Length(usize),
+    /// The body ends with an empty chunk; holds the decoder's state.
+    Chunked(Chunk),
+    /// The body ends when the connection is closed.
+    UntilClose,
 }
 
+/// What is read next of a chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Chunk {
+    /// The line with a chunk's size.
     Size,
+    /// The remaining bytes of a chunk's data.
     Data(usize),
+    /// The line ending after a chunk's data.
     DataEnd,
+    /// The trailers after the last chunk.
     Trailers,
 }
 
 impl Body {
-    /// A body of `len` bytes.
+    /// Creates a decoder of a body of `len` bytes.
     ///
     /// # Errors
-    /// Where it is larger than `limit`.
+    /// If `len` is larger than `limit`.
     pub fn sized(len: usize, limit: rate::Bytes) -> Result<Self, h1::Error> {
         if len as u64 > limit.0 {
             return Err(h1::Error::BodyTooLarge(limit));
         }
-        Ok(Self::new(Ends::After(len), limit))
+        Ok(Self::new(End::Length(len), limit))
     }
 
-    /// A body in chunks.
+    /// Creates a decoder of a chunked body.
     pub fn chunked(limit: rate::Bytes) -> Self {
-        Self::new(Ends::Chunks(Chunk::Size), limit)
+        Self::new(End::Chunked(Chunk::Size), limit)
     }
 
-    /// A body that ends with its connection.
+    /// Creates a decoder of a body that ends when the connection is closed.
     pub fn until_close(limit: rate::Bytes) -> Self {
-        Self::new(Ends::WithConnection, limit)
+        Self::new(End::UntilClose, limit)
     }
 
-    fn new(ends: Ends, limit: rate::Bytes) -> Self {
+    fn new(end: End, limit: rate::Bytes) -> Self {
         Self {
-            ends,
-            held: bytes::BytesMut::new(),
+            end,
+            buffer: bytes::BytesMut::new(),
             limit,
         }
     }
 
-    /// Takes from `source`; the whole body once it is complete.
+    /// Consumes bytes from `source` and returns the body once it is complete.
     ///
     /// # Errors
-    /// Where the chunks are malformed or the body is too large.
+    /// If the chunks are malformed or the body is too large.
     pub fn read(
         &mut self,
         source: &mut bytes::BytesMut,
     ) -> Result<Option<bytes::Bytes>, h1::Error> {
-        match self.ends {
-            Ends::After(len) => Ok(Self::sized_part(len, source)),
-            Ends::Chunks(_) => self.chunks(source),
-            Ends::WithConnection => {
-                self.keep(source.len(), source)?;
+        match self.end {
+            End::Length(len) => Ok(Self::read_sized(len, source)),
+            End::Chunked(_) => self.read_chunks(source),
+            End::UntilClose => {
+                self.append(source.len(), source)?;
                 Ok(None)
             }
         }
     }
 
-    /// The body, where the end of the connection completes it.
+    /// Returns the body if the end of the connection completes it.
     pub fn close(self) -> Option<bytes::Bytes> {
-        (self.ends == Ends::WithConnection).then(|| self.held.freeze())
+        (self.end == End::UntilClose).then(|| self.buffer.freeze())
     }
 
-    fn sized_part(len: usize, source: &mut bytes::BytesMut) -> Option<bytes::Bytes> {
+    fn read_sized(len: usize, source: &mut bytes::BytesMut) -> Option<bytes::Bytes> {
         if source.len() < len {
             source.reserve(len - source.len());
             return None;
@@ -97,56 +103,60 @@
         Some(source.split_to(len).freeze())
     }
 
-    fn keep(&mut self, len: usize, source: &mut bytes::BytesMut) -> Result<(), h1::Error> {
-        if (self.held.len() + len) as u64 > self.limit.0 {
+    fn append(&mut self, len: usize, source: &mut bytes::BytesMut) -> Result<(), h1::Error> {
+        if (self.buffer.len() + len) as u64 > self.limit.0 {
             return Err(h1::Error::BodyTooLarge(self.limit));
         }
-        self.held.extend_from_slice(&source[..len]);
+        self.buffer.extend_from_slice(&source[..len]);
         source.advance(len);
         Ok(())
     }
 
-    fn chunks(&mut self, source: &mut bytes::BytesMut) -> Result<Option<bytes::Bytes>, h1::Error> {
-        while let Ends::Chunks(state) = self.ends {
+    fn read_chunks(
+        &mut self,
+        source: &mut bytes::BytesMut,
+    ) -> Result<Option<bytes::Bytes>, h1::Error> {
+        while let End::Chunked(state) = self.end {
             let next = match state {
-                Chunk::Size => size(source)?,
-                Chunk::Data(left) => self.data(left, source)?,
-                Chunk::DataEnd => data_end(source)?,
+                Chunk::Size => read_size(source)?,
+                Chunk::Data(remaining) => self.read_data(remaining, source)?,
+                Chunk::DataEnd => read_data_end(source)?,
                 Chunk::Trailers => {
-                    if !trailers(source)? {
+                    if !skip_trailers(source)? {
                         return Ok(None);
                     }
-                    return Ok(Some(std::mem::take(&mut self.held).freeze()));
+                    return Ok(Some(std::mem::take(&mut self.buffer).freeze()));
                 }
             };
             let Some(next) = next else {
                 return Ok(None);
             };
-            self.ends = Ends::Chunks(next);
+            self.end = End::Chunked(next);
         }
         Ok(None)
     }
 
-    fn data(
+    fn read_data(
         &mut self,
-        left: usize,
+        remaining: usize,
         source: &mut bytes::BytesMut,
     ) -> Result<Option<Chunk>, h1::Error> {
-        let len = left.min(source.len());
-        self.keep(len, source)?;
-        if len == left {
+        let len = remaining.min(source.len());
+        self.append(len, source)?;
+        if len == remaining {
             return Ok(Some(Chunk::DataEnd));
         }
-        self.ends = Ends::Chunks(Chunk::Data(left - len));
+        self.end = End::Chunked(Chunk::Data(remaining - len));
         Ok(None)
     }
 }
 
-fn size(source: &mut bytes::BytesMut) -> Result<Option<Chunk>, h1::Error> {
+fn read_size(source: &mut bytes::BytesMut) -> Result<Option<Chunk>, h1::Error> {
     match httparse::parse_chunk_size(source) {
         Ok(httparse::Status::Complete((used, size))) => {
             source.advance(used);
-            let size = usize::try_from(size).map_err(|_| h1::Error::Malformed("chunk size"))?;
+            let size =
+                usize::try_from(size).map_err(|_| h1::Error::Malformed("invalid chunk size"))?;
             Ok(Some(if size == 0 {
                 Chunk::Trailers
             } else {
@@ -154,23 +164,23 @@
             }))
         }
         Ok(httparse::Status::Partial) if source.len() <= MAX_SIZE_LINE => Ok(None),
-        _ => Err(h1::Error::Malformed("chunk size")),
+        _ => Err(h1::Error::Malformed("invalid chunk size")),
     }
 }
 
-fn data_end(source: &mut bytes::BytesMut) -> Result<Option<Chunk>, h1::Error> {
+fn read_data_end(source: &mut bytes::BytesMut) -> Result<Option<Chunk>, h1::Error> {
     if source.len() < 2 {
         return Ok(None);
     }
     if &source[..2] != b"\r\n" {
-        return Err(h1::Error::Malformed("chunk end"));
+        return Err(h1::Error::Malformed("no line ending after chunk data"));
     }
     source.advance(2);
     Ok(Some(Chunk::Size))
 }
 
-/// Drops trailers; whether their end was found.
-fn trailers(source: &mut bytes::BytesMut) -> Result<bool, h1::Error> {
+/// Skips the trailers. Returns whether they are complete.
+fn skip_trailers(source: &mut bytes::BytesMut) -> Result<bool, h1::Error> {
     let mut headers = [httparse::EMPTY_HEADER; 16];
     match httparse::parse_headers(source, &mut headers) {
         Ok(httparse::Status::Complete((used, _))) => {
@@ -178,6 +188,6 @@
             Ok(true)
         }
         Ok(httparse::Status::Partial) if source.len() <= MAX_TRAILERS => Ok(false),
-        _ => Err(h1::Error::Malformed("trailers")),
+        _ => Err(h1::Error::Malformed("invalid trailers")),
     }
 }
--- a/crates/geraniumgauge/src/h1/exchange.rs
+++ b/crates/geraniumgauge/src/h1/exchange.rs
@@ -1,4 +1,4 @@
-//! Single calls to one server over a kept connection.
+//! Calls to one server, one at a time, over a persistent connection.
 
 use std::io;
 use std::net;
@@ -12,87 +12,92 @@
 use crate::rate;
 use crate::time as clock;
 
-/// Longest wait for a connection.
-const CONNECT: time::Duration = time::Duration::from_millis(700);
-/// Silence after which the system probes a connection, and between probes: one
-/// that lost its other end without a word is found out within three of them,
-/// without a call that is paid for.
-const PROBE: time::Duration = time::Duration::from_secs(1);
-/// Probes without an answer after which a connection has failed.
-const PROBES: u32 = 2;
-/// How much longer a whole reply may take than its first byte.
-const LONGEST: time::Duration = time::Duration::from_secs(3);
-/// Largest reply.
+/// Timeout of connecting to the server.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(700);
+/// TCP keepalive time and interval. A connection whose other end has disappeared fails
+/// within three intervals, without a call to
+/// detect it, which would be charged for.
+const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a connection fails.
+const MAX_KEEPALIVE_PROBES: u32 = 2;
+/// How much longer than its first byte a whole reply may take.
+const MAX_REPLY_TIME: time::Duration = time::Duration::from_secs(3);
+/// Largest reply head and largest reply body.
 const MAX_REPLY: rate::Bytes = rate::Bytes(8 << 20);
 
-/// Why a call has no reply.
+/// The reason why a call has no reply.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Failure {
-    /// Nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[display("no connection: {_0}")]
     NotSent(io::Error),
-    /// It was sent, and may have been carried out.
+    /// The call was sent and may have been carried out.
     #[display("no reply: {_0}")]
     NoReply(h1::Error),
-    /// It was sent, and no reply came in time.
+    /// The call was sent and no reply was received in time.
     #[display("no reply in time")]
     Silent,
 }
 
-/// Calls one server, one call at a time.
+/// A client of one server that makes one call at a time.
 #[derive(Debug)]
 pub struct Exchange {
     address: net::SocketAddr,
     names: h1::Names,
     stream: Option<tokio::net::TcpStream>,
-    heard: clock::Latest,
+    last_received: clock::Latest,
 }
 
 impl Exchange {
-    /// For the server at `address`; connects with the first call.
+    /// Creates a client of the server at `address`. It connects on the first call.
     pub fn new(address: net::SocketAddr, names: h1::Names) -> Self {
         Self {
             address,
             names,
             stream: None,
-            heard: clock::Latest::default(),
+            last_received: clock::Latest::default(),
         }
     }
 
-    /// When bytes of the server came last.
+    /// Returns the shared time at which bytes were last received from the server.
     pub fn heard(&self) -> clock::Latest {
-        self.heard.clone()
+        self.last_received.clone()
     }
 
-    /// Sends `request`, a whole message, and waits for its reply, which may be
-    /// silent for `wait` at most. Where a kept connection turns out closed before
-    /// any byte of the reply, `repeatable` says whether the call may go out once
-    /// more.
+    /// Sends `request`, a whole message, and waits for its reply. Fails if no byte is
+    /// received for `wait`. A `repeatable` call that fails otherwise on a reused
+    /// connection is sent once more, as the server may have closed that connection.
     ///
     /// # Errors
-    /// Where no reply came; the next call then uses a new connection.
+    /// If there is no reply. The next call then uses a new connection.
     pub async fn call(
         &mut self,
         request: &[u8],
         wait: time::Duration,
         repeatable: bool,
     ) -> Result<h1::Reply, Failure> {
-        let kept = self.stream.is_some();
-        match self.once(request, wait).await {
-            Err(Failure::NoReply(_)) if kept && repeatable => self.once(request, wait).await,
+        let reused = self.stream.is_some();
+        match self.call_once(request, wait).await {
+            Err(Failure::NoReply(_)) if reused && repeatable => self.call_once(request, wait).await,
             result => result,
         }
     }
 
-    async fn once(&mut self, request: &[u8], wait: time::Duration) -> Result<h1::Reply, Failure> {
-        // Taken out, so that a call that is dropped half way drops it too.
+    async fn call_once(
+        &mut self,
+        request: &[u8],
+        wait: time::Duration,
+    ) -> Result<h1::Reply, Failure> {
+        // Taken out of `self`, so that dropping this future in the middle of a call also
+        // drops the connection.
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => self.connect().await.map_err(Failure::NotSent)?,
         };
-        let (reply, more) = exchange(&mut stream, request, wait, self.names, &self.heard).await?;
-        if !reply.close && !more {
+        let (reply, extra_bytes) =
+            exchange(&mut stream, request, wait, self.names, &self.last_received).await?;
+        if !reply.close && !extra_bytes {
             self.stream = Some(stream);
         }
         Ok(reply)
@@ -100,29 +105,30 @@
 
     async fn connect(&self) -> io::Result<tokio::net::TcpStream> {
         let connect = tokio::net::TcpStream::connect(self.address);
-        let stream = tokio::time::timeout(CONNECT, connect).await??;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect).await??;
         stream.set_nodelay(true)?;
         let socket = socket2::SockRef::from(&stream);
         let probes = socket2::TcpKeepalive::new()
-            .with_time(PROBE)
-            .with_interval(PROBE)
-            .with_retries(PROBES);
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(MAX_KEEPALIVE_PROBES);
         socket.set_tcp_keepalive(&probes)?;
-        socket.set_tcp_user_timeout(Some(PROBE * PROBES))?;
+        socket.set_tcp_user_timeout(Some(KEEPALIVE_INTERVAL * MAX_KEEPALIVE_PROBES))?;
         Ok(stream)
     }
 }
 
-/// Sends `request` and reads its reply, which may be silent for `wait` before
-/// and within it, and take [`LONGEST`] beyond that.
+/// Sends `request` and reads its reply. Returns the reply and whether more bytes were
+/// received after it. Fails if no byte is received for `wait`, or if the whole reply
+/// takes longer than `wait` and [`MAX_REPLY_TIME`] together.
 pub(super) async fn exchange(
     stream: &mut (impl tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin),
     request: &[u8],
     wait: time::Duration,
     names: h1::Names,
-    heard: &clock::Latest,
+    last_received: &clock::Latest,
 ) -> Result<(h1::Reply, bool), Failure> {
-    let end = tokio::time::Instant::now() + wait + LONGEST;
+    let end = tokio::time::Instant::now() + wait + MAX_REPLY_TIME;
     let sent = tokio::time::timeout(wait, stream.write_all(request)).await;
     sent.map_err(|_| Failure::Silent)?
         .map_err(|error| Failure::NoReply(error.into()))?;
@@ -133,7 +139,7 @@
         let read = tokio::time::timeout_at(until, stream.read_buf(&mut buffer)).await;
         let read = read.map_err(|_| Failure::Silent)?;
         let count = read.map_err(|error| Failure::NoReply(error.into()))?;
-        heard.note();
+        last_received.note();
         let decoded = if count == 0 {
             codec.decode_eof(&mut buffer)
         } else {
--- a/crates/geraniumgauge/src/h1/head.rs
+++ b/crates/geraniumgauge/src/h1/head.rs
@@ -1,8 +1,8 @@
-//! What request and reply heads have in common.
+//! Parsing and writing of headers that requests and replies have in common.
 
 use crate::h1;
 
-/// Headers that concern one connection and are never passed on.
+/// Hop-by-hop headers, which concern one connection and are never passed on.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -15,25 +15,29 @@
     "upgrade",
 ];
 
-/// How a head says that its body is framed, and what it says of its connection.
+/// The body framing and connection options that a head states.
 #[derive(Debug, Default)]
 pub(super) struct Framing<'h> {
+    /// The content length.
     pub(super) length: Option<usize>,
+    /// Whether the body is in chunks.
     pub(super) chunked: bool,
+    /// Whether `Connection` contains `close`.
     pub(super) close: bool,
+    /// Whether `Connection` contains `keep-alive`.
     pub(super) keep_alive: bool,
-    /// Values of `Connection`: headers named there concern this connection too.
-    named: Vec<&'h str>,
+    /// Headers named in `Connection`, which are hop-by-hop as well.
+    connection_headers: Vec<&'h str>,
 }
 
 impl<'h> Framing<'h> {
-    /// Reads the framing headers.
+    /// Parses the headers that concern the framing and the connection.
     ///
     /// # Errors
-    /// Where two readers could see the message end at different places: two
-    /// lengths, a length beside a transfer coding, or a coding but chunked.
-    /// Passed on, such a message could smuggle a second one.
-    pub(super) fn of(headers: &[httparse::Header<'h>]) -> Result<Self, h1::Error> {
+    /// If the message's end is ambiguous: two different lengths, both a length and a
+    /// transfer coding, or a coding other than chunked. Passed on, such a message
+    /// could smuggle a second one.
+    pub(super) fn parse(headers: &[httparse::Header<'h>]) -> Result<Self, h1::Error> {
         let mut framing = Self::default();
         for header in headers {
             if header.name.eq_ignore_ascii_case("content-length") {
@@ -45,26 +49,27 @@
             }
         }
         if framing.chunked && framing.length.is_some() {
-            return Err(h1::Error::Malformed("a length beside a transfer coding"));
+            return Err(h1::Error::Malformed("content length and transfer coding"));
         }
         Ok(framing)
     }
 
-    /// Whether a header may be passed on to the other side.
-    pub(super) fn passes(&self, name: &str) -> bool {
+    /// Returns whether a header is passed on. `Content-Length` isn't, as it is written
+    /// anew.
+    pub(super) fn is_forwarded(&self, name: &str) -> bool {
         let same = |other: &&str| name.eq_ignore_ascii_case(other);
         !HOP_BY_HOP.iter().any(same)
             && !name.eq_ignore_ascii_case("content-length")
-            && !self.named.iter().any(same)
+            && !self.connection_headers.iter().any(same)
     }
 
     fn add_length(&mut self, value: &[u8]) -> Result<(), h1::Error> {
         let digits = text(value)?.trim();
         let all_digits = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
         let length = digits.parse().ok().filter(|_| all_digits);
-        let length = length.ok_or(h1::Error::Malformed("content length"))?;
+        let length = length.ok_or(h1::Error::Malformed("invalid content length"))?;
         if self.length.is_some_and(|before| before != length) {
-            return Err(h1::Error::Malformed("two content lengths"));
+            return Err(h1::Error::Malformed("different content lengths"));
         }
         self.length = Some(length);
         Ok(())
@@ -85,23 +90,23 @@
             } else if token.eq_ignore_ascii_case("keep-alive") {
                 self.keep_alive = true;
             } else if !token.is_empty() {
-                self.named.push(token);
+                self.connection_headers.push(token);
             }
         }
         Ok(())
     }
 }
 
-/// A header's value as text.
+/// Returns a header's value as text.
 ///
 /// # Errors
-/// Where it isn't UTF-8.
+/// If it isn't UTF-8.
 pub(super) fn text(value: &[u8]) -> Result<&str, h1::Error> {
-    str::from_utf8(value).map_err(|_| h1::Error::Malformed("header value"))
+    str::from_utf8(value).map_err(|_| h1::Error::Malformed("header value isn't UTF-8"))
 }
 
-/// Adds a header line.
-pub(super) fn line(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+/// Appends a header line.
+pub(super) fn write_header(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
--- a/crates/geraniumgauge/src/h1/mod.rs
+++ b/crates/geraniumgauge/src/h1/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 as frames: callers' requests in, upstreams' replies back.
+//! HTTP/1.1 messages: decodes callers' requests and upstreams' replies.
 //!
-//! Heads are read by `httparse`; this module adds what a gateway must decide
-//! itself: where a body ends, which headers concern one connection only, and
-//! what makes a message unsafe to pass on. Messages are held whole, so an
-//! upstream's reply that breaks off never looks complete to a caller.
+//! `httparse` parses the heads. This module adds what a gateway must decide itself:
+//! where a body ends, which headers are hop-by-hop, and which messages are unsafe to
+//! pass on. Messages are buffered whole, so that an upstream's truncated reply never
+//! looks complete to a caller.
 
 mod body;
 mod exchange;
@@ -21,30 +21,30 @@
 
 use crate::rate;
 
-/// Headers that a message may have. More than any client sends; a head with
+/// Maximum number of headers in a message, more than any client sends. A head with
 /// more is refused as too large.
 pub const MAX_HEADERS: usize = 64;
 
-/// Which header carries what. All in lower case.
+/// Names of the headers with a meaning to the gateway, in lower case.
 #[derive(Debug, Clone, Copy)]
 pub struct Names {
-    /// The caller's id of a request, echoed by upstreams.
+    /// The request id that the caller sets and upstreams echo.
     pub request_id: &'static str,
-    /// How long the sender of a request waits, in milliseconds.
+    /// How long the sender of a request waits for the reply, in milliseconds.
     pub time_left: &'static str,
-    /// The id of the only upstream that may run a call.
+    /// The id of the only upstream that may run the call.
     pub only_upstream: &'static str,
-    /// An upstream's signature of its reply.
+    /// The signature that an upstream puts on a reply.
     pub signature: &'static str,
-    /// Signatures of the parts that an answer was merged from.
+    /// The signatures of the replies from which an answer was merged.
     pub signatures: &'static str,
-    /// How many shards an answer lacks.
+    /// The number of shards missing from an answer.
     pub missing: &'static str,
-    /// Present where an upstream states that it didn't run a call.
+    /// Present in a reply if the upstream states that it didn't run the call.
     pub not_run: &'static str,
 }
 
-/// Why bytes are no message that may be used.
+/// An error in reading a message.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Error {
@@ -56,15 +56,15 @@
     #[display("the body is larger than {_0}")]
     #[error(ignore)]
     BodyTooLarge(rate::Bytes),
-    /// Not HTTP/1.1, or a message whose end two readers could see differently.
+    /// The message isn't valid HTTP/1.1, or its end is ambiguous.
     #[display("malformed message: {_0}")]
     #[error(ignore)]
     Malformed(&'static str),
-    /// A transfer coding other than chunked.
-    #[display("transfer coding isn't supported")]
+    /// The message has a transfer coding other than chunked.
+    #[display("unsupported transfer coding")]
     Coding,
     /// The connection failed.
-    #[display("connection: {_0}")]
+    #[display("connection failed: {_0}")]
     Io(std::io::Error),
 }
 
--- a/crates/geraniumgauge/src/h1/reply.rs
+++ b/crates/geraniumgauge/src/h1/reply.rs
@@ -1,4 +1,4 @@
-//! Upstreams' replies, and those of the platform's store.
+//! Decoding of replies from upstreams and from the platform's store.
 
 use std::time;
 
@@ -8,31 +8,31 @@
 use crate::h1::head;
 use crate::rate;
 
-/// A reply, whole.
+/// A complete reply.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// The request id that it echoes.
+    /// The echoed request id.
     pub id: Option<String>,
     /// The upstream's signature.
     pub signature: Option<String>,
     /// Whether the upstream states that it didn't run the call.
     pub not_run: bool,
-    /// Headers that may be passed on, each with its line end.
+    /// The headers that are passed on, each with its line ending.
     pub headers: Vec<u8>,
-    /// The body.
+    /// The reply body.
     pub body: bytes::Bytes,
-    /// Whether the body is coded, which no caller asked for.
+    /// Whether the body has a content encoding, which no caller asks for.
     pub coded: bool,
-    /// Whether the connection ends after it.
+    /// Whether the connection is closed after the reply.
     pub close: bool,
-    /// How long the upstream keeps the connection while it is idle.
+    /// How long the upstream keeps the idle connection open, if stated.
     pub keep_alive: Option<time::Duration>,
 }
 
 impl Reply {
-    /// A good reply as another VM tells it: signed, with a body.
+    /// Creates a good reply as reported by a relay, with a signature and a body.
     pub fn merged(signature: String, body: bytes::Bytes) -> Self {
         Self {
             status: 200,
@@ -48,18 +48,18 @@
     }
 }
 
-/// Reads replies off a connection that carries one call at a time.
+/// Decodes the replies of a connection that carries one call at a time.
 #[derive(Debug)]
 pub struct ReplyCodec {
     names: h1::Names,
     limit: rate::Bytes,
-    /// The call's method was HEAD: its reply has no body.
+    /// Whether the call's method was HEAD, so that the reply has no body.
     head_only: bool,
     reading: Option<(Reply, h1::Body)>,
 }
 
 impl ReplyCodec {
-    /// A codec for replies of at most `limit`.
+    /// Creates a codec for replies with heads and bodies of at most `limit` each.
     pub fn new(names: h1::Names, limit: rate::Bytes) -> Self {
         Self {
             names,
@@ -69,11 +69,12 @@
         }
     }
 
-    /// Says what the next reply answers.
+    /// Sets whether the next reply answers a HEAD request.
     pub fn expect(&mut self, head_only: bool) {
         self.head_only = head_only;
     }
 
+    /// Consumes a head from `source`; `None` if it isn't complete yet.
     fn read_head(
         &self,
         source: &mut bytes::BytesMut,
@@ -85,9 +86,9 @@
             Ok(httparse::Status::Partial) if (source.len() as u64) < self.limit.0 => {
                 return Ok(None);
             }
-            _ => return Err(h1::Error::Malformed("reply head")),
+            _ => return Err(h1::Error::Malformed("invalid reply head")),
         };
-        let framing = head::Framing::of(parsed.headers)?;
+        let framing = head::Framing::parse(parsed.headers)?;
         let mut reply = Reply {
             status: parsed.code.unwrap_or_default(),
             id: None,
@@ -100,14 +101,15 @@
             keep_alive: None,
         };
         for header in parsed.headers.iter() {
-            self.header(&mut reply, header, &framing)?;
+            self.add_header(&mut reply, header, &framing)?;
         }
         let body = self.body(&mut reply, &framing)?;
         bytes::Buf::advance(source, used);
         Ok(Some((reply, body)))
     }
 
-    fn header(
+    /// Adds one header to a reply.
+    fn add_header(
         &self,
         reply: &mut Reply,
         header: &httparse::Header<'_>,
@@ -123,17 +125,18 @@
         } else if is("content-encoding") {
             reply.coded = !header.value.eq_ignore_ascii_case(b"identity");
         } else if is("keep-alive") {
-            reply.keep_alive = timeout(head::text(header.value)?);
+            reply.keep_alive = keep_alive_timeout(head::text(header.value)?);
         }
-        if framing.passes(header.name) {
-            head::line(&mut reply.headers, header.name, header.value);
+        if framing.is_forwarded(header.name) {
+            head::write_header(&mut reply.headers, header.name, header.value);
         }
         Ok(())
     }
 
+    /// Creates the decoder of the reply's body.
     fn body(&self, reply: &mut Reply, framing: &head::Framing<'_>) -> Result<h1::Body, h1::Error> {
-        let none = self.head_only || reply.status < 200 || matches!(reply.status, 204 | 304);
-        if none {
+        let bodiless = self.head_only || reply.status < 200 || matches!(reply.status, 204 | 304);
+        if bodiless {
             return h1::Body::sized(0, self.limit);
         }
         if framing.chunked {
@@ -147,8 +150,8 @@
     }
 }
 
-/// The `timeout` of a `Keep-Alive` header.
-fn timeout(value: &str) -> Option<time::Duration> {
+/// Returns the `timeout` of a `Keep-Alive` header's value.
+fn keep_alive_timeout(value: &str) -> Option<time::Duration> {
     let seconds = value
         .split(',')
         .filter_map(|part| part.trim().strip_prefix("timeout="))
@@ -175,7 +178,7 @@
                 .reading
                 .take()
                 .map(|(reply, _)| Reply { body, ..reply });
-            // Interim replies announce the one that counts.
+            // Skips interim (1xx) replies, which precede the final one.
             if whole.as_ref().is_some_and(|reply| reply.status >= 200) {
                 return Ok(whole);
             }
@@ -190,7 +193,7 @@
             return Ok(None);
         };
         let Some(body) = body.close() else {
-            return Err(h1::Error::Malformed("reply broke off"));
+            return Err(h1::Error::Malformed("truncated reply"));
         };
         Ok(Some(Reply { body, ..reply }))
     }
--- a/crates/geraniumgauge/src/h1/request.rs
+++ b/crates/geraniumgauge/src/h1/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests.
+//! Decoding of callers' requests.
 
 use std::time;
 
@@ -8,31 +8,31 @@
 use crate::h1::head;
 use crate::rate;
 
-/// A caller's request, whole.
+/// A caller's complete request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query as they came.
+    /// The path and query as received.
     pub path: String,
-    /// The host that the caller names; empty where it names none.
+    /// The `Host` header; empty if absent.
     pub host: String,
-    /// The caller's id of this request, as it came.
+    /// The request id as received; empty if absent.
     pub id: String,
-    /// How long the caller waits, where it says so.
+    /// How long the caller waits for the answer, if stated.
     pub time_left: Option<time::Duration>,
-    /// Request line and the headers that may be passed on, each with its line
-    /// end; without the empty line.
+    /// The request line and the headers that are passed on, each with its line ending,
+    /// without the empty line at the end.
     pub head: Vec<u8>,
-    /// The body.
+    /// The request body.
     pub body: bytes::Bytes,
-    /// Whether the caller stated a body, be it empty.
+    /// Whether the request has a body, which may be empty.
     pub has_body: bool,
-    /// Whether the connection ends after the answer.
+    /// Whether the connection is to be closed after the answer.
     pub close: bool,
 }
 
-/// Reads requests off a caller's connection.
+/// Decodes the requests of a caller's connection.
 #[derive(Debug)]
 pub struct RequestCodec {
     names: h1::Names,
@@ -41,16 +41,17 @@
     reading: Option<Reading>,
 }
 
+/// A request whose body is being read.
 #[derive(Debug)]
 struct Reading {
     request: Request,
     body: h1::Body,
-    /// The caller waits for a word before it sends its body.
-    expects: bool,
+    /// Whether the caller waits for `100 Continue` before it sends the body.
+    expects_continue: bool,
 }
 
 impl RequestCodec {
-    /// A codec with the given limits.
+    /// Creates a codec with limits for heads and bodies.
     pub fn new(names: h1::Names, head_limit: rate::Bytes, body_limit: rate::Bytes) -> Self {
         Self {
             names,
@@ -60,23 +61,25 @@
         }
     }
 
-    /// Sets the limits for heads that aren't read yet.
+    /// Sets the limits for requests whose head hasn't been read yet.
     pub fn limit(&mut self, head: rate::Bytes, body: rate::Bytes) {
         self.head_limit = head;
         self.body_limit = body;
     }
 
-    /// Whether a head was read whose body isn't complete.
+    /// Returns whether a head was read and its body isn't complete.
     pub fn in_body(&self) -> bool {
         self.reading.is_some()
     }
 
-    /// Whether the caller waits for `100 Continue`; told once a request.
+    /// Returns whether the caller waits for `100 Continue`. True at most once per
+    /// request.
     pub fn expects_continue(&mut self) -> bool {
         let reading = self.reading.as_mut();
-        reading.is_some_and(|reading| std::mem::take(&mut reading.expects))
+        reading.is_some_and(|reading| std::mem::take(&mut reading.expects_continue))
     }
 
+    /// Consumes a head from `source`; `None` if it isn't complete yet.
     fn read_head(&self, source: &mut bytes::BytesMut) -> Result<Option<Reading>, h1::Error> {
         let mut headers = [httparse::EMPTY_HEADER; h1::MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -88,18 +91,19 @@
             Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
                 return Err(h1::Error::HeadTooLarge(self.head_limit));
             }
-            Err(_) => return Err(h1::Error::Malformed("request head")),
+            Err(_) => return Err(h1::Error::Malformed("invalid request head")),
         };
         if used as u64 > self.head_limit.0 {
             return Err(h1::Error::HeadTooLarge(self.head_limit));
         }
-        let reading = self.take(&parsed)?;
+        let reading = self.build(&parsed)?;
         bytes::Buf::advance(source, used);
         Ok(Some(reading))
     }
 
-    fn take(&self, parsed: &httparse::Request<'_, '_>) -> Result<Reading, h1::Error> {
-        let framing = head::Framing::of(parsed.headers)?;
+    /// Creates a request from its parsed head.
+    fn build(&self, parsed: &httparse::Request<'_, '_>) -> Result<Reading, h1::Error> {
+        let framing = head::Framing::parse(parsed.headers)?;
         let method = parsed.method.unwrap_or_default();
         let path = parsed.path.unwrap_or_default();
         let mut request = Request {
@@ -117,9 +121,9 @@
         request.head.push(b' ');
         request.head.extend_from_slice(path.as_bytes());
         request.head.extend_from_slice(b" HTTP/1.1\r\n");
-        let mut expects = false;
+        let mut expects_continue = false;
         for header in parsed.headers.iter() {
-            expects |= self.header(&mut request, header, &framing)?;
+            expects_continue |= self.add_header(&mut request, header, &framing)?;
         }
         let body = match framing.length {
             Some(length) => h1::Body::sized(length, self.body_limit)?,
@@ -129,12 +133,13 @@
         Ok(Reading {
             request,
             body,
-            expects,
+            expects_continue,
         })
     }
 
-    /// Takes one header; true where the caller waits before it sends its body.
-    fn header(
+    /// Adds one header to a request. Returns whether it says that the caller waits for
+    /// `100 Continue`.
+    fn add_header(
         &self,
         request: &mut Request,
         header: &httparse::Header<'_>,
@@ -145,25 +150,25 @@
             return Ok(header.value.eq_ignore_ascii_case(b"100-continue"));
         }
         if is(self.names.time_left) {
-            let millis = head::text(header.value)?.trim().parse().ok();
-            request.time_left = millis.map(time::Duration::from_millis);
+            let timeout_ms = head::text(header.value)?.trim().parse().ok();
+            request.time_left = timeout_ms.map(time::Duration::from_millis);
             return Ok(false);
         }
-        if is(self.names.only_upstream) || !framing.passes(header.name) {
+        if is(self.names.only_upstream) || !framing.is_forwarded(header.name) {
             return Ok(false);
         }
         if is("host") {
             if !request.host.is_empty() {
-                return Err(h1::Error::Malformed("two hosts"));
+                return Err(h1::Error::Malformed("more than one host"));
             }
             request.host = head::text(header.value)?.trim().to_owned();
         } else if is(self.names.request_id) {
             if !request.id.is_empty() {
-                return Err(h1::Error::Malformed("two request ids"));
+                return Err(h1::Error::Malformed("more than one request id"));
             }
             request.id = head::text(header.value)?.to_owned();
         }
-        head::line(&mut request.head, header.name, header.value);
+        head::write_header(&mut request.head, header.name, header.value);
         Ok(false)
     }
 }
--- a/crates/geraniumgauge/src/h1/tests.rs
+++ b/crates/geraniumgauge/src/h1/tests.rs
@@ -12,12 +12,12 @@
     not_run: "not-run",
 };
 
-fn requests() -> RequestCodec {
+fn request_codec() -> RequestCodec {
     RequestCodec::new(NAMES, rate::Bytes(1024), rate::Bytes(64))
 }
 
-fn one(text: &str) -> Result<Option<Request>, Error> {
-    requests().decode(&mut bytes::BytesMut::from(text))
+fn decode_request(text: &str) -> Result<Option<Request>, Error> {
+    request_codec().decode(&mut bytes::BytesMut::from(text))
 }
 
 #[test]
@@ -25,7 +25,7 @@
     let text = "POST /a?b HTTP/1.1\r\nHost: one.example\r\nRequest-Id: r1\r\nTime-Left: 250\r\n\
         Connection: close, X-Hop\r\nX-Hop: 1\r\nOnly-Upstream: forged\r\nX-Other: 2\r\n\
         Content-Length: 3\r\n\r\nabc";
-    let request = one(text).expect("well formed").expect("whole");
+    let request = decode_request(text).expect("well formed").expect("whole");
     assert_eq!(request.body.as_ref(), b"abc");
     assert_eq!(
         (request.host.as_str(), request.id.as_str()),
@@ -37,12 +37,12 @@
     );
     assert!(request.close);
     let head = String::from_utf8(request.head).expect("text");
-    let due = "POST /a?b HTTP/1.1\r\nHost: one.example\r\nRequest-Id: r1\r\nX-Other: 2\r\n";
-    assert_eq!(head, due);
+    let expected = "POST /a?b HTTP/1.1\r\nHost: one.example\r\nRequest-Id: r1\r\nX-Other: 2\r\n";
+    assert_eq!(head, expected);
 }
 
-/// Story: a caller hides a second request behind a body whose end two readers
-/// see at different places. The upstream would run a request nobody sent.
+/// Guards against request smuggling: if the end of a body is ambiguous, an upstream could
+/// take part of it for a second request, and run one that wasn't sent as a request.
 #[test]
 fn requests_that_could_smuggle_another_are_refused() {
     for framing in [
@@ -54,27 +54,30 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
     ] {
         let text = format!("POST / HTTP/1.1\r\nHost: a\r\n{framing}\r\nabcd");
-        assert!(one(&text).is_err(), "{framing}");
+        assert!(decode_request(&text).is_err(), "{framing}");
     }
 }
 
 #[test]
 fn heads_and_bodies_over_the_limits_are_refused() {
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(2000));
-    assert!(matches!(one(&long), Err(Error::HeadTooLarge(_))));
+    assert!(matches!(decode_request(&long), Err(Error::HeadTooLarge(_))));
     let body = "POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n";
-    assert!(matches!(one(body), Err(Error::BodyTooLarge(_))));
+    assert!(matches!(decode_request(body), Err(Error::BodyTooLarge(_))));
     let chunk = format!(
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n{}",
         "x".repeat(65)
     );
-    assert!(matches!(one(&chunk), Err(Error::BodyTooLarge(_))));
+    assert!(matches!(
+        decode_request(&chunk),
+        Err(Error::BodyTooLarge(_))
+    ));
     let broken = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n";
-    assert!(matches!(one(broken), Err(Error::Malformed(_))));
+    assert!(matches!(decode_request(broken), Err(Error::Malformed(_))));
 }
 
-/// What comes of `text` when it arrives in pieces of `step` bytes.
-fn pieces(text: &[u8], step: usize) -> Vec<Reply> {
+/// Decodes the replies in `text`, received in pieces of `step` bytes.
+fn decode_replies(text: &[u8], step: usize) -> Vec<Reply> {
     let mut codec = ReplyCodec::new(NAMES, rate::Bytes(1 << 16));
     let mut buffer = bytes::BytesMut::new();
     let mut replies = Vec::new();
@@ -106,7 +109,7 @@
                 text.extend_from_slice(body);
             }
         }
-        let replies = pieces(&text, usize::from(step));
+        let replies = decode_replies(&text, usize::from(step));
         replies.len() == bodies.len()
             && replies.iter().zip(&bodies).enumerate().all(|(number, (reply, (body, _)))| {
                 reply.body == body.as_slice() && reply.id == Some(number.to_string())
@@ -114,12 +117,12 @@
     }
 }
 
-/// Story: a reply without a length breaks off. Where the connection is reset
-/// it isn't complete; only a proper end completes it, and one with a length
-/// that ends too soon never does.
+/// Guards against passing on a truncated reply. A reply without a length is complete
+/// only if the connection is closed properly; one that is shorter than its stated
+/// length never is.
 #[test]
-fn a_reply_that_breaks_off_is_never_complete() {
-    let open = pieces(b"HTTP/1.1 200 OK\r\n\r\nab", 4);
+fn a_truncated_reply_is_never_complete() {
+    let open = decode_replies(b"HTTP/1.1 200 OK\r\n\r\nab", 4);
     assert_eq!(open[0].body.as_ref(), b"ab");
     assert!(open[0].close);
     let mut codec = ReplyCodec::new(NAMES, rate::Bytes(1 << 16));
@@ -127,35 +130,36 @@
     assert!(codec.decode_eof(&mut buffer).is_err());
 }
 
-/// The length of a call's reply, of which a tenth comes each `pause`, and none any
-/// more after `pieces`.
-fn call(pieces: usize, pause: std::time::Duration) -> Result<usize, exchange::Failure> {
+/// Makes a call and returns the length of its reply's body. A tenth of the reply is
+/// sent each `interval`, and nothing more after `pieces` tenths.
+fn call(pieces: usize, interval: std::time::Duration) -> Result<usize, exchange::Failure> {
     const SIZE: usize = 100_000;
     let body = "a".repeat(SIZE);
     let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {SIZE}\r\n\r\n{body}");
-    crate::trickle::send(reply.as_bytes(), pieces, pause, async |mut near| {
+    crate::trickle::send(reply.as_bytes(), pieces, interval, async |mut stream| {
         let wait = std::time::Duration::from_millis(900);
-        let heard = crate::time::Latest::default();
+        let last_received = crate::time::Latest::default();
         let request = b"GET / HTTP/1.1\r\n\r\n";
-        let reply = exchange::exchange(&mut near, request, wait, NAMES, &heard).await;
+        let reply = exchange::exchange(&mut stream, request, wait, NAMES, &last_received).await;
         reply.map(|(reply, _)| reply.body.len())
     })
 }
 
-/// Guards against a store that counts as away while its reply, a large one, is
-/// being read over a narrow link.
+/// Guards against a store that counts as unavailable while its large reply is still
+/// arriving over a slow link.
 #[test]
-fn a_reply_is_waited_for_as_long_as_it_comes() {
+fn a_reply_is_read_as_long_as_bytes_arrive() {
     let length = call(11, std::time::Duration::from_millis(250));
     assert_eq!(length.ok(), Some(100_000));
 }
 
-/// Guards against a store that falls silent within a reply, or never ends one.
+/// Guards against waiting for a store that stops sending in the middle of a reply, or
+/// never completes one.
 #[test]
-fn a_reply_that_stops_coming_is_given_up() {
-    for (pieces, pause) in [(4, 100), (11, 800)] {
-        let pause = std::time::Duration::from_millis(pause);
-        let failure = call(pieces, pause);
+fn a_reply_that_stops_arriving_times_out() {
+    for (pieces, interval) in [(4, 100), (11, 800)] {
+        let interval = std::time::Duration::from_millis(interval);
+        let failure = call(pieces, interval);
         assert!(
             matches!(failure, Err(exchange::Failure::Silent)),
             "{failure:?}"
