--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -185,7 +185,10 @@
             return Some(answer(close).not_run(503, answer::STARTING_RETRY_AFTER));
         };
         if id.is_empty() || request.host.is_empty() {
-            log::info!(host = request.host.as_str(), path = request.path.as_str(); "refused: no request id or no host");
+            log::info!(
+                host = request.host.as_str(), path = request.path.as_str();
+                "refused: no request id or no host"
+            );
             return Some(answer(close).plain(400, "bad_request"));
         }
         let Some(entry) = table.find(&request.host, &request.path) else {
--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -140,7 +140,10 @@
         let mut state = self.state.borrow_mut();
         if state.fleet.blame.blame(request, now) {
             let refused = state.fleet.blame.is_quarantined(request, now);
-            log::warn!(fingerprint:% = request, refused = refused; "crash suspect reported by another VM");
+            log::warn!(
+                fingerprint:% = request, refused = refused;
+                "crash suspect reported by another VM"
+            );
         }
     }
 
@@ -197,7 +200,10 @@
         let mut state = self.state.borrow_mut();
         let current = state.table.as_ref().map(|table| table.version());
         if current.is_some_and(|current| current >= config.version) {
-            log::info!(version:% = config.version, current:? = current; "configuration ignored: not newer than the current one");
+            log::info!(
+                version:% = config.version, current:? = current;
+                "configuration ignored: not newer than the current one"
+            );
             return;
         }
         let table = route::Table::new(config);
--- a/crates/geraniumgauge/src/edge/state/report.rs
+++ b/crates/geraniumgauge/src/edge/state/report.rs
@@ -124,7 +124,10 @@
         call.via = None;
         let upstream = call.upstream;
         let entry = &self.fleet.registry.get(upstream).entry;
-        log::info!(request = call.message.id.as_str(), upstream = entry.id.as_str(); "call made directly: the relay doesn't know the upstream");
+        log::info!(
+            request = call.message.id.as_str(), upstream = entry.id.as_str();
+            "call made directly: the relay doesn't know the upstream"
+        );
         self.pool(upstream).waiting.push_back(id);
         self.dispatch(upstream, now);
     }
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -160,7 +160,10 @@
             Err(_) => Err(registry::Unnamed::Unknown),
         };
         let upstream = named.map_err(|why| {
-            log::info!(request = message.id.as_str(), upstream = wanted.upstream.as_str(), why:% = why; "call for another VM not made");
+            log::info!(
+                request = message.id.as_str(), upstream = wanted.upstream.as_str(), why:% = why;
+                "call for another VM not made"
+            );
             let how = match why {
                 registry::Unnamed::Unknown => frame::How::Unknown,
                 registry::Unnamed::Leaving => frame::How::NotSent,
--- a/crates/geraniumgauge/src/h1/body.rs
+++ b/crates/geraniumgauge/src/h1/body.rs
@@ -188,6 +188,6 @@
             Ok(true)
         }
         Ok(httparse::Status::Partial) if source.len() <= MAX_TRAILERS => Ok(false),
-        _ => Err(h1::Error::Malformed("invalid trailers")),
+        _ => Err(h1::Error::Malformed("trailers")),
     }
 }
--- a/crates/geraniumgauge/src/h1/exchange.rs
+++ b/crates/geraniumgauge/src/h1/exchange.rs
@@ -15,8 +15,7 @@
 /// Timeout of connecting to the server.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 /// TCP keepalive time and interval. A connection whose other end has disappeared fails
-/// within three intervals, without a call to
-/// detect it, which would be charged for.
+/// within three intervals, without a call to detect it, which would be charged for.
 const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Number of unanswered keepalive probes after which a connection fails.
 const MAX_KEEPALIVE_PROBES: u32 = 2;
