--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -45,7 +45,7 @@
     phase: rc::Rc<watch::Sender<Phase>>,
     clock: clock::Clock,
     names: h1::Names,
-    instruments: edge::Count,
+    instruments: edge::Instruments,
     /// Relays to which a task keeps a connection open.
     peers: rc::Rc<cell::RefCell<collections::HashSet<net::SocketAddr>>>,
     crash_suspects: TakeOnce<sync::mpsc::UnboundedReceiver<ids::Fingerprint>>,
@@ -67,7 +67,7 @@
         relays: forward::Relays,
         names: h1::Names,
         clock: clock::Clock,
-        instruments: edge::Count,
+        instruments: edge::Instruments,
     ) -> Self {
         let (suspects_sender, suspects_receiver) = sync::mpsc::unbounded_channel();
         let state = state::State::new(fleet, relays, names, instruments.clone(), suspects_sender);
@@ -325,7 +325,7 @@
         &self.names
     }
 
-    pub(super) fn instruments(&self) -> &edge::Count {
+    pub(super) fn instruments(&self) -> &edge::Instruments {
         &self.instruments
     }
 
--- a/crates/geraniumgauge/src/edge/instruments.rs
+++ b/crates/geraniumgauge/src/edge/instruments.rs
@@ -9,7 +9,7 @@
 
 /// The edge's OpenTelemetry instruments.
 #[derive(Debug, Clone)]
-pub struct Count {
+pub struct Instruments {
     requests: metrics::Counter<u64>,
     request_seconds: metrics::Histogram<f64>,
     calls: metrics::Counter<u64>,
@@ -20,7 +20,7 @@
     frame_late: metrics::Histogram<f64>,
 }
 
-impl Count {
+impl Instruments {
     /// Creates the instruments with `meter`.
     pub fn new(meter: &metrics::Meter) -> Self {
         let bounds = vec![
--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -71,7 +71,7 @@
     pub(super) registrations_listed: bool,
     pub(super) effects: Vec<Effect>,
     names: h1::Names,
-    instruments: edge::Count,
+    instruments: edge::Instruments,
     running: collections::HashMap<u64, Running>,
     calls: collections::HashMap<ids::Attempt, call::Call>,
     links: collections::HashMap<pool::Link, links::Link>,
@@ -92,7 +92,7 @@
         fleet: forward::Fleet,
         relays: forward::Relays,
         names: h1::Names,
-        instruments: edge::Count,
+        instruments: edge::Instruments,
         crash_suspects: sync::mpsc::UnboundedSender<ids::Fingerprint>,
     ) -> Self {
         Self {
