--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -50,12 +50,12 @@
     peers: rc::Rc<cell::RefCell<collections::HashSet<net::SocketAddr>>>,
     crash_suspects: TakeOnce<sync::mpsc::UnboundedReceiver<ids::Fingerprint>>,
     #[debug(skip)]
-    responder: rc::Rc<cell::RefCell<Option<Teller>>>,
+    responder: rc::Rc<cell::RefCell<Option<Responder>>>,
 }
 
 /// Answers other VMs' fetches of this VM's replicated state. The slot limits how many
 /// answers are sent at the same time and is released when the connection ends.
-pub type Teller = Box<dyn Fn(&spread::Fetch) -> (spread::Answer, Option<spread::Slot>)>;
+pub type Responder = Box<dyn Fn(&spread::Fetch) -> (spread::Answer, Option<spread::Slot>)>;
 
 /// A value shared by all clones that one of them takes.
 type TakeOnce<T> = rc::Rc<cell::RefCell<Option<T>>>;
@@ -84,7 +84,7 @@
     }
 
     /// Sets the responder to other VMs' fetches. Without one they aren't answered.
-    pub fn answer_by(&self, responder: Teller) {
+    pub fn set_responder(&self, responder: Responder) {
         self.responder.replace(Some(responder));
     }
 
--- a/crates/geraniumgauge/src/edge/mod.rs
+++ b/crates/geraniumgauge/src/edge/mod.rs
@@ -23,7 +23,7 @@
 
 pub use engine::Engine;
 pub use engine::Phase;
-pub use engine::Teller;
+pub use engine::Responder;
 pub use instruments::Instruments;
 pub use operators::Operators;
 pub use server::Server;
