--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -130,7 +130,7 @@
 
     /// Takes the receiver of this VM's crash suspects, which are to be reported to the
     /// other VMs. Returns `None` if it was taken before.
-    pub fn blames(&self) -> Option<sync::mpsc::UnboundedReceiver<ids::Fingerprint>> {
+    pub fn crash_suspects(&self) -> Option<sync::mpsc::UnboundedReceiver<ids::Fingerprint>> {
         self.crash_suspects.borrow_mut().take()
     }
 
