--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -135,7 +135,7 @@
     }
 
     /// Records a crash suspect that another VM reported.
-    pub fn blame(&self, request: ids::Fingerprint) {
+    pub fn add_crash_suspect(&self, request: ids::Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         if state.fleet.blame.blame(request, now) {
