--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -219,7 +219,7 @@
 
     /// Notes that the upstreams' registrations were listed completely, so that an
     /// upstream without one doesn't exist.
-    pub fn listed(&self) {
+    pub fn set_registrations_listed(&self) {
         self.state.borrow_mut().registrations_listed = true;
         self.serve_if_configured();
     }
