--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -301,7 +301,7 @@
     }
 
     /// Returns the number of registered upstreams.
-    pub fn known(&self) -> usize {
+    pub fn registered_upstreams(&self) -> usize {
         self.state.borrow().fleet.registry.len()
     }
 
