--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -306,7 +306,7 @@
     }
 
     /// Returns the number of registered upstreams that may get requests.
-    pub fn usable(&self) -> usize {
+    pub fn usable_upstreams(&self) -> usize {
         let now = self.clock.now();
         let state = self.state.borrow();
         let registry = &state.fleet.registry;
