--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -233,7 +233,7 @@
     }
 
     /// Returns the version of the current configuration.
-    pub fn version(&self) -> Option<ids::Generation> {
+    pub fn config_version(&self) -> Option<ids::Generation> {
         let state = self.state.borrow();
         state.table.as_ref().map(|table| table.version())
     }
