--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -240,7 +240,7 @@
 
     /// Applies `change` to the registry of upstreams and handles the changes that it
     /// returns.
-    pub fn upstreams(
+    pub fn change_upstreams(
         &self,
         change: impl FnOnce(&mut registry::Registry, clock::Moment) -> Vec<registry::Change>,
     ) {
