--- a/crates/geraniumgauge/src/h1/exchange.rs
+++ b/crates/geraniumgauge/src/h1/exchange.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the shared time at which bytes were last received from the server.
-    pub fn heard(&self) -> clock::Latest {
+    pub fn last_received(&self) -> clock::Latest {
         self.last_received.clone()
     }
 
