--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -41,11 +41,11 @@
     ) {
         use std::io::Write as _;
         out.extend_from_slice(&self.head);
-        let left = now.until(self.deadline).as_millis().max(1);
+        let timeout_ms = now.until(self.deadline).as_millis().max(1);
         // Writing to memory can't fail.
         let _ = write!(
             out,
-            "{}: {}\r\n{}: {left}\r\n",
+            "{}: {}\r\n{}: {timeout_ms}\r\n",
             names.only_upstream, upstream.id, names.time_left
         );
         if self.has_body {
--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -155,10 +155,10 @@
         peers::listen(self.clone(), address).await
     }
 
-    /// Sets how many VMs may be alive, if known, and the VMs that may serve as relays.
-    /// Connects to those that suit this VM.
+    /// Sets how many VMs may be alive, if known, and which other VMs are known. Connects
+    /// to those that suit as relays.
     pub fn set_fleet(&self, vms: Option<usize>, relays: Vec<forward::Helper>) {
-        let wanted = {
+        let needed = {
             let mut state = self.state.borrow_mut();
             let before = state.fleet.vms();
             let vms = vms.unwrap_or(before);
@@ -173,11 +173,11 @@
             if first_update {
                 state.preconnect_all();
             }
-            let wanted = state.relays.wanted();
+            let needed = state.relays.wanted();
             self.run_effects(state);
-            wanted
+            needed
         };
-        for address in wanted {
+        for address in needed {
             if self.peers.borrow_mut().insert(address) {
                 tokio::task::spawn_local(peers::maintain(self.clone(), address));
             }
@@ -185,7 +185,7 @@
     }
 
     /// Returns whether a connection to the relay at `address` is still needed.
-    pub(super) fn wants_peer(&self, address: net::SocketAddr) -> bool {
+    pub(super) fn needs_peer(&self, address: net::SocketAddr) -> bool {
         self.state.borrow().relays.wanted().contains(&address)
     }
 
@@ -291,7 +291,7 @@
         let ids = upstreams
             .iter()
             .map(|upstream| state.fleet.registry.get(*upstream));
-        let ids: Vec<&str> = ids.map(|known| known.entry.id.as_str()).collect();
+        let ids: Vec<&str> = ids.map(|upstream| upstream.entry.id.as_str()).collect();
         ids.join(" ")
     }
 
@@ -312,7 +312,7 @@
         let registry = &state.fleet.registry;
         registry
             .iter()
-            .filter(|known| known.usable(now) == registry::Use::Full)
+            .filter(|upstream| upstream.usable(now) == registry::Use::Full)
             .count()
     }
 
--- a/crates/geraniumgauge/src/edge/frame.rs
+++ b/crates/geraniumgauge/src/edge/frame.rs
@@ -5,6 +5,8 @@
 //! arrive before the batch's merge time are merged into one report; each later
 //! one gets a report of its own. The requester alone chooses upstreams, and
 //! decides when to hedge and when to give up.
+//!
+//! VMs also fetch each other's replicated state with [`Kind::Fetch`].
 
 use std::net;
 
--- a/crates/geraniumgauge/src/edge/peers.rs
+++ b/crates/geraniumgauge/src/edge/peers.rs
@@ -35,7 +35,7 @@
 
 /// Keeps a connection to a relay open while it is needed.
 pub(super) async fn maintain(engine: edge::Engine, address: net::SocketAddr) {
-    while engine.wants_peer(address) {
+    while engine.needs_peer(address) {
         let error = match link::connect(address).await {
             Ok(stream) => {
                 let (reader, writer) = stream.into_split();
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -165,8 +165,8 @@
         self.deliver_ended(now);
     }
 
-    /// Records the requests that were running when an unreachable upstream's
-    /// connections were lost as crash suspects, and reports them to the other VMs.
+    /// Records and reports as crash suspects the requests during which an upstream that
+    /// is now unreachable closed its connections.
     fn report_crash_suspects(&mut self, upstream: registry::Handle, now: clock::Moment) {
         for request in self.fleet.blame.unreachable(upstream, now) {
             let id = &self.fleet.registry.get(upstream).entry.id;
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -127,9 +127,12 @@
             mandatory: batch.mandatory,
             typical: time::Duration::from_micros(batch.typical_us),
         };
-        let wanted = batch.calls.iter();
-        let not_made: Vec<frame::End> = wanted
-            .filter_map(|wanted| self.call_for_peer(id, wanted, terms, &message, now).err())
+        let requested = batch.calls.iter();
+        let not_made: Vec<frame::End> = requested
+            .filter_map(|requested| {
+                self.call_for_peer(id, requested, terms, &message, now)
+                    .err()
+            })
             .collect();
         if !not_made.is_empty() {
             self.report_ends(id, not_made, now);
@@ -148,45 +151,45 @@
     fn call_for_peer(
         &mut self,
         batch: u64,
-        wanted: &frame::Call,
+        requested: &frame::Call,
         terms: Terms,
         message: &rc::Rc<call::Message>,
         now: clock::Moment,
     ) -> Result<(), frame::End> {
         let own = self.fleet.own().data_centre.clone();
         let registry = &mut self.fleet.registry;
-        let named = match wanted.upstream.parse() {
-            Ok(id) => registry.named(&id, wanted.address(), &own, now),
+        let named = match requested.upstream.parse() {
+            Ok(id) => registry.named(&id, requested.address(), &own, now),
             Err(_) => Err(registry::Unnamed::Unknown),
         };
         let upstream = named.map_err(|why| {
             log::info!(
-                request = message.id.as_str(), upstream = wanted.upstream.as_str(), why:% = why;
+                request = message.id.as_str(), upstream = requested.upstream.as_str(), why:% = why;
                 "call for another VM not made"
             );
             let how = match why {
                 registry::Unnamed::Unknown => frame::How::Unknown,
                 registry::Unnamed::Leaving => frame::How::NotSent,
             };
-            frame::End::new(wanted.id, how)
+            frame::End::new(requested.id, how)
         })?;
         if !terms.mandatory
             && let Some(advice) = self.fleet.advice(upstream, now)
         {
-            return Err(frame::End::advised(wanted.id, advice));
+            return Err(frame::End::advised(requested.id, advice));
         }
         if !self.is_paid(upstream, terms, now) {
-            return Err(frame::End::new(wanted.id, frame::How::Unpaid));
+            return Err(frame::End::new(requested.id, frame::How::Unpaid));
         }
         let id = self.fleet.next_call();
         if let Some(batch) = self.peers.batches.get_mut(&batch) {
-            batch.pending.insert(wanted.id, id);
+            batch.pending.insert(requested.id, id);
         }
         self.peers.calls_made += 1;
         self.fleet.standing(upstream).start();
         let owner = call::Owner::Batch {
             batch,
-            remote: wanted.id,
+            remote: requested.id,
         };
         let call = call::Call::new(owner, upstream, message.clone(), terms.typical, now);
         self.calls.insert(id, call);
