--- a/crates/geraniumgauge/src/upstream/connection.rs
+++ b/crates/geraniumgauge/src/upstream/connection.rs
@@ -12,23 +12,23 @@
 use crate::layout;
 use crate::time as clock;
 
-/// Host name in URLs; the connection's resolver gives the address.
+/// Host name used in URLs; [`SingleUse`] resolves it to the upstream's address.
 const HOST: &str = "upstream";
 
-/// How long a second connect waits before it fails. A connection that has just
-/// carried a reply returns to its pool within microseconds; a connect that
-/// starts before then only has to lose the race.
-const RETURN_TIME: time::Duration = time::Duration::from_millis(5);
+/// Delay before a second connect fails. A connection that has just carried a reply
+/// returns to the client's pool within microseconds; a connect that starts before
+/// then has to wait, so that the pooled connection is used instead.
+const SECOND_CONNECT_DELAY: time::Duration = time::Duration::from_millis(5);
 
-/// Bounds on what one connection takes.
+/// Limits of one connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest time for connecting.
+    /// Timeout for connecting.
     pub connect: time::Duration,
-    /// Largest reply body, in bytes.
+    /// Maximum size of a reply body, in bytes.
     pub body: usize,
-    /// How long sent bytes may stay unacknowledged before the system gives the
-    /// connection up.
+    /// How long sent bytes may stay unacknowledged before the operating system
+    /// closes the connection (TCP_USER_TIMEOUT).
     pub unacknowledged: time::Duration,
 }
 
@@ -42,28 +42,28 @@
     }
 }
 
-/// Why a connection can't be prepared.
+/// The HTTP client of a connection can't be created.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
-#[display("no HTTP client: {source}")]
+#[display("the HTTP client can't be created: {source}")]
 pub struct Error {
     source: reqwest::Error,
 }
 
-/// An upstream didn't answer a request for a report.
+/// An upstream didn't answer a request for its health report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
-#[display("no answer")]
+#[display("the upstream didn't answer")]
 pub struct Unanswered {
-    /// No connection could be had.
+    /// Whether connecting failed.
     pub refused: bool,
 }
 
-/// Why a reply's body could not be had.
+/// Why a reply's body could not be read.
 #[derive(Debug)]
 enum Failure {
     Http,
-    Large,
+    TooLarge,
 }
 
 impl From<reqwest::Error> for Failure {
@@ -72,12 +72,12 @@
     }
 }
 
-/// At most one TCP connection to an upstream, opened by the first call. Used
-/// by one call at a time; dropping it, or a call under way, closes it.
+/// At most one TCP connection to an upstream, opened by the first call. It carries
+/// one call at a time; dropping it, or a running call, closes it.
 ///
-/// Each has an HTTP client of its own. A shared client would open connections
-/// and send again on its own account; here the count is exact, a closed one is
-/// never opened again, and nothing is sent twice.
+/// Each connection has its own HTTP client. A shared client would open connections
+/// and resend requests by itself; here the number of connections is exact, a closed
+/// one is never reopened, and nothing is sent twice.
 #[derive(Debug)]
 pub struct Connection {
     client: reqwest::Client,
@@ -86,10 +86,10 @@
 }
 
 impl Connection {
-    /// A connection to `upstream`; nothing is opened yet.
+    /// Creates a connection to `upstream`, which the first call opens.
     ///
     /// # Errors
-    /// Where the HTTP client can't be made.
+    /// If the HTTP client can't be created.
     pub fn new(upstream: &layout::Upstream, limits: Limits) -> Result<Self, Error> {
         let client = reqwest::Client::builder()
             .http1_only()
@@ -100,7 +100,7 @@
             .tcp_nodelay(true)
             .tcp_user_timeout(limits.unacknowledged)
             .connect_timeout(limits.connect)
-            .dns_resolver(sync::Arc::new(Once::new(upstream.address)))
+            .dns_resolver(sync::Arc::new(SingleUse::new(upstream.address)))
             .build()
             .map_err(|source| Error { source })?;
         let port = upstream.address.port();
@@ -111,8 +111,8 @@
         })
     }
 
-    /// Searches one shard. `heard` is called when the reply begins.
-    pub async fn search(&self, call: &super::Search, heard: impl FnOnce()) -> reply::Reply {
+    /// Searches one shard. `reply_began` is called when the reply's head arrives.
+    pub async fn search(&self, call: &super::Search, reply_began: impl FnOnce()) -> reply::Reply {
         let shard = &call.shard;
         let expected = reply::Expected {
             id: &call.id,
@@ -129,12 +129,12 @@
         if let Some(version) = call.index_version {
             request = request.header(super::INDEX_VERSION, version.0);
         }
-        self.call(request, &expected, heard).await
+        self.call(request, &expected, reply_began).await
     }
 
-    /// Sends one record, once: whatever happens, it is not sent again. `heard`
-    /// is called when the reply begins.
-    pub async fn record(&self, call: &super::Record, heard: impl FnOnce()) -> reply::Reply {
+    /// Sends one record at most once, also if the connection fails. `reply_began` is
+    /// called when the reply's head arrives.
+    pub async fn record(&self, call: &super::Record, reply_began: impl FnOnce()) -> reply::Reply {
         let shard = &call.shard;
         let expected = reply::Expected {
             id: &call.id,
@@ -149,11 +149,11 @@
             .header(super::LAYOUT_VERSION, call.layout.0)
             .header(super::IDEMPOTENCY_KEY, &call.key)
             .body(call.body.clone());
-        self.call(request, &expected, heard).await
+        self.call(request, &expected, reply_began).await
     }
 
-    /// Asks the upstream to stop a call; whether it knew of the call.
-    /// `None` where it could not be asked.
+    /// Asks the upstream to cancel a call. Returns whether it knew the call, or `None`
+    /// if there was no complete reply.
     pub async fn cancel(&self, id: &str) -> Option<bool> {
         let url = format!("{}/requests/{id}", self.base);
         let reply = self.client.delete(url).send().await.ok()?;
@@ -162,10 +162,10 @@
         Some(status.is_success())
     }
 
-    /// The upstream's health report; `None` where what it answers is no report.
+    /// Reads the upstream's health report; `None` if its answer can't be decoded.
     ///
     /// # Errors
-    /// Where it doesn't answer.
+    /// If the upstream doesn't answer.
     pub async fn health(&self) -> Result<Option<reply::Health>, Unanswered> {
         let url = format!("{}/health", self.base);
         let unanswered = |error: reqwest::Error| Unanswered {
@@ -189,18 +189,18 @@
         &self,
         request: reqwest::RequestBuilder,
         expected: &reply::Expected<'_>,
-        heard: impl FnOnce(),
+        reply_began: impl FnOnce(),
     ) -> reply::Reply {
         let reply = match request.send().await {
             Ok(reply) => reply,
             Err(error) => return reply::Reply::bare(outcome(&error)),
         };
-        heard();
+        reply_began();
         let status = reply.status().as_u16();
         let headers = reply.headers().clone();
         match self.body(reply).await {
             Ok(body) => expected.read(status, &headers, body),
-            Err(Failure::Large) => reply::Reply::bare(reply::Outcome::Crossed),
+            Err(Failure::TooLarge) => reply::Reply::bare(reply::Outcome::Crossed),
             Err(Failure::Http) => reply::Reply::bare(reply::Outcome::Lost),
         }
     }
@@ -209,7 +209,7 @@
         let mut body = bytes::BytesMut::new();
         while let Some(chunk) = reply.chunk().await? {
             if body.len() + chunk.len() > self.limits.body {
-                return Err(Failure::Large);
+                return Err(Failure::TooLarge);
             }
             body.extend_from_slice(&chunk);
         }
@@ -217,9 +217,10 @@
     }
 }
 
-/// An error before the connection stood proves that nothing was sent; a pooled
-/// connection that was closed before the request was written ends here too,
-/// since [`Once`] refuses to open another. All else may have run.
+/// Returns the outcome of a request that failed without a reply. A connect error
+/// proves that nothing was sent. If the pooled connection was closed before the
+/// request was written, that is a connect error as well, since [`SingleUse`] refuses
+/// a second connect. After any other error the call may have run.
 fn outcome(error: &reqwest::Error) -> reply::Outcome {
     if error.is_connect() || error.is_builder() {
         reply::Outcome::Unsent
@@ -228,14 +229,15 @@
     }
 }
 
-/// A resolver that gives the address once, so that its client connects once.
+/// A DNS resolver that returns the address only once, so that its client opens no
+/// second connection.
 #[derive(Debug)]
-struct Once {
+struct SingleUse {
     address: net::SocketAddr,
     used: atomic::AtomicBool,
 }
 
-impl Once {
+impl SingleUse {
     fn new(address: net::SocketAddr) -> Self {
         Self {
             address,
@@ -244,19 +246,19 @@
     }
 }
 
-/// The one connect that a [`Connection`] may make has been made.
+/// The only connect that a [`Connection`] may make was made before.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("the connection is closed")]
 struct Closed;
 
-impl dns::Resolve for Once {
+impl dns::Resolve for SingleUse {
     fn resolve(&self, _: dns::Name) -> dns::Resolving {
         let used = self.used.swap(true, atomic::Ordering::Relaxed);
         let address = self.address;
         Box::pin(async move {
             if used {
-                tokio::time::sleep(RETURN_TIME).await;
+                tokio::time::sleep(SECOND_CONNECT_DELAY).await;
                 return Err(Box::new(Closed) as Box<dyn error::Error + Send + Sync>);
             }
             Ok(Box::new(std::iter::once(address)) as dns::Addrs)
--- a/crates/geraniumgauge/src/upstream/mod.rs
+++ b/crates/geraniumgauge/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter to upstream servers: the only module that knows their HTTP.
+//! The adapter to upstream servers: the only module that knows their HTTP API.
 
 mod connection;
 mod reply;
@@ -14,50 +14,50 @@
 
 use crate::ids;
 
-/// Header with the id of one call; the reply echoes it.
+/// Header with the id of a call; the reply echoes it.
 pub const REQUEST_ID: &str = "Request-Id";
-/// Header with the time left, in milliseconds.
+/// Header with the milliseconds left until the caller's deadline.
 pub const DEADLINE_MS: &str = "Deadline-Ms";
-/// Header with the index version, asked for and echoed.
+/// Header with the requested index version; the reply echoes it.
 pub const INDEX_VERSION: &str = "Index-Version";
-/// Header with the layout's version, asked for and echoed.
+/// Header with the requested layout version; the reply echoes it.
 pub const LAYOUT_VERSION: &str = "Layout-Version";
 /// Reply header with the shard that was searched.
 pub const SHARD: &str = "Shard";
-/// Reply header with the oldest index version still offered.
+/// Reply header with the oldest index version that can be searched.
 pub const INDEX_OLDEST: &str = "Index-Oldest";
-/// Reply header with the newest index version offered.
+/// Reply header with the newest index version that can be searched.
 pub const INDEX_NEWEST: &str = "Index-Newest";
 /// Header with the caller's idempotency key, for the upstream's own records.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
-/// One search of one shard.
+/// A call that searches one shard.
 #[derive(Debug, Clone)]
 pub struct Search {
-    /// Names this call at the upstream; never used for another.
+    /// The id of this call, from [`call_id`]; unique among all calls.
     pub id: String,
-    /// The shard.
+    /// The shard to call.
     pub shard: ids::Shard,
-    /// Time left, which the upstream is told in whole milliseconds.
+    /// Time left until the deadline; sent in whole milliseconds.
     pub time_left: std::time::Duration,
-    /// The index version wanted; the upstream's newest where `None`.
+    /// The index version to search; `None` for the upstream's newest.
     pub index_version: Option<ids::IndexVersion>,
-    /// The layout that the shard is of.
+    /// The layout that the shard belongs to.
     pub layout: ids::LayoutVersion,
-    /// The query, as the upstream reads it.
+    /// The query, in the upstream's format.
     pub body: bytes::Bytes,
 }
 
-/// One record for one shard.
+/// A call that writes one record to one shard.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Names this call at the upstream; never used for another.
+    /// The id of this call, from [`call_id`]; unique among all calls.
     pub id: String,
-    /// The shard.
+    /// The shard to call.
     pub shard: ids::Shard,
-    /// Time left, which the upstream is told in whole milliseconds.
+    /// Time left until the deadline; sent in whole milliseconds.
     pub time_left: std::time::Duration,
-    /// The layout that the shard is of.
+    /// The layout that the shard belongs to.
     pub layout: ids::LayoutVersion,
     /// The caller's idempotency key.
     pub key: String,
@@ -65,8 +65,9 @@
     pub body: bytes::Bytes,
 }
 
-/// The id of a call at an upstream. Attempts are numbered by each VM, so the
-/// caller's request alone would name two calls where a hedge runs beside it.
+/// Returns the id of a call. It contains the VM and the attempt, since several
+/// calls may run for one caller's request at the same time, such as a hedge, and
+/// each VM numbers its own attempts.
 pub fn call_id(request: &str, vm: &ids::Vm, attempt: u64) -> String {
     format!("{request}.{vm}.{attempt}")
 }
--- a/crates/geraniumgauge/src/upstream/reply.rs
+++ b/crates/geraniumgauge/src/upstream/reply.rs
@@ -1,4 +1,4 @@
-//! What an upstream answered, and whether it answers what was asked.
+//! Decodes upstreams' replies, and checks that each belongs to its call.
 
 use std::time;
 
@@ -10,51 +10,51 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(derive_more::Display)]
 pub enum Outcome {
-    /// It ran; the body is its result.
+    /// The call ran; the body is its result.
     #[display("done")]
     Done,
     /// Not run: the upstream sheds load.
     #[display("shed")]
     Shed,
-    /// Not run: the upstream is leaving.
+    /// Not run: the upstream is draining.
     #[display("draining")]
     Draining,
-    /// Not run: the index version or layout isn't offered.
+    /// Not run: the upstream doesn't have the index version or layout.
     #[display("version")]
     Version,
-    /// Not run: no byte was sent.
+    /// Not run: nothing was sent.
     #[display("unsent")]
     Unsent,
     /// The connection broke after the call may have been sent.
     #[display("lost")]
     Lost,
-    /// The reply answers something else, or more than may be asked for.
+    /// The reply belongs to another call, or its body is too large.
     #[display("crossed")]
     Crossed,
-    /// The upstream reports an error of its own.
+    /// The upstream reports an error.
     #[display("failed")]
     Failed,
 }
 
-/// One reply, as far as it could be read.
+/// The outcome of a call with the values read from its reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
     /// How the call ended.
     pub outcome: Outcome,
-    /// The index version that was searched; 0 where not known.
+    /// The index version that was searched; 0 if unknown.
     pub index_version: ids::IndexVersion,
-    /// Oldest index version still offered; 0 where not known.
+    /// Oldest index version that the upstream can search; 0 if unknown.
     pub oldest: ids::IndexVersion,
-    /// Newest index version offered; 0 where not known.
+    /// Newest index version that the upstream can search; 0 if unknown.
     pub newest: ids::IndexVersion,
-    /// The result, where the outcome is [`Outcome::Done`].
+    /// The result if the outcome is [`Outcome::Done`], otherwise empty.
     pub body: bytes::Bytes,
     /// Whether the connection may carry another call.
     pub reusable: bool,
 }
 
 impl Reply {
-    /// A reply that carries nothing but how the call ended.
+    /// Returns a reply with an outcome only, whose connection can't be reused.
     pub fn bare(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -67,55 +67,55 @@
     }
 }
 
-/// What an upstream says of itself.
+/// The state that an upstream's health report gives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// It takes work.
+    /// Takes work.
     Up,
-    /// It takes little work yet.
+    /// Is warming up and takes little work.
     Starting,
-    /// It wants no new work.
+    /// Takes no new work.
     Draining,
 }
 
-/// A health report: a hint that may lag or mislead.
+/// A health report. It may be outdated or wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Health {
-    /// What it says of itself.
+    /// The reported state.
     pub status: Status,
-    /// Oldest index version offered.
+    /// Oldest index version that the upstream can search.
     #[serde(default)]
     pub oldest: ids::IndexVersion,
-    /// Newest index version offered.
+    /// Newest index version that the upstream can search.
     #[serde(default)]
     pub newest: ids::IndexVersion,
-    /// Layout it serves.
+    /// Version of the layout that the upstream serves.
     #[serde(default)]
     pub layout: ids::LayoutVersion,
-    /// How old the report is, in milliseconds.
+    /// Age of the report, in milliseconds.
     #[serde(default)]
     pub age_ms: u64,
 }
 
 impl Health {
-    /// How old the report is.
+    /// Returns the age of the report.
     pub fn age(&self) -> time::Duration {
         time::Duration::from_millis(self.age_ms)
     }
 }
 
-/// What a reply must echo to be the answer to a call.
+/// The values that a reply must echo to belong to a call.
 #[derive(Debug)]
 pub(super) struct Expected<'a> {
     pub(super) id: &'a str,
     pub(super) shard: &'a ids::Shard,
     pub(super) index_version: Option<ids::IndexVersion>,
     pub(super) layout: ids::LayoutVersion,
-    /// Whether the work may be done once only. A refusal that doesn't name the
-    /// call is then no proof that this call has not run.
+    /// Whether the call must run at most once. A refusal without the call's id is
+    /// then no proof that the call hasn't run.
     pub(super) once: bool,
 }
 
@@ -131,7 +131,7 @@
 }
 
 impl Expected<'_> {
-    /// Reads a whole reply.
+    /// Decodes a complete reply.
     pub(super) fn read(
         &self,
         status: u16,
@@ -141,7 +141,7 @@
         match status {
             200..=299 => self.result(headers, body),
             409 | 503 => self.refusal(headers, &body),
-            _ if self.names_another(headers) => Reply::bare(Outcome::Crossed),
+            _ if self.names_another_call(headers) => Reply::bare(Outcome::Crossed),
             _ => reusable(Outcome::Failed),
         }
     }
@@ -149,20 +149,24 @@
     fn result(&self, headers: &header::HeaderMap, body: bytes::Bytes) -> Reply {
         let version = number(headers, super::INDEX_VERSION).map(ids::IndexVersion);
         let layout = number(headers, super::LAYOUT_VERSION).map(ids::LayoutVersion);
-        let own = text(headers, super::REQUEST_ID) == Some(self.id)
+        let matches = text(headers, super::REQUEST_ID) == Some(self.id)
             && text(headers, super::SHARD) == Some(self.shard.as_str())
             && layout == Some(self.layout)
             && (self.once || version.is_some())
             && (self.index_version.is_none() || self.index_version == version);
-        if !own {
+        if !matches {
             return Reply::bare(Outcome::Crossed);
         }
-        let offered = |name| number(headers, name).map(ids::IndexVersion);
-        let body = if self.once { registered(body) } else { body };
+        let version_in = |name| number(headers, name).map(ids::IndexVersion);
+        let body = if self.once {
+            registration_result(body)
+        } else {
+            body
+        };
         Reply {
             index_version: version.unwrap_or_default(),
-            oldest: offered(super::INDEX_OLDEST).unwrap_or_default(),
-            newest: offered(super::INDEX_NEWEST).unwrap_or_default(),
+            oldest: version_in(super::INDEX_OLDEST).unwrap_or_default(),
+            newest: version_in(super::INDEX_NEWEST).unwrap_or_default(),
             body,
             ..reusable(Outcome::Done)
         }
@@ -170,7 +174,7 @@
 
     fn refusal(&self, headers: &header::HeaderMap, body: &[u8]) -> Reply {
         let echoed = text(headers, super::REQUEST_ID);
-        if self.names_another(headers) {
+        if self.names_another_call(headers) {
             return Reply::bare(Outcome::Crossed);
         }
         let refusal: Refusal = serde_json::from_slice(body).unwrap_or_default();
@@ -188,7 +192,7 @@
         }
     }
 
-    fn names_another(&self, headers: &header::HeaderMap) -> bool {
+    fn names_another_call(&self, headers: &header::HeaderMap) -> bool {
         text(headers, super::REQUEST_ID).is_some_and(|echoed| echoed != self.id)
     }
 }
@@ -199,9 +203,9 @@
     result: &'a serde_json::value::RawValue,
 }
 
-/// The result within a registration's reply. It ran, whatever its form, so a
-/// body without a `result` stands for itself.
-fn registered(body: bytes::Bytes) -> bytes::Bytes {
+/// Returns the `result` field of a registration's reply. A body without it is
+/// returned whole: the registration ran all the same.
+fn registration_result(body: bytes::Bytes) -> bytes::Bytes {
     match serde_json::from_slice::<Registered<'_>>(&body) {
         Ok(registered) => bytes::Bytes::copy_from_slice(registered.result.get().as_bytes()),
         Err(_) => body,
--- a/crates/geraniumgauge/src/upstream/tests.rs
+++ b/crates/geraniumgauge/src/upstream/tests.rs
@@ -8,18 +8,19 @@
 use super::*;
 use crate::layout;
 
-/// What the fake upstream does with one request.
+/// The fake upstream's reaction to one request.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Answers with this status, these header lines and this body.
+    /// Answers with a status, header lines and a body.
     Answer(u16, &'static str, &'static str),
     /// Closes the connection without an answer.
     Close,
-    /// Answers, then closes the connection.
+    /// Answers with status 200, header lines and a body, then closes the connection.
     AnswerAndClose(&'static str, &'static str),
 }
 
-/// Listens on a port of its own; plays `steps` over all connections, in order.
+/// An upstream on its own port that handles requests, over all connections, by a
+/// list of steps in order.
 struct Fake {
     upstream: layout::Upstream,
     connects: sync::Arc<atomic::AtomicUsize>,
@@ -35,8 +36,8 @@
             return None;
         }
         text.extend_from_slice(&part[..read]);
-        let seen = String::from_utf8_lossy(&text).into_owned();
-        let Some((head, body)) = seen.split_once("\r\n\r\n") else {
+        let received = String::from_utf8_lossy(&text).into_owned();
+        let Some((head, body)) = received.split_once("\r\n\r\n") else {
             continue;
         };
         let length = head.lines().find_map(|line| {
@@ -46,7 +47,7 @@
                 .ok()
         });
         if body.len() >= length.unwrap_or(0) {
-            return Some(seen);
+            return Some(received);
         }
     }
 }
@@ -141,13 +142,13 @@
     }
 }
 
-const OWN: &str = "request-id: r1.vm-1.7\r\nshard: s1\r\nindex-version: 4\r\nlayout-version: 2\r\nindex-newest: 5\r\n";
-const OWN_RECORD: &str = "request-id: r1.vm-1.8\r\nshard: s1\r\nlayout-version: 2\r\n";
+const MATCHING: &str = "request-id: r1.vm-1.7\r\nshard: s1\r\nindex-version: 4\r\nlayout-version: 2\r\nindex-newest: 5\r\n";
+const MATCHING_RECORD: &str = "request-id: r1.vm-1.8\r\nshard: s1\r\nlayout-version: 2\r\n";
 const HITS: &str = r#"{"hits": []}"#;
 
 #[tokio::test]
 async fn calls_follow_one_another_on_one_connection() {
-    let fake = fake(vec![Step::Answer(200, OWN, HITS); 50]).await;
+    let fake = fake(vec![Step::Answer(200, MATCHING, HITS); 50]).await;
     let connection = fake.connection(1000);
     for _ in 0..50 {
         let reply = connection.search(&search(), || ()).await;
@@ -162,9 +163,8 @@
     assert!(first.contains("deadline-ms: 250\r\n"), "{first}");
 }
 
-/// Story: a reply to another call arrives on this connection, as happens where
-/// something between the two ends mixes replies up. A reader would see hits of
-/// another shard or another version under this shard's name.
+/// A proxy between VM and upstream mixes up replies, so a reply to another call
+/// arrives. Accepting it would return hits of another shard or index version.
 #[tokio::test]
 async fn a_reply_that_echoes_anything_else_is_crossed() {
     let others = [
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn refusals_say_that_nothing_ran() {
+async fn refusals_are_read_as_not_run() {
     let own = "request-id: r1.vm-1.7\r\n";
     let cases = [
         (503, own, r#"{"error": "shed"}"#, Outcome::Shed),
@@ -210,23 +210,23 @@
     }
 }
 
-/// Story: a registration runs, its reply is mixed up with the refusal of
-/// another call. Believed, the caller would be told that it was not run.
+/// A registration runs, but the refusal of another call arrives in place of its
+/// reply. Accepting that would report to the caller that it was not run.
 #[tokio::test]
-async fn a_refusal_that_names_no_call_proves_nothing_of_a_record() {
+async fn a_refusal_without_a_call_id_doesnt_prove_that_a_record_was_not_run() {
     let fake = fake(vec![Step::Answer(503, "", r#"{"error": "shed"}"#)]).await;
     let reply = fake.connection(1000).record(&record(), || ()).await;
     assert_eq!(reply.outcome, Outcome::Failed);
 }
 
-/// Story: the upstream takes a registration and its connection breaks. A
-/// client that sends again on a new connection would register it twice.
+/// The connection breaks after the upstream received a registration. Resending it
+/// on a new connection would register it twice.
 #[tokio::test]
 async fn a_record_whose_connection_breaks_is_lost_and_not_resent() {
     let fake = fake(vec![
-        Step::Answer(200, OWN_RECORD, "{}"),
+        Step::Answer(200, MATCHING_RECORD, "{}"),
         Step::Close,
-        Step::Answer(200, OWN_RECORD, "{}"),
+        Step::Answer(200, MATCHING_RECORD, "{}"),
     ])
     .await;
     let connection = fake.connection(1000);
@@ -246,13 +246,13 @@
     assert_eq!((fake.requests().len(), fake.connects()), (2, 1));
 }
 
-/// Story: an idle connection was closed by the upstream. The next call on it
-/// has sent nothing, and no second connection is opened behind our count.
+/// The upstream closed an idle connection. The next call must report that nothing
+/// was sent, and must not open a second connection, which nobody would count.
 #[tokio::test]
 async fn a_call_on_a_closed_connection_is_unsent() {
     let fake = fake(vec![
-        Step::AnswerAndClose(OWN, HITS),
-        Step::Answer(200, OWN, HITS),
+        Step::AnswerAndClose(MATCHING, HITS),
+        Step::Answer(200, MATCHING, HITS),
     ])
     .await;
     let connection = fake.connection(1000);
@@ -274,7 +274,7 @@
 }
 
 #[tokio::test]
-async fn a_port_that_nobody_listens_on_is_unsent() {
+async fn a_call_to_a_port_without_listener_is_unsent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut upstream = fake(Vec::new()).await.upstream;
     upstream.address = listener.local_addr().unwrap();
@@ -288,7 +288,7 @@
 
 #[tokio::test]
 async fn a_body_over_the_limit_is_crossed() {
-    let fake = fake(vec![Step::Answer(200, OWN, HITS)]).await;
+    let fake = fake(vec![Step::Answer(200, MATCHING, HITS)]).await;
     let reply = fake
         .connection(HITS.len() - 1)
         .search(&search(), || ())
