--- a/crates/geraniumgauge/src/store/backoff.rs
+++ b/crates/geraniumgauge/src/store/backoff.rs
@@ -1,34 +1,36 @@
-//! Waits between tries at the store.
+//! Exponential backoff between retries.
 
 use std::time;
 
-/// Exponential waits with full jitter, so that VMs which lost the store
-/// together don't come back together.
+/// Exponential delays with full jitter, so that VMs that lost the store at the same
+/// time don't all retry at the same time.
 #[derive(Debug, Clone)]
 pub struct Backoff {
-    first: time::Duration,
-    most: time::Duration,
+    initial: time::Duration,
+    max: time::Duration,
     failures: u32,
 }
 
 impl Backoff {
-    /// Waits of up to `first` after the first failure, doubling up to `most`.
-    pub fn new(first: time::Duration, most: time::Duration) -> Self {
+    /// Delays up to `initial` after the first failure; the bound doubles with each
+    /// further one, up to `max`.
+    pub fn new(initial: time::Duration, max: time::Duration) -> Self {
         Self {
-            first,
-            most,
+            initial,
+            max,
             failures: 0,
         }
     }
 
-    /// The wait after one more failure. `random` is uniform from 0 to 1.
+    /// Records a failure and returns the delay before the next try. `random` is
+    /// uniformly distributed from 0 to 1.
     pub fn failed(&mut self, random: f64) -> time::Duration {
-        let doubled = self.first.saturating_mul(1 << self.failures.min(20));
+        let doubled = self.initial.saturating_mul(1 << self.failures.min(20));
         self.failures = self.failures.saturating_add(1);
-        doubled.min(self.most).mul_f64(random.clamp(0.0, 1.0))
+        doubled.min(self.max).mul_f64(random.clamp(0.0, 1.0))
     }
 
-    /// Starts again after a success.
+    /// Records a success: the next delay is bounded by the initial one again.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
--- a/crates/geraniumgauge/src/store/budget.rs
+++ b/crates/geraniumgauge/src/store/budget.rs
@@ -1,26 +1,26 @@
-//! What one VM may ask of the store.
+//! Rate limits of one VM's calls to the store.
 //!
 //! The platform takes several hundred writes and about two thousand reads a
 //! second from the whole fleet, so each VM gets a share of both. Claims of
-//! registrations go first: callers wait for them. Documents, status and burn
-//! figures draw on a part of the share only and may wait.
+//! registrations have priority, since callers wait for them. Documents, status and
+//! burn rates can be delayed, and may use only a fraction of the VM's share.
 
 use crate::rate;
 use crate::time;
 
-/// Writes a second that the whole fleet may use.
+/// Writes per second of the whole fleet.
 pub(super) const FLEET_WRITES: f64 = 300.0;
-/// Reads, lists and watches a second that the whole fleet may use.
+/// Reads, lists and watches per second of the whole fleet.
 pub(super) const FLEET_READS: f64 = 1500.0;
-/// Least share of a VM, in calls a second: one call each 10 s keeps a VM of a
-/// large fleet able to join.
-const LEAST: f64 = 0.1;
-/// Seconds of its rate that a VM may use at once.
+/// Minimum rate of a VM, in calls per second. One call every 10 s is enough for a
+/// VM to join a large fleet.
+const MIN_VM_RATE: f64 = 0.1;
+/// Size of a burst, in seconds at the VM's rate.
 const BURST_SECONDS: f64 = 4.0;
-/// Part of the share open to callers that may wait.
-const PATIENT_PART: f64 = 0.5;
+/// Fraction of a VM's rate that is available to deferrable calls.
+const DEFERRABLE_FRACTION: f64 = 0.5;
 
-/// What kind of call is paid for.
+/// Kinds of calls with separate limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
     /// Reads, lists and watches.
@@ -29,60 +29,61 @@
     Write,
 }
 
-/// Who calls.
+/// Priority of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Urgency {
-    /// A caller's request waits for it.
-    First,
-    /// It may wait.
-    Patient,
+    /// A caller's request waits for the call.
+    Urgent,
+    /// The call can be delayed.
+    Deferrable,
 }
 
-/// Two token buckets, each with a smaller one inside for patient callers.
+/// Token buckets for reads and for writes, each with a smaller one for deferrable
+/// calls.
 #[derive(Debug)]
 pub(super) struct Budget {
-    reads: Pair,
-    writes: Pair,
-    /// Writes paid for that were not made yet.
+    reads: Buckets,
+    writes: Buckets,
+    /// Urgent writes that have been paid for but not yet made.
     prepaid: u32,
 }
 
 #[derive(Debug)]
-struct Pair {
+struct Buckets {
     all: rate::Bucket,
-    patient: rate::Bucket,
+    deferrable: rate::Bucket,
 }
 
-impl Pair {
+impl Buckets {
     fn new(fleet: f64, vms: usize, now: time::Moment) -> Self {
-        let rate = share(fleet, vms);
+        let rate = vm_rate(fleet, vms);
         let bucket = |rate: f64| rate::Bucket::new(rate::PerSecond(rate), burst(rate), now);
         Self {
             all: bucket(rate),
-            patient: bucket(rate * PATIENT_PART),
+            deferrable: bucket(rate * DEFERRABLE_FRACTION),
         }
     }
 
     fn resize(&mut self, fleet: f64, vms: usize, now: time::Moment) {
-        let rate = share(fleet, vms);
-        let patient = rate * PATIENT_PART;
+        let rate = vm_rate(fleet, vms);
+        let deferrable = rate * DEFERRABLE_FRACTION;
         self.all.resize(rate::PerSecond(rate), burst(rate), now);
-        self.patient
-            .resize(rate::PerSecond(patient), burst(patient), now);
+        self.deferrable
+            .resize(rate::PerSecond(deferrable), burst(deferrable), now);
     }
 
     fn take(&mut self, urgency: Urgency, now: time::Moment) -> bool {
         let allowed = match urgency {
-            Urgency::First => true,
-            Urgency::Patient => self.patient.take(1.0, now),
+            Urgency::Urgent => true,
+            Urgency::Deferrable => self.deferrable.take(1.0, now),
         };
         allowed && self.all.take(1.0, now)
     }
 }
 
-/// Calls a second of one of `vms` VMs.
-fn share(fleet: f64, vms: usize) -> f64 {
-    (fleet / vms.max(1) as f64).max(LEAST)
+/// Returns the calls per second of each VM in a fleet of `vms`.
+fn vm_rate(fleet: f64, vms: usize) -> f64 {
+    (fleet / vms.max(1) as f64).max(MIN_VM_RATE)
 }
 
 fn burst(rate: f64) -> f64 {
@@ -90,31 +91,31 @@
 }
 
 impl Budget {
-    /// The full budget of one of `vms` VMs.
+    /// Creates the budget of one VM in a fleet of `vms`, with full buckets.
     pub(super) fn new(vms: usize, now: time::Moment) -> Self {
         Self {
-            reads: Pair::new(FLEET_READS, vms, now),
-            writes: Pair::new(FLEET_WRITES, vms, now),
+            reads: Buckets::new(FLEET_READS, vms, now),
+            writes: Buckets::new(FLEET_WRITES, vms, now),
             prepaid: 0,
         }
     }
 
-    /// Follows the size of the fleet. What is left of the share stays.
+    /// Adapts the rates to a fleet of `vms`. Tokens left in the buckets stay.
     pub(super) fn resize(&mut self, vms: usize, now: time::Moment) {
         self.reads.resize(FLEET_READS, vms, now);
         self.writes.resize(FLEET_WRITES, vms, now);
     }
 
-    /// Pays for one urgent write that is about to be made.
+    /// Pays in advance for one urgent write; false if the budget doesn't allow it.
     pub(super) fn prepay(&mut self, now: time::Moment) -> bool {
-        let paid = self.prepaid > 0 || self.writes.take(Urgency::First, now);
+        let paid = self.prepaid > 0 || self.writes.take(Urgency::Urgent, now);
         self.prepaid = self.prepaid.max(u32::from(paid));
         paid
     }
 
-    /// Pays for one call where the budget holds it.
+    /// Pays for one call; false if the budget doesn't allow it.
     pub(super) fn take(&mut self, kind: Kind, urgency: Urgency, now: time::Moment) -> bool {
-        if kind == Kind::Write && urgency == Urgency::First && self.prepaid > 0 {
+        if kind == Kind::Write && urgency == Urgency::Urgent && self.prepaid > 0 {
             self.prepaid -= 1;
             return true;
         }
--- a/crates/geraniumgauge/src/store/calls.rs
+++ b/crates/geraniumgauge/src/store/calls.rs
@@ -1,10 +1,10 @@
-//! Counts of store calls by kind and result.
+//! Metric of store calls by kind and result.
 
 use opentelemetry::metrics;
 
 use crate::store;
 
-/// The calls of [`store::Api`].
+/// The kinds of calls in [`store::Api`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display(rename_all = "lowercase")]
--- a/crates/geraniumgauge/src/store/client.rs
+++ b/crates/geraniumgauge/src/store/client.rs
@@ -1,7 +1,7 @@
 //! The object API over HTTP.
 //!
-//! Every call is bounded in time. A write whose reply doesn't come after it may
-//! have been sent is [`store::Error::Unsure`]: only a read of the object tells.
+//! Every call has a timeout. A write that may have been sent but got no reply fails
+//! with [`store::Error::Unsure`]; reading the object shows whether it took effect.
 
 use std::sync;
 use std::time;
@@ -15,23 +15,23 @@
 use crate::store::calls;
 use crate::time as clock;
 
-/// Longest wait for a connection.
-const CONNECT: time::Duration = time::Duration::from_millis(500);
-/// Longest call, from its start to the last byte of its reply.
-const CALL: time::Duration = time::Duration::from_millis(1500);
-/// How long beyond its own wait a watch may take. A connection that has gone
-/// silent for good would otherwise hold the watch open without an end.
-const WATCH_GRACE: time::Duration = time::Duration::from_millis(1500);
-/// Longest wait for the VM's own budget of calls.
-const BUDGET_WAIT: time::Duration = time::Duration::from_secs(2);
-/// How often a waiting call looks at the budget again.
-const BUDGET_STEP: time::Duration = time::Duration::from_millis(5);
-/// VMs that a budget is made for until [`Client::fleet`] says how many there are.
-const FLEET: usize = 8;
+/// Timeout for connecting to the store.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Timeout of a call, from its start to the last byte of its reply.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
+/// Timeout of a watch in addition to its own wait. Without it, a dead connection
+/// would block the watch forever.
+const WATCH_REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
+/// How long a call may wait until this VM's budget allows it.
+const BUDGET_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Interval at which a waiting call checks the budget again.
+const BUDGET_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(5);
+/// Number of VMs assumed until the first [`Client::fleet`].
+const INITIAL_VMS: usize = 8;
 
 /// Header with the version of the object read or written.
 pub const OBJECT_VERSION: &str = "Object-Version";
-/// Header with the version that a write expects.
+/// Header with the version that a write requires.
 pub const IF_VERSION: &str = "If-Version";
 
 /// A client of the platform's object API; cheap to clone.
@@ -45,10 +45,10 @@
 }
 
 impl Client {
-    /// A client of the store at `base_url`, such as `http://127.0.0.1:7000`.
+    /// Creates a client of the store at `base_url`, such as `http://127.0.0.1:7000`.
     ///
     /// # Errors
-    /// [`store::Error::Unavailable`] where the HTTP client can't be set up.
+    /// [`store::Error::Unavailable`] if the HTTP client can't be created.
     pub fn new(
         base_url: String,
         clock: clock::Clock,
@@ -58,26 +58,30 @@
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true);
         let http = builder.build().map_err(|error| unavailable(&error))?;
         Ok(Self {
             http,
             base: base_url.trim_end_matches('/').to_owned(),
             clock,
-            budget: sync::Arc::new(sync::Mutex::new(budget::Budget::new(FLEET, clock.now()))),
+            budget: sync::Arc::new(sync::Mutex::new(budget::Budget::new(
+                INITIAL_VMS,
+                clock.now(),
+            ))),
             calls: calls::Calls::new(meter),
         })
     }
 
-    /// Shares the store's rates among `vms` VMs.
+    /// Sets this VM's rates to its share in a fleet of `vms`.
     pub fn fleet(&self, vms: usize) {
         self.lock().resize(vms, self.clock.now());
     }
 
-    /// Shares the store's rates among the members of `view`, until it ends.
+    /// Adapts the rates to the number of members in `view` until its sender is
+    /// dropped.
     pub async fn follow(self, mut view: watch::Receiver<member::Shared>) {
-        let mut known = FLEET;
+        let mut known = INITIAL_VMS;
         loop {
             let vms = view.borrow_and_update().members.len();
             if vms != known {
@@ -96,24 +100,24 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Waits for the budget, and gives up rather than hold a caller for long.
+    /// Waits until the budget allows a call, for at most [`BUDGET_TIMEOUT`].
     async fn pay(&self, kind: budget::Kind, key: &str) -> Result<(), store::Error> {
         let urgency = urgency(key);
-        let until = self.clock.now() + BUDGET_WAIT;
+        let until = self.clock.now() + BUDGET_TIMEOUT;
         while !self.lock().take(kind, urgency, self.clock.now()) {
             if self.clock.now() >= until {
                 let reason = "this VM's budget of store calls is spent".to_owned();
                 return Err(store::Error::Unavailable { reason });
             }
-            tokio::time::sleep(BUDGET_STEP).await;
+            tokio::time::sleep(BUDGET_CHECK_INTERVAL).await;
         }
         Ok(())
     }
 
     fn object(&self, key: &str) -> Result<String, store::Error> {
         if key.split('/').any(|part| matches!(part, "" | "." | "..")) {
-            // A URL parser would take such a part as a way up the path, and
-            // the call would reach another object.
+            // A URL parser would resolve such a part as a relative path, and the
+            // call would access another object.
             let reason = "a part of the key is empty, \".\" or \"..\"".to_owned();
             let key = key.to_owned();
             return Err(store::Error::Refused { key, reason });
@@ -124,7 +128,7 @@
     async fn read(&self, key: &str) -> Result<store::Object, store::Error> {
         let url = self.object(key)?;
         self.pay(budget::Kind::Read, key).await?;
-        let reply = self.http.get(url).timeout(CALL).send().await;
+        let reply = self.http.get(url).timeout(CALL_TIMEOUT).send().await;
         let reply = reply.map_err(|error| unavailable(&error))?;
         match reply.status().as_u16() {
             200 => {}
@@ -159,9 +163,9 @@
             store::Condition::Version(version) => request.header(IF_VERSION, version.0),
             store::Condition::Any => request,
         };
-        let reply = request.timeout(CALL).send().await;
-        let reply = reply.map_err(|error| unsent(key, &error))?;
-        written(key, &reply)
+        let reply = request.timeout(CALL_TIMEOUT).send().await;
+        let reply = reply.map_err(|error| write_error(key, &error))?;
+        write_result(key, &reply)
     }
 
     async fn listing(
@@ -197,9 +201,9 @@
     }
 
     async fn ready(&self, _key: &str) {
-        let until = self.clock.now() + BUDGET_WAIT;
+        let until = self.clock.now() + BUDGET_TIMEOUT;
         while !self.lock().prepay(self.clock.now()) && self.clock.now() < until {
-            tokio::time::sleep(BUDGET_STEP).await;
+            tokio::time::sleep(BUDGET_CHECK_INTERVAL).await;
         }
     }
 
@@ -215,7 +219,7 @@
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Error> {
         let query = [("prefix", prefix.to_owned())];
         let url = format!("{}/objects", self.base);
-        let found = self.listing(url, &query, prefix, CALL).await;
+        let found = self.listing(url, &query, prefix, CALL_TIMEOUT).await;
         self.calls.count(calls::Kind::List, found.as_ref().err());
         found
     }
@@ -232,14 +236,23 @@
             ("wait_ms", wait.as_millis().to_string()),
         ];
         let url = format!("{}/watch", self.base);
-        let found = self.listing(url, &query, prefix, wait + WATCH_GRACE).await;
+        let found = self
+            .listing(url, &query, prefix, wait + WATCH_REPLY_TIMEOUT)
+            .await;
         self.calls.count(calls::Kind::Watch, found.as_ref().err());
         found
     }
 
     async fn vms(&self) -> Result<Vec<store::Vm>, store::Error> {
         let found = match self.pay(budget::Kind::Read, "vms").await {
-            Ok(()) => json(self.http.get(format!("{}/vms", self.base)).timeout(CALL)).await,
+            Ok(()) => {
+                json(
+                    self.http
+                        .get(format!("{}/vms", self.base))
+                        .timeout(CALL_TIMEOUT),
+                )
+                .await
+            }
             Err(error) => Err(error),
         };
         self.calls.count(calls::Kind::Vms, found.as_ref().err());
@@ -247,12 +260,12 @@
     }
 }
 
-/// Claims and their outcomes hold up callers; everything else may wait.
+/// Callers wait for claims and their outcomes; all other calls can be delayed.
 fn urgency(key: &str) -> budget::Urgency {
     if key.starts_with("ledger/") {
-        budget::Urgency::First
+        budget::Urgency::Urgent
     } else {
-        budget::Urgency::Patient
+        budget::Urgency::Deferrable
     }
 }
 
@@ -272,9 +285,9 @@
     header.to_str().ok()?.parse().ok()
 }
 
-/// What a reply to a write means. A status that a gateway could have made up
-/// says nothing about the write itself.
-fn written(key: &str, reply: &reqwest::Response) -> Result<ids::ObjectVersion, store::Error> {
+/// Returns the result of a write from its reply. A status that a gateway may have
+/// sent in place of the store doesn't show whether the write took effect.
+fn write_result(key: &str, reply: &reqwest::Response) -> Result<ids::ObjectVersion, store::Error> {
     let status = reply.status().as_u16();
     let found = version(reply);
     let key = key.to_owned();
@@ -292,15 +305,15 @@
             Err(store::Error::Refused { key, reason })
         }
         _ => {
-            let reason = format!("status {status} tells nothing about the write");
+            let reason = format!("status {status} doesn't show whether it was written");
             Err(store::Error::Unsure { key, reason })
         }
     }
 }
 
-/// A write that failed without a reply: only a failed connection proves that
+/// Returns the error of a write without a reply. Only a connect error proves that
 /// nothing was sent.
-fn unsent(key: &str, error: &reqwest::Error) -> store::Error {
+fn write_error(key: &str, error: &reqwest::Error) -> store::Error {
     if error.is_connect() || error.is_builder() {
         return unavailable(error);
     }
--- a/crates/geraniumgauge/src/store/fake.rs
+++ b/crates/geraniumgauge/src/store/fake.rs
@@ -1,4 +1,4 @@
-//! A store in memory with settable faults, for tests of any duty.
+//! An in-memory store with fault injection, for tests.
 
 use std::sync;
 use std::time;
@@ -6,33 +6,34 @@
 use crate::ids;
 use crate::store;
 
-/// What goes wrong at a [`Fake`].
+/// Faults of a [`Fake`].
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// Every call is refused without effect.
+    /// Whether every call is refused without effect.
     pub down: bool,
-    /// Each call takes this long.
+    /// Delay of each call.
     pub slow: time::Duration,
-    /// So many of the next writes take effect and lose their replies.
+    /// Number of following writes that take effect but whose replies are lost.
     pub lose_replies: u32,
-    /// So many of the next writes fail as unsure without taking effect.
+    /// Number of following writes that fail with [`store::Error::Unsure`] and have no
+    /// effect.
     pub lose_writes: u32,
-    /// The VM list doesn't follow [`Fake::set_vms`].
+    /// Whether the VM list stays as it is, whatever [`Fake::set_vms`] sets.
     pub lagging_vms: bool,
-    /// Reads, lists and watches show the state at the time this was set.
+    /// Whether reads, lists and watches show the state at the time this was set.
     pub stale_reads: bool,
 }
 
-/// Calls that reached the store.
+/// Number of calls that reached the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
     /// Reads, lists, watches and VM lists.
     pub reads: u64,
-    /// Writes and deletions, those without effect included.
+    /// Writes and deletions, including those without effect.
     pub writes: u64,
 }
 
-/// A store in memory; clones share it.
+/// An in-memory store; clones share its state.
 #[derive(Debug, Clone, Default)]
 pub struct Fake {
     state: sync::Arc<sync::Mutex<State>>,
@@ -81,12 +82,12 @@
 }
 
 impl Fake {
-    /// An empty store without faults.
+    /// Creates an empty store without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Changes the faults.
+    /// Changes the injected faults.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
         let mut state = self.lock();
         let was_stale = state.faults.stale_reads;
@@ -108,18 +109,18 @@
         }
     }
 
-    /// The objects as they are, whatever the faults.
+    /// Returns the current objects, regardless of the faults.
     pub fn objects(&self) -> store::Objects {
         self.lock().objects.clone()
     }
 
-    /// Replaces the objects, as a restore of an older state does.
+    /// Replaces the objects, like a restore from a backup.
     pub fn restore(&self, objects: store::Objects) {
         self.lock().objects = objects;
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn count(&self) -> Count {
         self.lock().count
     }
@@ -130,7 +131,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    async fn enter(&self, count: impl FnOnce(&mut Count)) -> Result<(), store::Error> {
+    async fn begin_call(&self, count: impl FnOnce(&mut Count)) -> Result<(), store::Error> {
         let slow = {
             let mut state = self.lock();
             count(&mut state.count);
@@ -140,7 +141,7 @@
             tokio::time::sleep(slow).await;
         }
         if self.lock().faults.down {
-            let reason = "the fake is down".to_owned();
+            let reason = "the fake store is down".to_owned();
             return Err(store::Error::Unavailable { reason });
         }
         Ok(())
@@ -158,7 +159,7 @@
 #[async_trait::async_trait]
 impl store::Api for Fake {
     async fn get(&self, key: &str) -> Result<store::Object, store::Error> {
-        self.enter(read).await?;
+        self.begin_call(read).await?;
         self.lock().visible().get(key)
     }
 
@@ -168,7 +169,7 @@
         body: bytes::Bytes,
         condition: store::Condition,
     ) -> Result<ids::ObjectVersion, store::Error> {
-        self.enter(write).await?;
+        self.begin_call(write).await?;
         let change = |objects: &mut store::Objects| objects.put(key, body, condition);
         let done = self.lock().write(key, change);
         self.changed.notify_waiters();
@@ -176,7 +177,7 @@
     }
 
     async fn delete(&self, key: &str, condition: store::Condition) -> Result<(), store::Error> {
-        self.enter(write).await?;
+        self.begin_call(write).await?;
         let change = |objects: &mut store::Objects| objects.delete(key, condition);
         let done = self.lock().write(key, change);
         self.changed.notify_waiters();
@@ -184,7 +185,7 @@
     }
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, store::Error> {
-        self.enter(read).await?;
+        self.begin_call(read).await?;
         Ok(self.lock().visible().list(prefix))
     }
 
@@ -197,7 +198,7 @@
         let until = tokio::time::Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
-            self.enter(read).await?;
+            self.begin_call(read).await?;
             let found = self.lock().visible().changes(prefix, after);
             if !found.changes.is_empty() {
                 return Ok(found);
@@ -209,7 +210,7 @@
     }
 
     async fn vms(&self) -> Result<Vec<store::Vm>, store::Error> {
-        self.enter(read).await?;
+        self.begin_call(read).await?;
         Ok(self.lock().shown_vms.clone())
     }
 }
--- a/crates/geraniumgauge/src/store/mod.rs
+++ b/crates/geraniumgauge/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object API: versioned objects, conditional updates, watches.
+//! The platform's object API: versioned objects, conditional writes, watches.
 
 mod backoff;
 mod budget;
@@ -23,60 +23,61 @@
 
 use crate::ids;
 
-/// Largest object the platform takes, in bytes.
+/// Maximum size of an object, in bytes.
 pub const MAX_OBJECT: usize = 1 << 20;
 
 /// An object as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// Its version; grows with each write of this object.
+    /// The object's version; grows with each write of this object.
     pub version: ids::ObjectVersion,
-    /// Its content.
+    /// The object's content.
     pub body: bytes::Bytes,
 }
 
-/// What must hold for a write to take effect.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// The object doesn't exist.
+    /// The object must not exist.
     Absent,
-    /// The object has this version.
+    /// The object must have this version.
     Version(ids::ObjectVersion),
-    /// Anything.
+    /// The write is unconditional.
     Any,
 }
 
-/// One object that changed, as a watch or a list tells it.
+/// One object in the result of a list or a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Change {
     /// The object's key.
     pub key: String,
-    /// Its version now; 0 where it was deleted.
+    /// The object's current version; 0 if it was deleted.
     pub version: ids::ObjectVersion,
 }
 
-/// Objects below a prefix, or those that changed.
+/// The result of a list or a watch: objects below a prefix, or those of them that
+/// changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Listing {
-    /// The store's revision that this shows.
+    /// The store's revision that the listing reflects.
     pub revision: ids::Revision,
-    /// The objects, by key.
+    /// Keys and versions of the objects.
     pub changes: Vec<Change>,
 }
 
-/// One VM of the platform's list. The list lags.
+/// One VM in the platform's list, which lags behind the VMs' actual state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// The VM's name.
     pub vm: ids::Vm,
-    /// Its mesh address.
+    /// The VM's mesh address.
     pub address: std::net::SocketAddr,
-    /// Where it runs.
+    /// The data centre that it runs in.
     pub data_centre: ids::DataCentre,
-    /// The platform is about to stop it.
+    /// Whether the platform is about to stop it.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -85,24 +86,24 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Error {
-    /// The condition didn't hold; nothing was written.
+    /// The precondition didn't hold; nothing was written.
     #[display("{key} is at version {current}, not at the one expected")]
     Conflict {
         /// The object's key.
         key: String,
-        /// Its version now.
+        /// The object's current version.
         current: ids::ObjectVersion,
     },
-    /// There is no such object.
+    /// The object doesn't exist.
     #[display("{key} doesn't exist")]
     Missing {
         /// The object's key.
         key: String,
     },
-    /// The call has had no effect: it was not sent, or the store refused it.
+    /// The call had no effect: it was not sent, or the store refused it.
     #[display("the store is not available: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
     /// A write's reply was lost: it may or may not have taken effect.
@@ -110,15 +111,16 @@
     Unsure {
         /// The object's key.
         key: String,
-        /// What was seen.
+        /// Details of the failure.
         reason: String,
     },
-    /// The store refuses the content, such as an object over [`MAX_OBJECT`].
+    /// The store refuses the key or the content, such as an object larger than
+    /// [`MAX_OBJECT`].
     #[display("the store refuses {key}: {reason}")]
     Refused {
         /// The object's key.
         key: String,
-        /// What it said.
+        /// The reason for the refusal.
         reason: String,
     },
 }
@@ -132,11 +134,11 @@
     /// [`Error::Missing`] or [`Error::Unavailable`].
     async fn get(&self, key: &str) -> Result<Object, Error>;
 
-    /// Writes one object where `condition` holds; returns its new version.
+    /// Writes one object if `condition` holds; returns its new version.
     ///
     /// # Errors
-    /// Any but [`Error::Missing`]. After [`Error::Unsure`] read back before
-    /// trying again.
+    /// Any but [`Error::Missing`]. After [`Error::Unsure`] read the object before
+    /// writing it again.
     async fn put(
         &self,
         key: &str,
@@ -144,16 +146,16 @@
         condition: Condition,
     ) -> Result<ids::ObjectVersion, Error>;
 
-    /// Waits until a write below `key` can be made at once, as far as this VM's
-    /// own budget goes. What gathers meanwhile can still join the write.
+    /// Waits until this VM's own budget allows a write below `key` without further
+    /// delay. Until then the caller can add more to the write.
     async fn ready(&self, key: &str) {
         let _ = key;
     }
 
-    /// Deletes one object where `condition` holds.
+    /// Deletes one object if `condition` holds.
     ///
     /// # Errors
-    /// As [`Self::put`]; an object that doesn't exist counts as deleted.
+    /// As for [`Self::put`]; an object that doesn't exist counts as deleted.
     async fn delete(&self, key: &str, condition: Condition) -> Result<(), Error>;
 
     /// Lists the objects whose keys start with `prefix`.
@@ -162,8 +164,8 @@
     /// [`Error::Unavailable`].
     async fn list(&self, prefix: &str) -> Result<Listing, Error>;
 
-    /// Waits up to `wait` for changes below `prefix` after revision `after`;
-    /// an empty listing where none came.
+    /// Waits up to `wait` for changes below `prefix` after revision `after`. The
+    /// listing is empty if there were none.
     ///
     /// # Errors
     /// [`Error::Unavailable`].
@@ -174,7 +176,7 @@
         wait: time::Duration,
     ) -> Result<Listing, Error>;
 
-    /// The platform's list of live and leaving VMs. It lags.
+    /// Returns the platform's list of live and leaving VMs, which may be outdated.
     ///
     /// # Errors
     /// [`Error::Unavailable`].
--- a/crates/geraniumgauge/src/store/objects.rs
+++ b/crates/geraniumgauge/src/store/objects.rs
@@ -1,5 +1,5 @@
-//! The object API's rules in memory, without clock or sockets: the stand-in of
-//! the platform serves it over HTTP, and tests use it directly.
+//! An in-memory implementation of the object API without clock or sockets. The
+//! platform's stand-in serves it over HTTP, and tests use it directly.
 
 use std::collections;
 
@@ -28,10 +28,11 @@
         })
     }
 
-    /// Writes one object where `condition` holds.
+    /// Writes one object if `condition` holds.
     ///
     /// # Errors
-    /// [`store::Error::Conflict`], or [`store::Error::Refused`] for a large body.
+    /// [`store::Error::Conflict`], or [`store::Error::Refused`] for a body larger than
+    /// [`store::MAX_OBJECT`].
     pub fn put(
         &mut self,
         key: &str,
@@ -49,18 +50,18 @@
         let version = ids::ObjectVersion(self.revision.0 + 1);
         self.objects
             .insert(key.to_owned(), store::Object { version, body });
-        self.note(key, version);
+        self.record_change(key, version);
         Ok(version)
     }
 
-    /// Deletes one object where `condition` holds.
+    /// Deletes one object if `condition` holds.
     ///
     /// # Errors
     /// [`store::Error::Conflict`].
     pub fn delete(&mut self, key: &str, condition: store::Condition) -> Result<(), store::Error> {
         self.check(key, condition)?;
         if self.objects.remove(key).is_some() {
-            self.note(key, ids::ObjectVersion(0));
+            self.record_change(key, ids::ObjectVersion(0));
         }
         Ok(())
     }
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The newest change of each key below `prefix` since revision `after`.
+    /// Returns the newest change of each key below `prefix` after revision `after`.
     pub fn changes(&self, prefix: &str, after: ids::Revision) -> store::Listing {
         let since = self.log.range(ids::Revision(after.0 + 1)..);
         let below = since.filter(|(_, change)| change.key.starts_with(prefix));
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The store's revision.
+    /// Returns the store's revision.
     pub fn revision(&self) -> ids::Revision {
         self.revision
     }
@@ -113,7 +114,7 @@
         }
     }
 
-    fn note(&mut self, key: &str, version: ids::ObjectVersion) {
+    fn record_change(&mut self, key: &str, version: ids::ObjectVersion) {
         self.revision = ids::Revision(self.revision.0 + 1);
         if let Some(earlier) = self.latest.insert(key.to_owned(), self.revision) {
             self.log.remove(&earlier);
--- a/crates/geraniumgauge/src/store/tests/budget.rs
+++ b/crates/geraniumgauge/src/store/tests/budget.rs
@@ -2,21 +2,24 @@
 
 use super::*;
 
-fn spent(budget: &mut Budget, urgency: Urgency, now: time::Moment) -> usize {
+fn spend_all(budget: &mut Budget, urgency: Urgency, now: time::Moment) -> usize {
     (0..10_000)
         .take_while(|_| budget.take(Kind::Write, urgency, now))
         .count()
 }
 
-/// Story: status and burn figures of a large fleet are written at once, and
-/// claims of waiting callers find the VM's share of the store used up.
+/// Guards against status and burn rates of a large fleet using up the VM's budget,
+/// so that claims that callers wait for are delayed.
 #[test]
-fn patient_callers_leave_room_for_claims() {
+fn deferrable_calls_leave_capacity_for_claims() {
     let start = time::Moment::default();
     let mut budget = Budget::new(8, start);
-    let patient = spent(&mut budget, Urgency::Patient, start);
-    let first = spent(&mut budget, Urgency::First, start);
-    assert!(patient > 0 && first >= patient, "{patient} {first}");
+    let deferrable = spend_all(&mut budget, Urgency::Deferrable, start);
+    let urgent = spend_all(&mut budget, Urgency::Urgent, start);
+    assert!(
+        deferrable > 0 && urgent >= deferrable,
+        "{deferrable} {urgent}"
+    );
 }
 
 #[test]
@@ -25,25 +28,28 @@
     for vms in [1, 8, 128, 2200] {
         let start = time::Moment::default();
         let mut budget = Budget::new(vms, start);
-        spent(&mut budget, Urgency::First, start);
+        spend_all(&mut budget, Urgency::Urgent, start);
         let mut taken = 0;
         for second in 1..=100u32 {
-            taken += spent(&mut budget, Urgency::First, start + span * second);
+            taken += spend_all(&mut budget, Urgency::Urgent, start + span * second);
         }
-        let fleet = taken as f64 * vms as f64 / 100.0;
-        assert!(fleet <= FLEET_WRITES * 1.01, "{vms} VMs: {fleet}/s");
+        let fleet_rate = taken as f64 * vms as f64 / 100.0;
+        assert!(
+            fleet_rate <= FLEET_WRITES * 1.01,
+            "{vms} VMs: {fleet_rate}/s"
+        );
     }
 }
 
-/// Story: a VM comes and goes, and the view of the others changes each second.
-/// Were their shares filled each time, they would overrun the store.
+/// A VM repeatedly joins and leaves, so that the fleet size changes each second. If
+/// that refilled the other VMs' buckets, they would overload the store.
 #[test]
-fn a_view_that_changes_often_fills_nothing() {
+fn changes_of_the_fleet_size_dont_refill_the_buckets() {
     let start = time::Moment::default();
     let mut budget = Budget::new(8, start);
-    spent(&mut budget, Urgency::First, start);
+    spend_all(&mut budget, Urgency::Urgent, start);
     for vms in [9, 8, 9, 8] {
         budget.resize(vms, start);
-        assert_eq!(spent(&mut budget, Urgency::First, start), 0);
+        assert_eq!(spend_all(&mut budget, Urgency::Urgent, start), 0);
     }
 }
--- a/crates/geraniumgauge/src/store/tests/client.rs
+++ b/crates/geraniumgauge/src/store/tests/client.rs
@@ -7,7 +7,7 @@
 use crate::metrics;
 use crate::store::Api as _;
 
-/// A store that reads one request, answers it with `reply` and closes.
+/// A store that reads one request per connection, answers it with `reply` and closes.
 async fn server(reply: &'static str) -> net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -32,9 +32,9 @@
     client.put("ledger/a", "body".into(), condition).await
 }
 
-/// Story: the store takes a claim and the connection goes before its reply.
-/// Taken for "not written", the claim would stand in nobody's name; taken for
-/// "written", two VMs could hold it.
+/// The store accepts a claim, and the connection breaks before its reply. If the
+/// write counted as failed, the claim would have no owner; if it counted as done,
+/// two VMs could own it.
 #[tokio::test]
 async fn a_write_without_a_reply_is_unsure() {
     let lost = put("").await;
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn a_write_that_was_not_taken_is_told_apart() {
+async fn a_refused_write_is_distinguished_from_one_without_a_reply() {
     let down = put("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").await;
     assert!(
         matches!(down, Err(store::Error::Unavailable { .. })),
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_takes_no_connection_has_done_nothing() {
+async fn a_write_to_a_store_that_accepts_no_connection_had_no_effect() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -84,8 +84,8 @@
     );
 }
 
-/// Story: a service is named "..". A URL parser takes that as a way up the
-/// path, and the write would go to another team's object.
+/// A service is named "..". A URL parser resolves that as the parent path, so the
+/// write would change another team's object.
 #[tokio::test]
 async fn a_key_that_leaves_its_path_is_refused() {
     let client = client("127.0.0.1:1".parse().unwrap());
