--- a/crates/geraniumgauge/src/events.rs
+++ b/crates/geraniumgauge/src/events.rs
@@ -1,11 +1,12 @@
-//! Events in virtual time, for tests of many state machines on one clock.
+//! A queue of events in virtual time, for tests of several state machines that share
+//! one clock.
 
 use std::collections;
 
 use crate::time as clock;
 
-/// What is due, and when; of events due at one moment the first pushed comes
-/// first.
+/// Events ordered by due time; those due at the same time keep the order in which
+/// they were pushed.
 #[derive(Debug)]
 pub(crate) struct Queue<T> {
     due: collections::BTreeMap<(clock::Moment, u64), T>,
@@ -22,13 +23,14 @@
 }
 
 impl<T> Queue<T> {
-    /// Adds an event.
+    /// Adds an event that is due at `at`.
     pub(crate) fn push(&mut self, at: clock::Moment, event: T) {
         self.pushed += 1;
         self.due.insert((at, self.pushed), event);
     }
 
-    /// The next event that is due at `until` or before, and when it is.
+    /// Removes and returns the next event that is due at or before `until`, with its due
+    /// time.
     pub(crate) fn pop(&mut self, until: clock::Moment) -> Option<(clock::Moment, T)> {
         let first = self.due.first_entry()?;
         let at = first.key().0;
--- a/crates/geraniumgauge/src/ids.rs
+++ b/crates/geraniumgauge/src/ids.rs
@@ -1,49 +1,49 @@
-//! Identifiers as distinct types, so that one kind can't be passed for another.
+//! Identifiers as distinct types, so that they can't be mixed up.
 //!
-//! Text identifiers are limited to [`MAX_LEN`] bytes of `[A-Za-z0-9._:-]`: they
-//! become parts of store keys, URLs and log lines.
+//! Text identifiers are limited to [`MAX_LEN`] bytes of `[A-Za-z0-9._:-]`, since
+//! they become parts of store keys, URLs and log lines.
 
 use std::fmt;
 use std::str;
 use std::sync;
 
-/// Longest text identifier, in bytes.
+/// Maximum length of a text identifier, in bytes.
 pub const MAX_LEN: usize = 128;
 
-/// Why a text is no identifier.
+/// Why a text isn't a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Error {
     /// The text is empty.
     #[display("{kind} is empty; give 1 to {MAX_LEN} characters")]
     Empty {
-        /// Which kind of identifier was read.
+        /// The kind of identifier that was parsed.
         kind: &'static str,
     },
     /// The text is longer than [`MAX_LEN`] bytes.
     #[display("{kind} has {len} bytes; give at most {MAX_LEN}")]
     Long {
-        /// Which kind of identifier was read.
+        /// The kind of identifier that was parsed.
         kind: &'static str,
-        /// The length found, in bytes.
+        /// The text's length, in bytes.
         len: usize,
     },
-    /// A character outside the allowed set.
+    /// The text contains a character outside the allowed set.
     #[display("{kind} holds {found:?} at byte {at}; use letters, digits and . _ : -")]
     Character {
-        /// Which kind of identifier was read.
+        /// The kind of identifier that was parsed.
         kind: &'static str,
         /// The first character that is not allowed.
         found: char,
         /// Its byte offset.
         at: usize,
     },
-    /// A numeric identifier that is no number.
+    /// The text of a numeric identifier isn't a number.
     #[display("{kind} {text:?} is no whole number from 0 to 18446744073709551615")]
     Number {
-        /// Which kind of identifier was read.
+        /// The kind of identifier that was parsed.
         kind: &'static str,
-        /// The text found.
+        /// The text that was parsed.
         text: String,
     },
 }
@@ -74,7 +74,7 @@
         pub struct $name(sync::Arc<str>);
 
         impl $name {
-            /// The identifier's text.
+            /// Returns the identifier's text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -128,7 +128,7 @@
 }
 
 text_id!(
-    /// A service: one team's search offer over one set of shards.
+    /// A service: a search of one team over one set of shards.
     Service, "service"
 );
 text_id!(
@@ -140,48 +140,48 @@
     Shard, "shard"
 );
 text_id!(
-    /// An upstream server process, which holds one replica of one or more shards.
+    /// An upstream server process, which serves one replica of one or more shards.
     Upstream, "upstream"
 );
 text_id!(
-    /// One of our VMs. A name is used by one running process at a time; its
-    /// [`Incarnation`] tells starts apart.
+    /// A VM of this system. At most one running process has a given name; its
+    /// [`Incarnation`] distinguishes restarts.
     Vm, "vm"
 );
 text_id!(
-    /// A data centre, of ours or of an upstream.
+    /// A data centre that VMs or upstreams run in.
     DataCentre, "data centre"
 );
 text_id!(
-    /// A request as the caller sees it, unique per attempt of the caller.
+    /// A caller's request. Each retry by the caller has an id of its own.
     Request, "request id"
 );
 text_id!(
-    /// The caller's `Idempotency-Key` of a registration.
+    /// The `Idempotency-Key` that a caller gives for a registration.
     Key, "idempotency key"
 );
 
 number_id!(
-    /// One call to one upstream on behalf of one request. Unique within the VM
-    /// that issues it while that process lives; never used again.
+    /// One call to one upstream on behalf of one request. Unique, and never reused,
+    /// within the VM process that issues it.
     Attempt, "attempt"
 );
 number_id!(
-    /// A hash of what a request asks for, equal when a caller sends it again.
+    /// A hash of a request's content, equal when a caller sends the request again.
     Fingerprint, "fingerprint"
 );
 number_id!(
-    /// Tells starts of the same VM apart; higher is later. Milliseconds since
-    /// the Unix epoch at the process's start; raised only to outbid an earlier
-    /// start whose clock was ahead.
+    /// Distinguishes restarts of the same VM; higher is later. Milliseconds since the
+    /// Unix epoch at the process's start, raised only to exceed the incarnation of an
+    /// earlier start whose clock was ahead.
     Incarnation, "incarnation"
 );
 number_id!(
-    /// Counts accepted documents of a service; higher is later.
+    /// The number of a service's accepted document; higher is later.
     Generation, "generation"
 );
 number_id!(
-    /// The version of an index, as upstreams count it; higher is later.
+    /// The version of an index, assigned by the upstreams; higher is later.
     IndexVersion, "index version"
 );
 number_id!(
@@ -189,23 +189,23 @@
     LayoutVersion, "layout version"
 );
 number_id!(
-    /// An object's version in the platform's store; 0 where there is none.
+    /// An object's version in the platform's store; 0 if the object doesn't exist.
     ObjectVersion, "object version"
 );
 number_id!(
-    /// The store's revision: grows with each write to any object.
+    /// The store's revision, which grows with each write to any object.
     Revision, "revision"
 );
 
 impl Fingerprint {
-    /// Hashes the parts of a request that make it the same request when the
-    /// caller sends it again: the service and the body, not ids or deadlines.
+    /// Hashes the parts of a request that are equal when the caller sends it again:
+    /// the service and the body, but no ids or deadlines.
     pub fn of(service: &Service, body: &[u8]) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(service.as_str().as_bytes());
         Self(xxhash_rust::xxh3::xxh3_64_with_seed(body, seed))
     }
 
-    /// Hashes a request that is passed on as it came: its first line and body.
+    /// Hashes the request line and the body of a request that is forwarded unchanged.
     pub fn of_request(line: &[u8], body: &[u8]) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(line);
         Self(xxhash_rust::xxh3::xxh3_64_with_seed(body, seed))
--- a/crates/geraniumgauge/src/lib.rs
+++ b/crates/geraniumgauge/src/lib.rs
@@ -1,11 +1,12 @@
 //! A query tier over many index shards.
 //!
-//! Callers' searches are fanned out to upstream replicas and gathered into one
-//! answer that reflects one snapshot and states truly which shards it covers.
-//! Each module is one duty with its own state, messages and tests. Decisions
-//! are state machines without I/O (`handle(event, now) -> actions`); the tasks
-//! beside them only carry the actions out, so the same code runs under
-//! quickcheck with seeds and in the daemon.
+//! A caller's search is fanned out to upstream replicas. Their results are merged
+//! into one answer that reflects a single snapshot and states which shards it covers.
+//!
+//! Each module is responsible for one task and has its own state, messages and tests.
+//! Decisions are made by state machines without I/O (`handle(event, now) -> actions`),
+//! and tokio tasks carry out the actions. So the same state machines run in the
+//! daemon and in quickcheck tests with seeds.
 
 pub mod document;
 pub mod edge;
--- a/crates/geraniumgauge/src/rate.rs
+++ b/crates/geraniumgauge/src/rate.rs
@@ -4,7 +4,7 @@
 
 use crate::time;
 
-/// Why a text is no rate, share or size.
+/// A text or number that isn't a valid rate, share or size.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("{text:?} is no {kind}; {remedy}")]
@@ -22,18 +22,18 @@
 pub struct Share(f64);
 
 impl Share {
-    /// A share, where `value` lies from 0 to 1.
+    /// Returns a share, or `None` if `value` isn't between 0 and 1.
     pub fn new(value: f64) -> Option<Self> {
         (0.0..=1.0).contains(&value).then_some(Self(value))
     }
 
-    /// The share `percent` of 100, at most 1. For constants.
+    /// Returns a share of `percent` per cent, at most 1. For constants.
     pub const fn percent(percent: u8) -> Self {
         let capped = if percent > 100 { 100 } else { percent };
         Self(capped as f64 / 100.0)
     }
 
-    /// The share as a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     pub const fn get(self) -> f64 {
         self.0
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Events a second.
+/// Events per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[display("{_0}/s")]
@@ -147,12 +147,13 @@
     }
 }
 
-/// Pays for extra work from a share of the first attempts.
+/// Limits hedges and retries to a share of the first attempts.
 ///
-/// Each first attempt earns `share` of a token; each hedge or retry costs one.
-/// Without it, a slow or refusing upstream draws more work the worse it does:
-/// a retry storm. The cap bounds the burst after a quiet time; the floor lets a
-/// service of a few requests a minute hedge at all.
+/// Each first attempt adds `share` of a token; each hedge or retry costs one token.
+/// Without a limit, slow or refusing upstreams would cause a retry storm: the worse
+/// they do, the more calls they get. The cap bounds the burst after idle time. It
+/// doesn't depend on the request rate, and the budget starts full, so that a service
+/// of a few requests a minute can hedge too.
 #[derive(Debug, Clone)]
 pub struct Budget {
     share: f64,
@@ -161,8 +162,8 @@
 }
 
 impl Budget {
-    /// A budget that earns `share` a first attempt and holds at most `cap`
-    /// tokens. It starts full.
+    /// Creates a full budget that earns `share` tokens per first attempt and holds at
+    /// most `cap`.
     pub fn new(share: Share, cap: f64) -> Self {
         Self {
             share: share.get(),
@@ -171,19 +172,19 @@
         }
     }
 
-    /// Follows a changed document; tokens above the new cap are dropped.
+    /// Changes share and cap; tokens above the new cap are dropped.
     pub fn set(&mut self, share: Share, cap: f64) {
         self.share = share.get();
         self.cap = cap;
         self.tokens = self.tokens.min(cap);
     }
 
-    /// Earns for `count` first attempts.
+    /// Adds the tokens for `count` first attempts.
     pub fn earn(&mut self, count: usize) {
         self.tokens = (self.tokens + self.share * count as f64).min(self.cap);
     }
 
-    /// Takes one token where there is one.
+    /// Takes one token; false if there is none.
     pub fn spend(&mut self) -> bool {
         let paid = self.tokens >= 1.0;
         if paid {
@@ -192,35 +193,34 @@
         paid
     }
 
-    /// Tokens held.
+    /// Returns the number of tokens.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 }
 
-/// A token bucket over time: at most `rate` a second in the long run and
-/// `burst` at once.
+/// A token bucket that allows `rate` per second in the long run and `burst` at once.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     rate: PerSecond,
     burst: f64,
     tokens: f64,
-    seen: time::Moment,
+    updated: time::Moment,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: PerSecond, burst: f64, now: time::Moment) -> Self {
         Self {
             rate,
             burst,
             tokens: burst,
-            seen: now,
+            updated: now,
         }
     }
 
-    /// Follows a new rate and burst. Tokens held stay, up to the new burst:
-    /// changing often fills nothing.
+    /// Changes rate and burst. Tokens stay, up to the new burst, so that frequent
+    /// changes don't refill the bucket.
     pub fn resize(&mut self, rate: PerSecond, burst: f64, now: time::Moment) {
         self.take(0.0, now);
         self.rate = rate;
@@ -228,11 +228,11 @@
         self.tokens = self.tokens.min(burst);
     }
 
-    /// Takes `count` tokens where they are there.
+    /// Takes `count` tokens; false, and takes none, if there are fewer.
     pub fn take(&mut self, count: f64, now: time::Moment) -> bool {
-        let gained = now.since(self.seen).as_secs_f64() * self.rate.0;
+        let gained = now.since(self.updated).as_secs_f64() * self.rate.0;
         self.tokens = (self.tokens + gained).min(self.burst);
-        self.seen = self.seen.max(now);
+        self.updated = self.updated.max(now);
         let enough = self.tokens >= count;
         if enough {
             self.tokens -= count;
--- a/crates/geraniumgauge/src/rendezvous.rs
+++ b/crates/geraniumgauge/src/rendezvous.rs
@@ -1,19 +1,19 @@
-//! Rendezvous hashing: which of the live VMs holds a duty.
+//! Rendezvous hashing: assigns duties, such as keeping a document, to live VMs.
 //!
-//! Every VM with the same view picks the same holders; a VM that comes or goes
-//! moves only the duties it holds. Views that differ for a while give a duty
-//! more holders than wanted, so each duty must be safe under that.
+//! VMs with the same view of the fleet pick the same VMs for a duty, and a VM that
+//! joins or leaves moves only its own duties. While views differ, a duty may be held
+//! by more VMs than intended, so each duty must tolerate that.
 
 use crate::ids;
 
-/// The weight of `vm` for `duty`; the highest weight holds the duty.
+/// Returns the weight of `vm` for `duty`; the VM of highest weight holds the duty.
 pub fn weight(duty: &str, vm: &ids::Vm) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(duty.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(vm.as_str().as_bytes(), seed)
 }
 
-/// The `count` VMs of highest weight for `duty`, highest first. Ties, which
-/// need equal names, fall back to the name's order.
+/// Returns the `count` VMs of highest weight for `duty`, highest first. VMs of equal
+/// weight are ordered by name.
 pub fn pick<'a>(
     duty: &str,
     vms: impl IntoIterator<Item = &'a ids::Vm>,
--- a/crates/geraniumgauge/src/seeds.rs
+++ b/crates/geraniumgauge/src/seeds.rs
@@ -1,21 +1,23 @@
-//! Properties over the same seeds in every run.
+//! Runs quickcheck properties with the same seed every time.
 //!
-//! quickcheck draws new values each time, so a property that holds for all but
-//! one seed in a thousand passes today and fails tomorrow, in whichever change
-//! happens to be tested then. Set [`VARIABLE`] to a number to try other seeds;
-//! one that fails is kept in its test.
+//! By default quickcheck draws new values in each run, so a property that fails for
+//! one seed in a thousand would fail in the tests of an unrelated change. Set the
+//! environment variable [`SEED_VARIABLE`] to a number to try another seed; a seed that
+//! fails is added to the property's test.
 
 use std::env;
 
-/// Environment variable with another start for the values drawn.
-pub(crate) const VARIABLE: &str = "GERANIUMGAUGE_SEED";
+/// Environment variable with the seed of the generated values; 0 if unset.
+pub(crate) const SEED_VARIABLE: &str = "GERANIUMGAUGE_SEED";
 
-/// Size of quickcheck's values, its own default.
+/// Size parameter of the generated values: quickcheck's default.
 const SIZE: usize = 100;
 
-/// A checker whose values follow from [`VARIABLE`], or are always the same.
+/// Returns a checker whose values are determined by [`SEED_VARIABLE`].
 pub(crate) fn checker() -> quickcheck::QuickCheck {
-    let seed = env::var(VARIABLE).ok().and_then(|text| text.parse().ok());
+    let seed = env::var(SEED_VARIABLE)
+        .ok()
+        .and_then(|text| text.parse().ok());
     let values = quickcheck::Gen::from_size_and_seed(SIZE, seed.unwrap_or(0));
     quickcheck::QuickCheck::new().rng(values)
 }
--- a/crates/geraniumgauge/src/tests/ids.rs
+++ b/crates/geraniumgauge/src/tests/ids.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_bad_character_is_named_with_its_place() {
+fn a_bad_character_is_reported_with_its_offset() {
     let found = "label printing".parse::<Service>();
     assert_eq!(
         found,
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_displayed_is_parsed_back() {
+fn a_displayed_id_can_be_parsed() {
     fn property(number: u64) -> bool {
         Generation(number).to_string().parse() == Ok(Generation(number))
     }
--- a/crates/geraniumgauge/src/tests/rate.rs
+++ b/crates/geraniumgauge/src/tests/rate.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Story: every upstream sheds, and each shed call asks to be sent again.
-/// Unpaid, that doubles the load just when there is least room. The budget
-/// holds extra work to its share of the first attempts plus the burst.
+/// Every upstream sheds load, and each shed call is to be retried, which would double
+/// the load on upstreams that are overloaded already. The budget limits retries to
+/// its share of the first attempts plus the burst.
 #[test]
 fn spending_stays_within_the_share_and_the_cap() {
     fn property(steps: Vec<bool>) -> bool {
         let mut budget = Budget::new(Share::percent(5), 10.0);
-        let (mut earned, mut spent) = (0usize, 0usize);
+        let (mut first_attempts, mut spent) = (0usize, 0usize);
         for first in steps {
             if first {
                 budget.earn(1);
-                earned += 1;
+                first_attempts += 1;
             } else if budget.spend() {
                 spent += 1;
             }
         }
-        spent as f64 <= 10.0 + 0.05 * earned as f64 + 1e-6
+        spent as f64 <= 10.0 + 0.05 * first_attempts as f64 + 1e-6
     }
     crate::seeds::checker().quickcheck(property as fn(Vec<bool>) -> bool);
 }
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn links_are_read_and_shown_as_they_were() {
+fn link_rates_are_parsed_and_displayed_unchanged() {
     let link = BytesPerSecond::of_link(14.0);
     assert_eq!(link, BytesPerSecond(1_750_000.0));
     assert_eq!(link.as_link(), 14.0);
--- a/crates/geraniumgauge/src/tests/rendezvous.rs
+++ b/crates/geraniumgauge/src/tests/rendezvous.rs
@@ -6,8 +6,8 @@
         .collect()
 }
 
-/// Story: a VM is replaced. Duties of the other VMs must stay where they are,
-/// or every replacement would cut connections all over the fleet.
+/// When a VM is replaced, the duties of the other VMs must not move: otherwise every
+/// replacement would close connections throughout the fleet.
 #[test]
 fn a_lost_vm_moves_only_its_own_duties() {
     fn property(duty: u16, lost: u8) -> bool {
--- a/crates/geraniumgauge/src/time.rs
+++ b/crates/geraniumgauge/src/time.rs
@@ -1,37 +1,38 @@
-//! Points in time, as the state machines are given them.
+//! Points in time, which are passed to the state machines.
 //!
-//! [`Moment`] is monotonic and local to one process: never send it. Between
-//! processes only time left goes on the wire, so that clocks that differ do no
-//! harm. [`Wall`] is the VM's wall clock, for windows of minutes and more.
+//! [`Moment`] is monotonic and local to one process; it must not be sent to others.
+//! Messages between processes contain durations, such as the time left, so that
+//! clock differences don't matter. [`Wall`] is the VM's wall clock, for windows of
+//! minutes and more.
 
 use std::cell;
 use std::ops;
 use std::rc;
 use std::time;
 
-/// A monotonic point in time of this process, in microseconds since it started.
+/// A monotonic point in time, in microseconds since this process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 #[display("{_0}us")]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The point `millis` milliseconds after the process's start.
+    /// Returns the point `millis` milliseconds after the process's start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
 
-    /// Time from `earlier` to here; zero where `earlier` is later.
+    /// Returns the time from `earlier` to this point; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point `span` before this one; the process's start, where that is later.
+    /// Returns the point `span` before this one, but not before the process's start.
     pub fn before(self, span: time::Duration) -> Self {
         Self(self.0.saturating_sub(micros(span)))
     }
 
-    /// Time left until `later`; zero where it has passed.
+    /// Returns the time from this point until `later`; zero if `later` is earlier.
     pub fn until(self, later: Self) -> time::Duration {
         later.since(self)
     }
@@ -44,40 +45,40 @@
     }
 }
 
-/// When something happened last; clones share it.
+/// The time of an event's latest occurrence; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Latest(rc::Rc<cell::Cell<Option<tokio::time::Instant>>>);
 
 impl Latest {
-    /// It happens now.
+    /// Records that the event occurs now.
     pub fn note(&self) {
         self.0.set(Some(tokio::time::Instant::now()));
     }
 
-    /// How long ago it happened; `None` where it never has.
+    /// Returns the time since the latest occurrence; `None` if there was none.
     pub fn age(&self) -> Option<time::Duration> {
         self.0.get().map(|at| at.elapsed())
     }
 }
 
-/// Whole microseconds of `span`, saturating.
+/// Returns `span` in whole microseconds, saturating.
 pub fn micros(span: time::Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Whole milliseconds of `span`, saturating.
+/// Returns `span` in whole milliseconds, saturating.
 pub fn millis(span: time::Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The VM's wall clock, in milliseconds since the Unix epoch.
+/// A point in time of the VM's wall clock, in milliseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[serde(transparent)]
 pub struct Wall(pub u64);
 
 impl Wall {
-    /// Time from `earlier` to here; zero where `earlier` is later.
+    /// Returns the time from `earlier` to this point; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
@@ -90,11 +91,11 @@
     }
 }
 
-/// Reads both clocks. Clones share the same start.
+/// The monotonic and the wall clock. Clones share the same start.
 ///
 /// Monotonic time is tokio's, so tests that pause tokio's clock pause this one.
-/// Wall time is the system's at the start plus the monotonic time since: it
-/// doesn't jump while the process lives, and it too stands still when paused.
+/// Wall time is the system time at the start plus the monotonic time since then, so
+/// it doesn't jump while the process runs, and it can be paused as well.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: tokio::time::Instant,
@@ -102,14 +103,14 @@
 }
 
 impl Clock {
-    /// A clock that starts now. Call within a tokio runtime.
+    /// Creates a clock that starts now. Must be called within a tokio runtime.
     pub fn start() -> Self {
         let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
         Self::start_at(Wall::default() + since_epoch.unwrap_or_default())
     }
 
-    /// A clock that starts now and takes `wall` for the time of day: for runs
-    /// that must repeat exactly, and for clocks that are wrong.
+    /// Creates a clock that starts now with the wall time `wall`, for reproducible runs
+    /// and for tests with wrong clocks.
     pub fn start_at(wall: Wall) -> Self {
         Self {
             start: tokio::time::Instant::now(),
@@ -117,17 +118,17 @@
         }
     }
 
-    /// Monotonic time now.
+    /// Returns the current monotonic time.
     pub fn now(&self) -> Moment {
         Moment(micros(self.start.elapsed()))
     }
 
-    /// Wall time now.
+    /// Returns the current wall time.
     pub fn wall(&self) -> Wall {
         self.wall + self.start.elapsed()
     }
 
-    /// The tokio instant of `moment`, for timers.
+    /// Converts `moment` to tokio's instant, for timers.
     pub fn instant(&self, moment: Moment) -> tokio::time::Instant {
         self.start + time::Duration::from_micros(moment.0)
     }
--- a/crates/geraniumgauge/src/timer/mod.rs
+++ b/crates/geraniumgauge/src/timer/mod.rs
@@ -1,22 +1,22 @@
-//! The timer service: parts subscribe to ticks instead of sleeping themselves.
+//! The timer service: modules subscribe to periodic ticks.
 //!
-//! It runs on tokio's clock, so tests with paused time drive every part that
-//! subscribes. Periods are jittered per subscription: parts of many VMs that
-//! start together would otherwise call the store and each other together.
+//! It runs on tokio's clock, so tests with paused time control all subscribers. The
+//! first tick can be jittered: otherwise VMs that start at the same time would call
+//! the store and each other at the same time.
 
 use std::time;
 
 use tokio::time as clock;
 use tokio_util::sync;
 
-/// Hands out subscriptions; cheap to clone. Cancelling it ends them all.
+/// Creates subscriptions, which all end when its token is cancelled. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Service {
     stop: sync::CancellationToken,
 }
 
-/// A stream of ticks. Ticks that were missed while the subscriber was busy or
-/// the process was paused come once, not one after another.
+/// A stream of ticks. Ticks that were missed while the subscriber was busy or the
+/// process was paused are delivered as a single one.
 #[derive(Debug)]
 pub struct Subscription {
     interval: clock::Interval,
@@ -24,13 +24,13 @@
 }
 
 impl Service {
-    /// A service whose subscriptions end when `stop` is cancelled.
+    /// Creates a service whose subscriptions end when `stop` is cancelled.
     pub fn new(stop: sync::CancellationToken) -> Self {
         Self { stop }
     }
 
-    /// Ticks each `period`, the first after `delay`. `period` must not be zero;
-    /// zero is taken as one millisecond.
+    /// Subscribes to a tick every `period`, the first after `delay`. A `period` below
+    /// one millisecond is raised to that.
     pub fn every(&self, period: time::Duration, delay: time::Duration) -> Subscription {
         let period = period.max(time::Duration::from_millis(1));
         let mut interval = clock::interval_at(clock::Instant::now() + delay, period);
@@ -41,12 +41,12 @@
         }
     }
 
-    /// As [`Self::every`], with a random first delay of up to one period.
+    /// Like [`Self::every`], with a random first delay of up to one period.
     pub fn jittered(&self, period: time::Duration) -> Subscription {
         self.every(period, period.mul_f64(rand::random::<f64>()))
     }
 
-    /// Waits for `span`; false where the service was stopped before.
+    /// Waits for `span`; false if the service is stopped before it has passed.
     pub async fn pause(&self, span: time::Duration) -> bool {
         tokio::select! {
             () = clock::sleep(span) => true,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The token that ends the subscriptions.
+    /// Returns the token that ends the subscriptions.
     pub fn stop(&self) -> &sync::CancellationToken {
         &self.stop
     }
--- a/crates/geraniumgauge/src/timer/tests.rs
+++ b/crates/geraniumgauge/src/timer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Story: a VM is paused for a minute. On waking, a part that ticks each second
-/// must not run sixty rounds at once and flood its peers.
+/// A VM is paused for a minute. A subscriber with a period of one second must not get
+/// 60 ticks at once when the VM resumes, and send its peers 60 rounds of messages.
 #[tokio::test(start_paused = true)]
 async fn missed_ticks_come_once() {
     let second = time::Duration::from_secs(1);
@@ -9,9 +9,9 @@
     let mut ticks = service.every(second, second);
     clock::advance(60 * second).await;
     assert_eq!(ticks.tick().await, Some(()));
-    let woken = clock::Instant::now();
+    let resumed = clock::Instant::now();
     assert_eq!(ticks.tick().await, Some(()));
-    assert!(woken.elapsed() >= second);
+    assert!(resumed.elapsed() >= second);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/geraniumgauge/src/trickle.rs
+++ b/crates/geraniumgauge/src/trickle.rs
@@ -1,16 +1,17 @@
-//! Bytes that come slowly, for tests of who waits for them.
+//! A slow sender, for tests of code that waits for bytes.
 
 use std::future;
 use std::time;
 
 use tokio::io::AsyncWriteExt as _;
 
-/// What `receive` makes of `bytes`, of which a tenth comes each `pause`, and none
-/// any more after `pieces`. In virtual time; the connection stays open.
+/// Sends `bytes` to `receive` in virtual time, a tenth after each `delay`, and returns
+/// its result. After `pieces` tenths nothing more is sent, but the connection stays
+/// open.
 pub(crate) fn send<T, F: Future<Output = T>>(
     bytes: &[u8],
     pieces: usize,
-    pause: time::Duration,
+    delay: time::Duration,
     receive: impl FnOnce(tokio::io::DuplexStream) -> F,
 ) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -18,17 +19,17 @@
         .start_paused(true)
         .build();
     runtime.expect("a runtime").block_on(async {
-        let (near, mut far) = tokio::io::duplex(1 << 20);
-        let send = async {
+        let (receiver, mut sender) = tokio::io::duplex(1 << 20);
+        let sending = async {
             for piece in bytes.chunks(bytes.len() / 10).take(pieces) {
-                tokio::time::sleep(pause).await;
-                far.write_all(piece).await.expect("an open connection");
+                tokio::time::sleep(delay).await;
+                sender.write_all(piece).await.expect("an open connection");
             }
             future::pending::<()>().await;
         };
         tokio::select! {
-            received = receive(near) => received,
-            () = send => unreachable!("it waits for ever"),
+            received = receive(receiver) => received,
+            () = sending => unreachable!("the sender never ends"),
         }
     })
 }
