--- a/crates/geraniumgauge/src/rate.rs
+++ b/crates/geraniumgauge/src/rate.rs
@@ -27,7 +27,7 @@
         (0.0..=1.0).contains(&value).then_some(Self(value))
     }
 
-    /// Returns a share of `percent` per cent, at most 1. For constants.
+    /// Returns the share `percent` / 100, at most 1. For constants.
     pub const fn percent(percent: u8) -> Self {
         let capped = if percent > 100 { 100 } else { percent };
         Self(capped as f64 / 100.0)
@@ -99,13 +99,13 @@
 pub struct BytesPerSecond(pub f64);
 
 impl BytesPerSecond {
-    /// A link of so many megabits a second.
-    pub fn of_link(megabits: f64) -> Self {
+    /// Converts from megabits per second.
+    pub fn from_megabits(megabits: f64) -> Self {
         Self(megabits * 125_000.0)
     }
 
-    /// The link's megabits a second.
-    pub fn as_link(self) -> f64 {
+    /// Converts to megabits per second.
+    pub fn to_megabits(self) -> f64 {
         self.0 / 125_000.0
     }
 }
--- a/crates/geraniumgauge/src/store/client.rs
+++ b/crates/geraniumgauge/src/store/client.rs
@@ -26,7 +26,7 @@
 const BUDGET_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// Interval at which a waiting call checks the budget again.
 const BUDGET_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(5);
-/// Number of VMs assumed until the first [`Client::fleet`].
+/// Number of VMs assumed until the first [`Client::set_fleet_size`].
 const INITIAL_VMS: usize = 8;
 
 /// Header with the version of the object read or written.
@@ -74,7 +74,7 @@
     }
 
     /// Sets this VM's rates to its share in a fleet of `vms`.
-    pub fn fleet(&self, vms: usize) {
+    pub fn set_fleet_size(&self, vms: usize) {
         self.lock().resize(vms, self.clock.now());
     }
 
@@ -85,7 +85,7 @@
         loop {
             let vms = view.borrow_and_update().members.len();
             if vms != known {
-                self.fleet(vms);
+                self.set_fleet_size(vms);
                 known = vms;
             }
             if view.changed().await.is_err() {
--- a/crates/geraniumgauge/src/tests/rate.rs
+++ b/crates/geraniumgauge/src/tests/rate.rs
@@ -29,9 +29,9 @@
 
 #[test]
 fn link_rates_are_parsed_and_displayed_unchanged() {
-    let link = BytesPerSecond::of_link(14.0);
+    let link = BytesPerSecond::from_megabits(14.0);
     assert_eq!(link, BytesPerSecond(1_750_000.0));
-    assert_eq!(link.as_link(), 14.0);
+    assert_eq!(link.to_megabits(), 14.0);
     assert_eq!(link.to_string().parse(), Ok(link));
     for wrong in ["0", "-1 B/s", "fast", ""] {
         assert!(wrong.parse::<BytesPerSecond>().is_err(), "{wrong}");
--- a/crates/geraniumgauge/src/upstream/connection.rs
+++ b/crates/geraniumgauge/src/upstream/connection.rs
@@ -24,20 +24,20 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Timeout for connecting.
-    pub connect: time::Duration,
-    /// Maximum size of a reply body, in bytes.
-    pub body: usize,
+    pub connect_timeout: time::Duration,
+    /// Maximum size of a reply body.
+    pub max_body_bytes: usize,
     /// How long sent bytes may stay unacknowledged before the operating system
     /// closes the connection (TCP_USER_TIMEOUT).
-    pub unacknowledged: time::Duration,
+    pub unacknowledged_timeout: time::Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connect: time::Duration::from_secs(1),
-            body: 4 << 20,
-            unacknowledged: time::Duration::from_secs(5),
+            connect_timeout: time::Duration::from_secs(1),
+            max_body_bytes: 4 << 20,
+            unacknowledged_timeout: time::Duration::from_secs(5),
         }
     }
 }
@@ -98,8 +98,8 @@
             .retry(reqwest::retry::never())
             .pool_max_idle_per_host(1)
             .tcp_nodelay(true)
-            .tcp_user_timeout(limits.unacknowledged)
-            .connect_timeout(limits.connect)
+            .tcp_user_timeout(limits.unacknowledged_timeout)
+            .connect_timeout(limits.connect_timeout)
             .dns_resolver(sync::Arc::new(SingleUse::new(upstream.address)))
             .build()
             .map_err(|source| Error { source })?;
@@ -208,7 +208,7 @@
     async fn body(&self, mut reply: reqwest::Response) -> Result<bytes::Bytes, Failure> {
         let mut body = bytes::BytesMut::new();
         while let Some(chunk) = reply.chunk().await? {
-            if body.len() + chunk.len() > self.limits.body {
+            if body.len() + chunk.len() > self.limits.max_body_bytes {
                 return Err(Failure::TooLarge);
             }
             body.extend_from_slice(&chunk);
--- a/crates/geraniumgauge/src/upstream/tests.rs
+++ b/crates/geraniumgauge/src/upstream/tests.rs
@@ -103,9 +103,9 @@
 }
 
 impl Fake {
-    fn connection(&self, body: usize) -> Connection {
+    fn connection(&self, max_body_bytes: usize) -> Connection {
         let limits = Limits {
-            body,
+            max_body_bytes,
             ..Limits::default()
         };
         Connection::new(&self.upstream, limits).unwrap()
