--- a/crates/geraniumgauge/src/follow/mod.rs
+++ b/crates/geraniumgauge/src/follow/mod.rs
@@ -46,7 +46,7 @@
 
 /// An update of the objects of one kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News<T> {
+pub enum Delta<T> {
     /// Replaces all objects.
     All(Vec<Item<T>>),
     /// Single changes, in order.
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -84,9 +84,9 @@
             Some(since) => {
                 let gone = since.gone.into_iter().map(follow::Change::Gone);
                 let put = since.put.into_iter().map(item).map(follow::Change::Put);
-                follow::News::Changes(gone.chain(put).collect())
+                follow::Delta::Changes(gone.chain(put).collect())
             }
-            None => follow::News::All(held.all().put.into_iter().map(item).collect()),
+            None => follow::Delta::All(held.all().put.into_iter().map(item).collect()),
         }
     }
 
@@ -112,14 +112,14 @@
             return;
         };
         // Kept empty, as the sign that there were some.
-        let empty = follow::News::Changes(Vec::new());
+        let empty = follow::Delta::Changes(Vec::new());
         let told = answer.registrations.as_mut();
         match told.map(|told| std::mem::replace(told, empty)) {
-            Some(follow::News::All(items)) => {
+            Some(follow::Delta::All(items)) => {
                 let snapshot = follow::Snapshot { items, revision };
                 self.take_list(snapshot, sure, &source);
             }
-            Some(follow::News::Changes(changes)) => {
+            Some(follow::Delta::Changes(changes)) => {
                 self.change(changes, revision, self.lag());
             }
             None => {}
@@ -198,7 +198,7 @@
                 objects = snapshot.items.len(), source = source;
                 "registrations listed"
             );
-            let news = follow::News::All(snapshot.items);
+            let news = follow::Delta::All(snapshot.items);
             self.0.hear.registrations(news, lag);
             self.0.missed.notify_waiters();
         }
@@ -245,7 +245,7 @@
         }
         drop(content);
         if !kept.is_empty() {
-            let news = follow::News::Changes(kept.clone());
+            let news = follow::Delta::Changes(kept.clone());
             self.0.hear.registrations(news, lag);
         }
         self.hold();
--- a/crates/geraniumgauge/src/spread/mod.rs
+++ b/crates/geraniumgauge/src/spread/mod.rs
@@ -49,7 +49,7 @@
 pub type Record = (Member, time::Duration);
 
 /// Registrations as they are told.
-pub type Registrations = follow::News<registry::Entry>;
+pub type Registrations = follow::Delta<registry::Entry>;
 
 #[cfg(test)]
 pub(crate) mod tests;
--- a/crates/geraniumgauge/src/spread/tests/wire.rs
+++ b/crates/geraniumgauge/src/spread/tests/wire.rs
@@ -105,10 +105,10 @@
     assert_eq!(wire::Fetch::from(&fetch).read(), Some(fetch));
     for registrations in [
         None,
-        Some(follow::News::Changes(vec![follow::Change::Gone(
+        Some(follow::Delta::Changes(vec![follow::Change::Gone(
             "u1".to_owned(),
         )])),
-        Some(follow::News::All(vec![
+        Some(follow::Delta::All(vec![
             item("u8", Some(entry("u8"))),
             item("x", None),
         ])),
--- a/crates/geraniumgauge/src/spread/tests/world/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/mod.rs
@@ -264,7 +264,7 @@
                 let holds = answer.summary.holds;
                 if !fetch.brief && holds.digest != fetch.holds.digest {
                     // Stands for what differs.
-                    answer.registrations = Some(follow::News::Changes(Vec::new()));
+                    answer.registrations = Some(follow::Delta::Changes(Vec::new()));
                 }
                 if !fetch.brief && holds.config > fetch.holds.config {
                     answer.config = Some(String::new());
--- a/crates/geraniumgauge/src/spread/wire/registration.rs
+++ b/crates/geraniumgauge/src/spread/wire/registration.rs
@@ -56,8 +56,8 @@
 impl From<&spread::Registrations> for News {
     fn from(news: &spread::Registrations) -> Self {
         let (all, told) = match news {
-            follow::News::Changes(changes) => (false, changes.as_slice().into()),
-            follow::News::All(items) => {
+            follow::Delta::Changes(changes) => (false, changes.as_slice().into()),
+            follow::Delta::All(items) => {
                 let put = items.iter().map(Registration::from).collect();
                 let gone = Vec::new();
                 (true, Changes { put, gone })
