--- a/crates/geraniumgauge/src/follow/held.rs
+++ b/crates/geraniumgauge/src/follow/inventory.rs
@@ -44,7 +44,7 @@
 /// Names, revisions and digest of the objects read so far, and the latest
 /// deletions.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct Inventory {
     objects: collections::HashMap<String, ids::Revision>,
     digest: Digest,
     /// The store's revision that the objects reflect; `None` before the first list.
@@ -55,7 +55,7 @@
     deletions_after: ids::Revision,
 }
 
-impl Held {
+impl Inventory {
     /// Replaces the objects by a list. Returns false, and changes nothing, if the
     /// list is older than the objects held.
     pub fn list<T>(&mut self, snapshot: &follow::Snapshot<T>) -> bool {
--- a/crates/geraniumgauge/src/follow/mod.rs
+++ b/crates/geraniumgauge/src/follow/mod.rs
@@ -1,16 +1,16 @@
 //! Reads kinds of objects in the platform's store by lists and watches.
 //!
 //! A watch alone can miss changes unnoticed: the store may drop it silently, or
-//! answer it from a stale copy. [`Held`] therefore keeps a digest of the objects
+//! answer it from a stale copy. [`Inventory`] therefore keeps a digest of the objects
 //! read so far, which is compared with that of a linearizable list. While the
 //! store is unreachable, the objects stay as they were read last. Which VM reads
 //! the store, and how it sends changes to the others, is up to [`crate::spread`].
 
-mod held;
+mod inventory;
 
-pub use held::Digest;
-pub use held::Held;
-pub use held::Since;
+pub use inventory::Digest;
+pub use inventory::Inventory;
+pub use inventory::Since;
 
 use crate::ids;
 use crate::time as clock;
--- a/crates/geraniumgauge/src/follow/tests.rs
+++ b/crates/geraniumgauge/src/follow/tests.rs
@@ -13,7 +13,7 @@
     /// digest as a list of the objects.
     fn digests_are_equal_if_no_change_was_missed(steps: Vec<(u8, bool)>, missed: Option<u8>) -> bool {
         let mut expected: std::collections::BTreeMap<u8, u64> = Default::default();
-        let mut watched = Held::default();
+        let mut watched = Inventory::default();
         watched.list(&Snapshot::<()> { items: Vec::new(), revision: ids::Revision(0) });
         let mut lacking = false;
         for (step, (name, gone)) in steps.iter().enumerate() {
@@ -43,19 +43,23 @@
 /// Applying it would bring drained upstreams back.
 #[test]
 fn an_older_list_changes_nothing() {
-    let mut held = Held::default();
+    let mut inventory = Inventory::default();
     let list = |revision, items| Snapshot {
         items,
         revision: ids::Revision(revision),
     };
-    assert!(held.list(&list(5, vec![item(1, 4)])));
-    let applied = held.change(vec![Change::Put(item(1, 7))], ids::Revision(7));
+    assert!(inventory.list(&list(5, vec![item(1, 4)])));
+    let applied = inventory.change(vec![Change::Put(item(1, 7))], ids::Revision(7));
     assert_eq!(applied.len(), 1);
-    let digest = held.digest();
-    assert!(!held.list(&list(6, vec![item(1, 4)])));
+    let digest = inventory.digest();
+    assert!(!inventory.list(&list(6, vec![item(1, 4)])));
     assert!(
-        held.change(vec![Change::Put(item(1, 4))], ids::Revision(6))
+        inventory
+            .change(vec![Change::Put(item(1, 4))], ids::Revision(6))
             .is_empty()
     );
-    assert_eq!((held.digest(), held.at()), (digest, Some(ids::Revision(7))));
+    assert_eq!(
+        (inventory.digest(), inventory.at()),
+        (digest, Some(ids::Revision(7)))
+    );
 }
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -17,7 +17,7 @@
 /// What is held of the store.
 #[derive(Debug, Default)]
 pub(super) struct Content {
-    registrations: follow::Held,
+    registrations: follow::Inventory,
     config: Option<(ids::Revision, String)>,
     /// Whether the registrations are just those that a look showed.
     sure: bool,
@@ -73,7 +73,7 @@
         }
     }
 
-    fn told(&self, held: &follow::Held, fetch: &spread::Fetch) -> spread::Registrations {
+    fn told(&self, held: &follow::Inventory, fetch: &spread::Fetch) -> spread::Registrations {
         let item = |(name, revision): (String, ids::Revision)| follow::Item {
             value: self.0.hear.registration(&name),
             name,
