--- a/crates/geraniumgauge/src/follow/inventory.rs
+++ b/crates/geraniumgauge/src/follow/inventory.rs
@@ -34,7 +34,7 @@
 
 /// The changes since an earlier revision, by object name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Since {
+pub struct Difference {
     /// Objects written since then, with the revision of their last change.
     pub put: Vec<(String, ids::Revision)>,
     /// Objects deleted since then.
@@ -147,23 +147,23 @@
 
     /// Returns the changes after `revision`; `None` if some deletions since then
     /// are no longer kept.
-    pub fn since(&self, revision: ids::Revision) -> Option<Since> {
+    pub fn since(&self, revision: ids::Revision) -> Option<Difference> {
         if self.revision.is_none() || revision < self.deletions_after {
             return None;
         }
         let newer = self.objects.iter().filter(|(_, known)| **known > revision);
         let gone = self.deletions.iter().filter(|(at, _)| *at > revision);
         let gone = gone.filter(|(_, name)| !self.objects.contains_key(name));
-        Some(Since {
+        Some(Difference {
             put: newer.map(|(name, known)| (name.clone(), *known)).collect(),
             gone: gone.map(|(_, name)| name.clone()).collect(),
         })
     }
 
     /// Returns all objects, as changes since an empty state.
-    pub fn all(&self) -> Since {
+    pub fn all(&self) -> Difference {
         let objects = self.objects.iter();
-        Since {
+        Difference {
             put: objects
                 .map(|(name, known)| (name.clone(), *known))
                 .collect(),
--- a/crates/geraniumgauge/src/follow/mod.rs
+++ b/crates/geraniumgauge/src/follow/mod.rs
@@ -8,9 +8,9 @@
 
 mod inventory;
 
+pub use inventory::Difference;
 pub use inventory::Digest;
 pub use inventory::Inventory;
-pub use inventory::Since;
 
 use crate::ids;
 use crate::time as clock;
