--- a/crates/geraniumgauge/src/follow/inventory.rs
+++ b/crates/geraniumgauge/src/follow/inventory.rs
@@ -182,7 +182,7 @@
 
     /// Returns the store's revision that the objects reflect; `None` before the
     /// first list.
-    pub fn at(&self) -> Option<ids::Revision> {
+    pub fn revision(&self) -> Option<ids::Revision> {
         self.revision
     }
 }
--- a/crates/geraniumgauge/src/follow/tests.rs
+++ b/crates/geraniumgauge/src/follow/tests.rs
@@ -59,7 +59,7 @@
             .is_empty()
     );
     assert_eq!(
-        (inventory.digest(), inventory.at()),
+        (inventory.digest(), inventory.revision()),
         (digest, Some(ids::Revision(7)))
     );
 }
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -26,7 +26,7 @@
 impl Content {
     fn holds(&self) -> spread::Holds {
         spread::Holds {
-            revision: self.registrations.at(),
+            revision: self.registrations.revision(),
             digest: self.registrations.digest(),
             config: self.config.as_ref().map(|(revision, _)| *revision),
         }
@@ -36,7 +36,7 @@
 impl<H: spread::Hear> spread::Service<H> {
     /// The revision up to which the registrations are held.
     pub(super) fn revision(&self) -> Option<ids::Revision> {
-        self.0.content.borrow().registrations.at()
+        self.0.content.borrow().registrations.revision()
     }
 
     /// What this VM answers to another one, and the part of its link that the
@@ -51,7 +51,7 @@
         let config = config.filter(|(revision, _)| Some(*revision) > fetch.holds.config);
         let held = &content.registrations;
         let differs = held.digest() != fetch.holds.digest || fetch.whole;
-        let registrations = differs && held.at().is_some();
+        let registrations = differs && held.revision().is_some();
         let registrations = registrations.then(|| self.told(held, fetch));
         let size = config.map_or(0, |(_, text)| text.len())
             + registrations.as_ref().map_or(0, spread::wire::size_of);
