--- a/crates/geraniumgauge/src/follow/inventory.rs
+++ b/crates/geraniumgauge/src/follow/inventory.rs
@@ -58,7 +58,7 @@
 impl Inventory {
     /// Replaces the objects by a list. Returns false, and changes nothing, if the
     /// list is older than the objects held.
-    pub fn list<T>(&mut self, snapshot: &follow::Snapshot<T>) -> bool {
+    pub fn apply_list<T>(&mut self, snapshot: &follow::Snapshot<T>) -> bool {
         let Some(revision) = self.revision else {
             self.deletions_after = snapshot.revision;
             self.replace(snapshot);
@@ -89,7 +89,7 @@
     /// Applies changes that lead to `revision`, and returns those that took effect.
     /// Changes that aren't newer than the objects held are dropped: a watch of a
     /// lagging copy repeats changes that a list has already shown.
-    pub fn change<T>(
+    pub fn apply_changes<T>(
         &mut self,
         changes: Vec<follow::Change<T>>,
         revision: ids::Revision,
--- a/crates/geraniumgauge/src/follow/tests.rs
+++ b/crates/geraniumgauge/src/follow/tests.rs
@@ -14,7 +14,7 @@
     fn digests_are_equal_if_no_change_was_missed(steps: Vec<(u8, bool)>, missed: Option<u8>) -> bool {
         let mut expected: std::collections::BTreeMap<u8, u64> = Default::default();
         let mut watched = Inventory::default();
-        watched.list(&Snapshot::<()> { items: Vec::new(), revision: ids::Revision(0) });
+        watched.apply_list(&Snapshot::<()> { items: Vec::new(), revision: ids::Revision(0) });
         let mut lacking = false;
         for (step, (name, gone)) in steps.iter().enumerate() {
             let (name, revision) = (name % 6, step as u64 + 1);
@@ -30,7 +30,7 @@
                 continue;
             }
             let repeated = vec![change.clone(), change];
-            watched.change(repeated, ids::Revision(revision));
+            watched.apply_changes(repeated, ids::Revision(revision));
         }
         let items: Vec<Item<()>> = expected.iter().map(|(name, revision)| item(*name, *revision)).collect();
         let same = watched.digest() == Digest::of(&items);
@@ -48,14 +48,14 @@
         items,
         revision: ids::Revision(revision),
     };
-    assert!(inventory.list(&list(5, vec![item(1, 4)])));
-    let applied = inventory.change(vec![Change::Put(item(1, 7))], ids::Revision(7));
+    assert!(inventory.apply_list(&list(5, vec![item(1, 4)])));
+    let applied = inventory.apply_changes(vec![Change::Put(item(1, 7))], ids::Revision(7));
     assert_eq!(applied.len(), 1);
     let digest = inventory.digest();
-    assert!(!inventory.list(&list(6, vec![item(1, 4)])));
+    assert!(!inventory.apply_list(&list(6, vec![item(1, 4)])));
     assert!(
         inventory
-            .change(vec![Change::Put(item(1, 4))], ids::Revision(6))
+            .apply_changes(vec![Change::Put(item(1, 4))], ids::Revision(6))
             .is_empty()
     );
     assert_eq!(
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -186,7 +186,7 @@
         let lag = self.lag();
         let mut content = self.0.content.borrow_mut();
         let before = content.holds();
-        if !content.registrations.list(&snapshot) {
+        if !content.registrations.apply_list(&snapshot) {
             return;
         }
         content.sure = sure;
@@ -239,7 +239,7 @@
         lag: time::Duration,
     ) -> Vec<follow::Change<registry::Entry>> {
         let mut content = self.0.content.borrow_mut();
-        let kept = content.registrations.change(changes, revision);
+        let kept = content.registrations.apply_changes(changes, revision);
         if !kept.is_empty() {
             content.sure = false;
         }
