--- a/crates/geraniumgauge/src/follow/inventory.rs
+++ b/crates/geraniumgauge/src/follow/inventory.rs
@@ -115,7 +115,7 @@
                 self.objects.insert(item.name.clone(), item.revision);
                 true
             }
-            follow::Change::Gone(name) => {
+            follow::Change::Deleted(name) => {
                 // The object was written again after this deletion.
                 if self.revision_of(name).is_some_and(|known| known > received) {
                     return false;
--- a/crates/geraniumgauge/src/follow/mod.rs
+++ b/crates/geraniumgauge/src/follow/mod.rs
@@ -41,7 +41,7 @@
     /// The object was created or updated.
     Put(Item<T>),
     /// The object with this name was deleted.
-    Gone(String),
+    Deleted(String),
 }
 
 /// An update of the objects of one kind.
--- a/crates/geraniumgauge/src/follow/tests.rs
+++ b/crates/geraniumgauge/src/follow/tests.rs
@@ -20,7 +20,7 @@
             let (name, revision) = (name % 6, step as u64 + 1);
             let change = if *gone {
                 expected.remove(&name);
-                Change::Gone(format!("u{name}"))
+                Change::Deleted(format!("u{name}"))
             } else {
                 expected.insert(name, revision);
                 Change::Put(item(name, revision))
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -82,7 +82,7 @@
         let known = fetch.holds.revision.filter(|_| !fetch.whole);
         match known.and_then(|revision| held.since(revision)) {
             Some(since) => {
-                let gone = since.gone.into_iter().map(follow::Change::Gone);
+                let gone = since.gone.into_iter().map(follow::Change::Deleted);
                 let put = since.put.into_iter().map(item).map(follow::Change::Put);
                 follow::Delta::Changes(gone.chain(put).collect())
             }
@@ -292,7 +292,7 @@
         follow::Change::Put(item) => {
             log::info!(name = item.name.as_str(), revision:% = item.revision; "registration of no upstream");
         }
-        follow::Change::Gone(name) => {
+        follow::Change::Deleted(name) => {
             log::info!(upstream = name.as_str(); "registration gone");
         }
     }
--- a/crates/geraniumgauge/src/spread/tests/wire.rs
+++ b/crates/geraniumgauge/src/spread/tests/wire.rs
@@ -62,7 +62,7 @@
 #[test]
 fn datagrams_come_back_as_they_were() {
     let changes = vec![
-        follow::Change::Gone("u7".to_owned()),
+        follow::Change::Deleted("u7".to_owned()),
         follow::Change::Put(item("u8", Some(entry("u8")))),
         follow::Change::Put(item("no upstream", None)),
     ];
@@ -105,7 +105,7 @@
     assert_eq!(wire::Fetch::from(&fetch).read(), Some(fetch));
     for registrations in [
         None,
-        Some(follow::Delta::Changes(vec![follow::Change::Gone(
+        Some(follow::Delta::Changes(vec![follow::Change::Deleted(
             "u1".to_owned(),
         )])),
         Some(follow::Delta::All(vec![
--- a/crates/geraniumgauge/src/spread/wire/registration.rs
+++ b/crates/geraniumgauge/src/spread/wire/registration.rs
@@ -24,7 +24,7 @@
         for change in changes {
             match change {
                 follow::Change::Put(item) => told.put.push(item.into()),
-                follow::Change::Gone(name) => told.gone.push(name.clone()),
+                follow::Change::Deleted(name) => told.gone.push(name.clone()),
             }
         }
         told
@@ -35,7 +35,7 @@
     /// Deletions come first: an object that was deleted and written again is
     /// there.
     fn from(told: Changes) -> Self {
-        let gone = told.gone.into_iter().map(follow::Change::Gone);
+        let gone = told.gone.into_iter().map(follow::Change::Deleted);
         let put = told.put.into_iter();
         let put = put.map(|told| follow::Change::Put(told.into()));
         gone.chain(put).collect()
