--- a/crates/geraniumgauge/src/follow/mod.rs
+++ b/crates/geraniumgauge/src/follow/mod.rs
@@ -74,7 +74,7 @@
     type Value;
 
     /// The time at which bytes were last received from the store.
-    fn heard(&self) -> clock::Latest;
+    fn last_received(&self) -> clock::Latest;
 
     /// Lists all objects by a linearizable read.
     ///
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -94,7 +94,10 @@
                 () = service.look_wanted() => {}
             }
             let began = service.clock().now();
-            let heard = [self.config.heard(), self.registrations.heard()];
+            let heard = [
+                self.config.last_received(),
+                self.registrations.last_received(),
+            ];
             let looked = tokio::select! {
                 looked = self.look(&service) => looked,
                 () = follow_progress(&service, &heard, &timer) => return,
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -22,7 +22,7 @@
 impl follow::Source for Config {
     type Value = String;
 
-    fn heard(&self) -> clock::Latest {
+    fn last_received(&self) -> clock::Latest {
         clock::Latest::default()
     }
 
@@ -58,7 +58,7 @@
 impl follow::Source for Deaf {
     type Value = registry::Entry;
 
-    fn heard(&self) -> clock::Latest {
+    fn last_received(&self) -> clock::Latest {
         clock::Latest::default()
     }
 
