--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -144,13 +144,13 @@
         let registry = &mut self.fleet.registry;
         let named = match wanted.upstream.parse() {
             Ok(id) => registry.named(&id, wanted.address(), &own, now),
-            Err(_) => Err(registry::Unnamed::Unknown),
+            Err(_) => Err(registry::Error::Unknown),
         };
         let upstream = named.map_err(|why| {
             log::info!(request = message.id.as_str(), upstream = wanted.upstream.as_str(), why:% = why; "call for another VM not made");
             let how = match why {
-                registry::Unnamed::Unknown => frame::How::Unknown,
-                registry::Unnamed::Leaving => frame::How::NotSent,
+                registry::Error::Unknown => frame::How::Unknown,
+                registry::Error::Leaving => frame::How::NotSent,
             };
             frame::End::new(wanted.id, how)
         })?;
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -24,7 +24,7 @@
 /// Why an upstream can't be called on behalf of another VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
-pub enum Unnamed {
+pub enum Error {
     /// It isn't registered here, and the request gives no address.
     #[display("the upstream isn't known")]
     Unknown,
@@ -256,14 +256,14 @@
     /// other VMs only.
     ///
     /// # Errors
-    /// [`Unnamed`] if the upstream is unknown without an address, or leaving.
+    /// [`Error`] if the upstream is unknown without an address, or leaving.
     pub fn named(
         &mut self,
         id: &ids::Upstream,
         address: Option<net::SocketAddr>,
         data_centre: &ids::DataCentre,
         now: clock::Moment,
-    ) -> Result<Handle, Unnamed> {
+    ) -> Result<Handle, Error> {
         if let Some(known) = self.by_id.get(id).copied() {
             let upstream = self.get(known);
             if address.is_none_or(|address| upstream.entry.address == address) {
@@ -271,11 +271,11 @@
                 return if usable {
                     Ok(known)
                 } else {
-                    Err(Unnamed::Leaving)
+                    Err(Error::Leaving)
                 };
             }
         }
-        let address = address.ok_or(Unnamed::Unknown)?;
+        let address = address.ok_or(Error::Unknown)?;
         if let Some(known) = self.foreign.get(id).copied()
             && self.get(known).entry.address == address
         {
@@ -283,7 +283,7 @@
         }
         let entry = Entry {
             id: id.clone(),
-            service: FOREIGN_SERVICE.parse().map_err(|_| Unnamed::Unknown)?,
+            service: FOREIGN_SERVICE.parse().map_err(|_| Error::Unknown)?,
             address,
             data_centre: data_centre.clone(),
             slots: 1,
--- a/crates/geraniumgauge/src/registry/tests.rs
+++ b/crates/geraniumgauge/src/registry/tests.rs
@@ -134,12 +134,12 @@
     registry.put(known.clone(), at(0));
     assert_eq!(
         registry.named(&known.id, None, &data_centre, at(1)),
-        Err(Unnamed::Leaving)
+        Err(Error::Leaving)
     );
     let new = entry(2, 1, State::Ready);
     assert_eq!(
         registry.named(&new.id, None, &data_centre, at(1)),
-        Err(Unnamed::Unknown)
+        Err(Error::Unknown)
     );
     let address = Some(new.address);
     let foreign = registry
