--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -143,7 +143,7 @@
         let own = self.fleet.own().data_centre.clone();
         let registry = &mut self.fleet.registry;
         let named = match wanted.upstream.parse() {
-            Ok(id) => registry.named(&id, wanted.address(), &own, now),
+            Ok(id) => registry.resolve(&id, wanted.address(), &own, now),
             Err(_) => Err(registry::Error::Unknown),
         };
         let upstream = named.map_err(|why| {
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -257,7 +257,7 @@
     ///
     /// # Errors
     /// [`Error`] if the upstream is unknown without an address, or leaving.
-    pub fn named(
+    pub fn resolve(
         &mut self,
         id: &ids::Upstream,
         address: Option<net::SocketAddr>,
--- a/crates/geraniumgauge/src/registry/tests.rs
+++ b/crates/geraniumgauge/src/registry/tests.rs
@@ -133,27 +133,27 @@
     let known = entry(0, 1, State::Draining);
     registry.put(known.clone(), at(0));
     assert_eq!(
-        registry.named(&known.id, None, &data_centre, at(1)),
+        registry.resolve(&known.id, None, &data_centre, at(1)),
         Err(Error::Leaving)
     );
     let new = entry(2, 1, State::Ready);
     assert_eq!(
-        registry.named(&new.id, None, &data_centre, at(1)),
+        registry.resolve(&new.id, None, &data_centre, at(1)),
         Err(Error::Unknown)
     );
     let address = Some(new.address);
     let foreign = registry
-        .named(&new.id, address, &data_centre, at(1))
+        .resolve(&new.id, address, &data_centre, at(1))
         .expect("called");
     assert_eq!(
-        registry.named(&new.id, address, &data_centre, at(2)),
+        registry.resolve(&new.id, address, &data_centre, at(2)),
         Ok(foreign)
     );
     let own = registry.of(&new.service);
     assert!(!own.contains(&foreign), "not for this VM's own requests");
     registry.put(new.clone(), at(3));
     let listed = registry
-        .named(&new.id, None, &data_centre, at(4))
+        .resolve(&new.id, None, &data_centre, at(4))
         .expect("called");
     assert_ne!(listed, foreign);
 }
