--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -275,7 +275,9 @@
             self.end(id, forward::Verdict::Lost, now);
         }
         self.close(link);
-        if call.is_some() && self.fleet.registry.get(upstream).usable(now) != registry::Use::Never {
+        if call.is_some()
+            && self.fleet.registry.get(upstream).usable(now) != registry::Eligibility::Never
+        {
             // A new connection shows whether the upstream went with this one.
             self.open(upstream);
         }
@@ -288,7 +290,7 @@
             return;
         };
         let upstream = known.upstream;
-        if self.fleet.registry.get(upstream).usable(now) == registry::Use::Never {
+        if self.fleet.registry.get(upstream).usable(now) == registry::Eligibility::Never {
             self.close(link);
             return;
         }
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -194,7 +194,7 @@
         let upstream = self.registry.get(handle);
         let standing = &self.standings[handle.index()];
         let usable = upstream.usable(now);
-        if usable == registry::Use::Never || !standing.up(now) {
+        if usable == registry::Eligibility::Never || !standing.up(now) {
             return None;
         }
         let cold = now < upstream.warm_at;
@@ -206,7 +206,7 @@
         if standing.is_late() || standing.is_full(now) {
             cost += AVOID;
         }
-        if usable == registry::Use::LastResort {
+        if usable == registry::Eligibility::LastResort {
             cost += LAST_RESORT;
         }
         Some(cost)
@@ -257,7 +257,7 @@
         let advice = self.standing(upstream).advice(now)?;
         let service = &self.registry.get(upstream).entry.service;
         let other = |other: &registry::Handle| {
-            let usable = self.registry.get(*other).usable(now) == registry::Use::Full;
+            let usable = self.registry.get(*other).usable(now) == registry::Eligibility::Full;
             let standing = self.standings.get(other.index());
             let well = standing.is_none_or(|standing| standing.advice(now).is_none());
             *other != upstream && usable && well
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -78,7 +78,7 @@
 
 /// Whether an upstream may be given requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
+pub enum Eligibility {
     /// Without restriction.
     Full,
     /// Only if its service has no other: its registration vanished recently.
@@ -102,14 +102,14 @@
 
 impl Upstream {
     /// Whether it may be given requests at `now`.
-    pub fn usable(&self, now: clock::Moment) -> Use {
+    pub fn usable(&self, now: clock::Moment) -> Eligibility {
         if self.gone || self.entry.state == State::Draining {
-            return Use::Never;
+            return Eligibility::Never;
         }
         match self.vanished {
-            None => Use::Full,
-            Some(since) if now.since(since) < VANISHED_GRACE => Use::LastResort,
-            Some(_) => Use::Never,
+            None => Eligibility::Full,
+            Some(since) if now.since(since) < VANISHED_GRACE => Eligibility::LastResort,
+            Some(_) => Eligibility::Never,
         }
     }
 }
@@ -267,7 +267,7 @@
         if let Some(known) = self.by_id.get(id).copied() {
             let upstream = self.get(known);
             if address.is_none_or(|address| upstream.entry.address == address) {
-                let usable = upstream.usable(now) != Use::Never;
+                let usable = upstream.usable(now) != Eligibility::Never;
                 return if usable {
                     Ok(known)
                 } else {
