--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -301,7 +301,7 @@
         let registry = &state.fleet.registry;
         registry
             .iter()
-            .filter(|known| known.usable(now) == registry::Eligibility::Full)
+            .filter(|known| known.eligibility(now) == registry::Eligibility::Full)
             .count()
     }
 
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -276,7 +276,7 @@
         }
         self.close(link);
         if call.is_some()
-            && self.fleet.registry.get(upstream).usable(now) != registry::Eligibility::Never
+            && self.fleet.registry.get(upstream).eligibility(now) != registry::Eligibility::Never
         {
             // A new connection shows whether the upstream went with this one.
             self.open(upstream);
@@ -290,7 +290,7 @@
             return;
         };
         let upstream = known.upstream;
-        if self.fleet.registry.get(upstream).usable(now) == registry::Eligibility::Never {
+        if self.fleet.registry.get(upstream).eligibility(now) == registry::Eligibility::Never {
             self.close(link);
             return;
         }
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -193,7 +193,7 @@
     ) -> Option<time::Duration> {
         let upstream = self.registry.get(handle);
         let standing = &self.standings[handle.index()];
-        let usable = upstream.usable(now);
+        let usable = upstream.eligibility(now);
         if usable == registry::Eligibility::Never || !standing.up(now) {
             return None;
         }
@@ -257,7 +257,7 @@
         let advice = self.standing(upstream).advice(now)?;
         let service = &self.registry.get(upstream).entry.service;
         let other = |other: &registry::Handle| {
-            let usable = self.registry.get(*other).usable(now) == registry::Eligibility::Full;
+            let usable = self.registry.get(*other).eligibility(now) == registry::Eligibility::Full;
             let standing = self.standings.get(other.index());
             let well = standing.is_none_or(|standing| standing.advice(now).is_none());
             *other != upstream && usable && well
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -102,7 +102,7 @@
 
 impl Upstream {
     /// Whether it may be given requests at `now`.
-    pub fn usable(&self, now: clock::Moment) -> Eligibility {
+    pub fn eligibility(&self, now: clock::Moment) -> Eligibility {
         if self.gone || self.entry.state == State::Draining {
             return Eligibility::Never;
         }
@@ -267,7 +267,7 @@
         if let Some(known) = self.by_id.get(id).copied() {
             let upstream = self.get(known);
             if address.is_none_or(|address| upstream.entry.address == address) {
-                let usable = upstream.usable(now) != Eligibility::Never;
+                let usable = upstream.eligibility(now) != Eligibility::Never;
                 return if usable {
                     Ok(known)
                 } else {
--- a/crates/geraniumgauge/src/registry/tests.rs
+++ b/crates/geraniumgauge/src/registry/tests.rs
@@ -29,15 +29,18 @@
     let handles = registry.of(&"s0".parse().expect("a name")).to_vec();
     for handle in &handles {
         assert_eq!(
-            registry.get(*handle).usable(at(2500)),
+            registry.get(*handle).eligibility(at(2500)),
             Eligibility::LastResort
         );
     }
     let back = registry.put(entry(0, 1, State::Ready), at(2600));
     assert_eq!(back, vec![Change::Returned(handles[0])]);
-    assert_eq!(registry.get(handles[0]).usable(at(9000)), Eligibility::Full);
     assert_eq!(
-        registry.get(handles[1]).usable(at(3000)),
+        registry.get(handles[0]).eligibility(at(9000)),
+        Eligibility::Full
+    );
+    assert_eq!(
+        registry.get(handles[1]).eligibility(at(3000)),
         Eligibility::Never
     );
     assert_eq!(registry.expire(at(3000)), vec![Change::Gone(handles[1])]);
@@ -51,7 +54,10 @@
     registry.put(entry(0, 1, State::Ready), at(0));
     let changes = registry.put(entry(0, 1, State::Draining), at(10));
     assert_eq!(changes, vec![Change::Draining(Handle(0))]);
-    assert_eq!(registry.get(Handle(0)).usable(at(10)), Eligibility::Never);
+    assert_eq!(
+        registry.get(Handle(0)).eligibility(at(10)),
+        Eligibility::Never
+    );
     let change = registry.remove(&"u0".parse().expect("an id"), time::Duration::ZERO, at(20));
     assert_eq!(change, Some(Change::Gone(Handle(0))));
     assert!(registry.is_empty());
@@ -68,7 +74,10 @@
         changes,
         vec![Change::Gone(Handle(0)), Change::Came(Handle(1))]
     );
-    assert_eq!(registry.get(Handle(0)).usable(at(10)), Eligibility::Never);
+    assert_eq!(
+        registry.get(Handle(0)).eligibility(at(10)),
+        Eligibility::Never
+    );
     let service = "s0".parse().expect("a name");
     assert_eq!(registry.of(&service), &[Handle(1)]);
 }
@@ -111,7 +120,7 @@
                     .iter()
                     .map(|handle| registry.get(*handle))
                     .map(|known| {
-                        let used = known.usable(now) == Eligibility::Full;
+                        let used = known.eligibility(now) == Eligibility::Full;
                         (known.entry.id.to_string(), known.entry.born.0, used)
                     })
                     .collect();
@@ -172,12 +181,12 @@
     registry.put(entry(0, 0, State::Ready), at(0));
     let lag = time::Duration::from_millis(1200);
     registry.list(Vec::new(), lag, at(5000));
-    let usable = |now| {
+    let eligibility = |now| {
         registry
             .iter()
-            .map(|known| known.usable(now))
+            .map(|known| known.eligibility(now))
             .collect::<Vec<_>>()
     };
-    assert_eq!(usable(at(5000 + 790)), [Eligibility::LastResort]);
-    assert_eq!(usable(at(5000 + 810)), [Eligibility::Never]);
+    assert_eq!(eligibility(at(5000 + 790)), [Eligibility::LastResort]);
+    assert_eq!(eligibility(at(5000 + 810)), [Eligibility::Never]);
 }
