--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -319,7 +319,7 @@
         self.tell_changes(changes);
         for change in changes {
             match *change {
-                registry::Change::Came(upstream) => self.warm(upstream),
+                registry::Change::Registered(upstream) => self.warm(upstream),
                 registry::Change::Draining(upstream) | registry::Change::Gone(upstream) => {
                     self.leave(upstream, now);
                 }
@@ -339,7 +339,7 @@
         let mut named = Vec::new();
         for change in changes {
             let (upstream, count) = match *change {
-                registry::Change::Came(upstream) => (upstream, &mut came),
+                registry::Change::Registered(upstream) => (upstream, &mut came),
                 registry::Change::Draining(upstream) => (upstream, &mut draining),
                 registry::Change::Vanished(upstream) => (upstream, &mut vanished),
                 registry::Change::Returned(upstream) => (upstream, &mut returned),
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// A new upstream process registered.
-    Came(Handle),
+    Registered(Handle),
     /// The upstream began to drain.
     Draining(Handle),
     /// The registration vanished without a drain.
@@ -334,7 +334,7 @@
             self.unlist(earlier);
         }
         self.by_service.entry(service).or_default().push(handle);
-        Change::Came(handle)
+        Change::Registered(handle)
     }
 
     fn push(&mut self, entry: Entry, now: clock::Moment) -> Handle {
--- a/crates/geraniumgauge/src/registry/tests.rs
+++ b/crates/geraniumgauge/src/registry/tests.rs
@@ -72,7 +72,7 @@
     let changes = registry.put(entry(0, 2, State::Ready), at(10));
     assert_eq!(
         changes,
-        vec![Change::Gone(Handle(0)), Change::Came(Handle(1))]
+        vec![Change::Gone(Handle(0)), Change::Registered(Handle(1))]
     );
     assert_eq!(
         registry.get(Handle(0)).eligibility(at(10)),
