--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -77,7 +77,7 @@
         Err(store::Error::Conflict { current, .. }) => {
             Err(conflict(store, edit, base, current).await)
         }
-        Err(store::Error::Unsure { .. }) => read_back(store, edit, &key).await,
+        Err(store::Error::Unconfirmed { .. }) => read_back(store, edit, &key).await,
         Err(error) => Err(error.into()),
     }
 }
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -67,7 +67,7 @@
         store::Error::Unavailable { .. } => {
             "check --store and try again; VMs go on with what is in force"
         }
-        store::Error::Unsure { .. } => "run `geraniumgauge show` to see what the store holds",
+        store::Error::Unconfirmed { .. } => "run `geraniumgauge show` to see what the store holds",
         store::Error::Conflict { .. } => "read it again and try again",
         store::Error::Missing { .. } => "check the service's name",
         store::Error::Refused { .. } => "this is a fault of the stored object; report it",
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -247,7 +247,7 @@
     let put = site
         .store
         .put(&key, "{\"team\": \"a\"}".into(), store::Condition::Any);
-    assert!(matches!(put.await, Err(store::Error::Unsure { .. })));
+    assert!(matches!(put.await, Err(store::Error::Unconfirmed { .. })));
     site.store.fault(|faults| faults.lose_replies = 1);
     pass(8).await;
     assert_eq!(site.generations(), [1; VMS]);
--- a/crates/geraniumgauge/src/ledger/commit.rs
+++ b/crates/geraniumgauge/src/ledger/commit.rs
@@ -268,7 +268,7 @@
                 self.known = None;
                 self.requeue(flight.changes, false);
             }
-            Err(store::Error::Unsure { .. }) => {
+            Err(store::Error::Unconfirmed { .. }) => {
                 self.known = None;
                 self.requeue(flight.changes, true);
             }
--- a/crates/geraniumgauge/src/ledger/meter.rs
+++ b/crates/geraniumgauge/src/ledger/meter.rs
@@ -58,7 +58,7 @@
         let result = match error {
             None => "done",
             Some(store::Error::Conflict { .. }) => "conflict",
-            Some(store::Error::Unsure { .. }) => "unsure",
+            Some(store::Error::Unconfirmed { .. }) => "unsure",
             Some(_) => "failed",
         };
         let label = opentelemetry::KeyValue::new("result", result);
--- a/crates/geraniumgauge/src/ledger/tests/commit.rs
+++ b/crates/geraniumgauge/src/ledger/tests/commit.rs
@@ -24,7 +24,7 @@
 }
 
 fn unsure() -> store::Error {
-    store::Error::Unsure {
+    store::Error::Unconfirmed {
         key: "head".to_owned(),
         reason: "lost".to_owned(),
     }
--- a/crates/geraniumgauge/src/ledger/tests/link.rs
+++ b/crates/geraniumgauge/src/ledger/tests/link.rs
@@ -34,7 +34,7 @@
         world.maybe_pause().await;
         self.node.gate().await;
         let unsure = || {
-            Err(store::Error::Unsure {
+            Err(store::Error::Unconfirmed {
                 key: key.to_owned(),
                 reason: "the reply was lost".to_owned(),
             })
--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -103,7 +103,7 @@
         match self.put(service, &next, condition).await {
             Ok(()) if go => Ok(true),
             Ok(()) => Err(Denied::Quarantined),
-            Err(store::Error::Conflict { .. } | store::Error::Unsure { .. }) => Ok(false),
+            Err(store::Error::Conflict { .. } | store::Error::Unconfirmed { .. }) => Ok(false),
             Err(_) => Err(later()),
         }
     }
--- a/crates/geraniumgauge/src/slo/service.rs
+++ b/crates/geraniumgauge/src/slo/service.rs
@@ -210,7 +210,7 @@
                 Ok(())
             }
             Err(error) => {
-                if matches!(error, store::Error::Unsure { .. }) {
+                if matches!(error, store::Error::Unconfirmed { .. }) {
                     delivery.unsure.get_or_insert(now);
                 }
                 Err(error)
@@ -271,7 +271,7 @@
             let body = serde_json::to_vec(&value).unwrap_or_default();
             match self.store.put(key, body.into(), condition).await {
                 Ok(_) => return Ok(result),
-                Err(error @ (store::Error::Conflict { .. } | store::Error::Unsure { .. })) => {
+                Err(error @ (store::Error::Conflict { .. } | store::Error::Unconfirmed { .. })) => {
                     last = Some(error);
                     let wait = AGAIN.mul_f64(rand::random());
                     tokio::time::sleep(wait).await;
--- a/crates/geraniumgauge/src/store/calls.rs
+++ b/crates/geraniumgauge/src/store/calls.rs
@@ -38,7 +38,7 @@
             Some(store::Error::Conflict { .. }) => "conflict",
             Some(store::Error::Missing { .. }) => "missing",
             Some(store::Error::Unavailable { .. }) => "unavailable",
-            Some(store::Error::Unsure { .. }) => "unsure",
+            Some(store::Error::Unconfirmed { .. }) => "unsure",
             Some(store::Error::Refused { .. }) => "refused",
         };
         let labels = [
--- a/crates/geraniumgauge/src/store/client.rs
+++ b/crates/geraniumgauge/src/store/client.rs
@@ -1,7 +1,7 @@
 //! The object API over HTTP.
 //!
 //! Every call has a timeout. A write that may have been sent but got no reply fails
-//! with [`store::Error::Unsure`]; reading the object shows whether it took effect.
+//! with [`store::Error::Unconfirmed`]; reading the object shows whether it took effect.
 
 use std::sync;
 use std::time;
@@ -306,7 +306,7 @@
         }
         _ => {
             let reason = format!("status {status} doesn't show whether it was written");
-            Err(store::Error::Unsure { key, reason })
+            Err(store::Error::Unconfirmed { key, reason })
         }
     }
 }
@@ -317,7 +317,7 @@
     if error.is_connect() || error.is_builder() {
         return unavailable(error);
     }
-    store::Error::Unsure {
+    store::Error::Unconfirmed {
         key: key.to_owned(),
         reason: error.to_string(),
     }
--- a/crates/geraniumgauge/src/store/fake.rs
+++ b/crates/geraniumgauge/src/store/fake.rs
@@ -15,7 +15,7 @@
     pub slow: time::Duration,
     /// Number of following writes that take effect but whose replies are lost.
     pub lose_replies: u32,
-    /// Number of following writes that fail with [`store::Error::Unsure`] and have no
+    /// Number of following writes that fail with [`store::Error::Unconfirmed`] and have no
     /// effect.
     pub lose_writes: u32,
     /// Whether the VM list stays as it is, whatever [`Fake::set_vms`] sets.
@@ -64,7 +64,7 @@
         key: &str,
         change: impl FnOnce(&mut store::Objects) -> Result<T, store::Error>,
     ) -> Result<T, store::Error> {
-        let unsure = || store::Error::Unsure {
+        let unsure = || store::Error::Unconfirmed {
             key: key.to_owned(),
             reason: "the reply was lost".to_owned(),
         };
--- a/crates/geraniumgauge/src/store/mod.rs
+++ b/crates/geraniumgauge/src/store/mod.rs
@@ -108,7 +108,7 @@
     },
     /// A write's reply was lost: it may or may not have taken effect.
     #[display("whether {key} was written isn't known: {reason}")]
-    Unsure {
+    Unconfirmed {
         /// The object's key.
         key: String,
         /// Details of the failure.
@@ -137,7 +137,7 @@
     /// Writes one object if `condition` holds; returns its new version.
     ///
     /// # Errors
-    /// Any but [`Error::Missing`]. After [`Error::Unsure`] read the object before
+    /// Any but [`Error::Missing`]. After [`Error::Unconfirmed`] read the object before
     /// writing it again.
     async fn put(
         &self,
--- a/crates/geraniumgauge/src/store/tests/client.rs
+++ b/crates/geraniumgauge/src/store/tests/client.rs
@@ -38,14 +38,20 @@
 #[tokio::test]
 async fn a_write_without_a_reply_is_unsure() {
     let lost = put("").await;
-    assert!(matches!(lost, Err(store::Error::Unsure { .. })), "{lost:?}");
+    assert!(
+        matches!(lost, Err(store::Error::Unconfirmed { .. })),
+        "{lost:?}"
+    );
     let gateway = put("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n").await;
     assert!(
-        matches!(gateway, Err(store::Error::Unsure { .. })),
+        matches!(gateway, Err(store::Error::Unconfirmed { .. })),
         "{gateway:?}"
     );
     let bare = put("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-    assert!(matches!(bare, Err(store::Error::Unsure { .. })), "{bare:?}");
+    assert!(
+        matches!(bare, Err(store::Error::Unconfirmed { .. })),
+        "{bare:?}"
+    );
 }
 
 #[tokio::test]
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -250,7 +250,7 @@
         }
         store::Error::Missing { .. } => serve::text(404, error.to_string()),
         store::Error::Refused { .. } => serve::text(413, error.to_string()),
-        store::Error::Unavailable { .. } | store::Error::Unsure { .. } => {
+        store::Error::Unavailable { .. } | store::Error::Unconfirmed { .. } => {
             serve::text(503, error.to_string())
         }
     }
