--- a/crates/geraniumgauge/src/edge/tests/peers.rs
+++ b/crates/geraniumgauge/src/edge/tests/peers.rs
@@ -5,9 +5,9 @@
 
 use crate::edge::frame;
 use crate::edge::peers;
+use crate::slow_sender;
 use crate::spread;
 use crate::spread::tests::news;
-use crate::trickle;
 
 /// Reads an answer with so many bytes of configuration, of which a tenth comes
 /// each `pause`, and none any more after `pieces`.
@@ -17,7 +17,7 @@
         ..news::answer(news::nothing())
     };
     let bytes = frame::Frame::bytes(frame::Kind::Answer(answer.into()));
-    trickle::send(&bytes, pieces, pause, peers::read_answer)
+    slow_sender::send(&bytes, pieces, pause, peers::read_answer)
 }
 
 /// Guards against an answer that is given up though it comes, since the link is
--- a/crates/geraniumgauge/src/h1/tests.rs
+++ b/crates/geraniumgauge/src/h1/tests.rs
@@ -133,7 +133,7 @@
     const SIZE: usize = 100_000;
     let body = "a".repeat(SIZE);
     let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {SIZE}\r\n\r\n{body}");
-    crate::trickle::send(reply.as_bytes(), pieces, pause, async |mut near| {
+    crate::slow_sender::send(reply.as_bytes(), pieces, pause, async |mut near| {
         let wait = std::time::Duration::from_millis(900);
         let heard = crate::time::Latest::default();
         let request = b"GET / HTTP/1.1\r\n\r\n";
--- a/crates/geraniumgauge/src/lib.rs
+++ b/crates/geraniumgauge/src/lib.rs
@@ -35,11 +35,11 @@
 #[cfg(test)]
 mod seeds;
 pub mod slo;
+#[cfg(test)]
+mod slow_sender;
 pub mod spread;
 pub mod store;
 pub mod time;
 pub mod timer;
-#[cfg(test)]
-mod trickle;
 pub mod upstream;
 pub mod vm;
