--- a/crates/geraniumgauge/src/store/tests/client.rs
+++ b/crates/geraniumgauge/src/store/tests/client.rs
@@ -36,7 +36,7 @@
 /// write counted as failed, the claim would have no owner; if it counted as done,
 /// two VMs could own it.
 #[tokio::test]
-async fn a_write_without_a_reply_is_unsure() {
+async fn a_write_without_a_reply_is_unconfirmed() {
     let lost = put("").await;
     assert!(
         matches!(lost, Err(store::Error::Unconfirmed { .. })),
