--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -97,12 +97,12 @@
     let mut backoff = store::Backoff::new(BACKOFF.0, BACKOFF.1);
     while !inner.timer.stop().is_cancelled() {
         if inner.rank().is_none() {
-            inner.timer.pause(IDLE).await;
+            inner.timer.sleep(IDLE).await;
             continue;
         }
         if let Err(error) = follow_once(&inner, prefix, &news).await {
             log::debug!("following {prefix}: {error}");
-            inner.timer.pause(backoff.failed(rand::random())).await;
+            inner.timer.sleep(backoff.failed(rand::random())).await;
             continue;
         }
         backoff.succeeded();
@@ -155,7 +155,7 @@
     while let Err(error) = load_all(&inner).await {
         log::warn!("the accepted documents can't be read: {error}");
         inner.handle(spread::Event::StoreFailed);
-        if !inner.timer.pause(backoff.failed(rand::random())).await {
+        if !inner.timer.sleep(backoff.failed(rand::random())).await {
             return;
         }
     }
--- a/crates/geraniumgauge/src/home/outbox.rs
+++ b/crates/geraniumgauge/src/home/outbox.rs
@@ -113,7 +113,7 @@
             match self.post.send(vm, body) {
                 Ok(()) => return Some(()),
                 Err(mesh::Error::Full { .. }) => {
-                    self.timer.pause(FULL_PAUSE).await.then_some(())?;
+                    self.timer.sleep(FULL_PAUSE).await.then_some(())?;
                 }
                 Err(error) => {
                     log::warn!("a record's reply is dropped: {error}");
@@ -131,7 +131,7 @@
             match self.post.send(vm, body) {
                 Ok(()) => return Some(()),
                 Err(mesh::Error::Full { .. }) => {
-                    self.timer.pause(FULL_PAUSE).await.then_some(())?;
+                    self.timer.sleep(FULL_PAUSE).await.then_some(())?;
                 }
                 Err(mesh::Error::Large { .. }) => strip(&mut frame)?,
                 Err(error) => {
--- a/crates/geraniumgauge/src/home/worker.rs
+++ b/crates/geraniumgauge/src/home/worker.rs
@@ -340,7 +340,7 @@
         let timer = present.means.timer.clone();
         let changed = present.changed.notified();
         tokio::select! {
-            going = timer.pause(now.until(wake)) => if !going { return },
+            going = timer.sleep(now.until(wake)) => if !going { return },
             () = changed => {}
         }
     }
--- a/crates/geraniumgauge/src/ledger/bucket.rs
+++ b/crates/geraniumgauge/src/ledger/bucket.rs
@@ -74,7 +74,7 @@
         tokio::select! {
             biased;
             Ok(verdict) = verdict => verdict,
-            _ = self.timer.pause(within) => {
+            _ = self.timer.sleep(within) => {
                 let ask = Ask::Abandon(ticket, key.clone(), entry.clone());
                 let _ = self.asks.send(ask);
                 let reason = "the claim was not recorded in time".to_owned();
@@ -100,7 +100,7 @@
         tokio::select! {
             biased;
             verdict = verdict => verdict.unwrap_or_else(|_| late()),
-            _ = self.timer.pause(within) => late(),
+            _ = self.timer.sleep(within) => late(),
         }
     }
 
--- a/crates/geraniumgauge/src/ledger/claim.rs
+++ b/crates/geraniumgauge/src/ledger/claim.rs
@@ -212,7 +212,7 @@
         tokio::select! {
             biased;
             Ok(told) = told => told,
-            _ = self.inner.timer.pause(left) => {
+            _ = self.inner.timer.sleep(left) => {
                 self.inner.meter.unsettled();
                 let text = "the deadline passed while it ran; read the key back";
                 Err(query::Refusal::unknown(query::Code::Deadline, text))
@@ -264,7 +264,7 @@
         tokio::select! {
             biased;
             _ = recorded => {}
-            _ = self.inner.timer.pause(RECORD) => {}
+            _ = self.inner.timer.sleep(RECORD) => {}
         }
         let _ = tell.send(told);
     }
@@ -328,7 +328,7 @@
                 Some(reply) => send::Event::Reply(reply.outcome(), reply.body),
                 None => send::Event::Lost,
             },
-            _ = self.inner.timer.pause(left + LATE) => send::Event::Lost,
+            _ = self.inner.timer.sleep(left + LATE) => send::Event::Lost,
         }
     }
 
--- a/crates/geraniumgauge/src/ledger/entry.rs
+++ b/crates/geraniumgauge/src/ledger/entry.rs
@@ -142,13 +142,13 @@
                     None => {}
                 }
             }
-            _ = self.inner.timer.pause(patience) => {}
+            _ = self.inner.timer.sleep(patience) => {}
         }
         let left = self.inner.clock.now().until(deadline);
         register.time_left_us = clock::micros(left);
         let own = self.claim_for(register);
         tokio::pin!(own);
-        let end = self.inner.timer.pause(left);
+        let end = self.inner.timer.sleep(left);
         tokio::pin!(end);
         let mut ends = Ends::default();
         loop {
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -117,7 +117,7 @@
             let left = self.parts.clock.now().until(self.closed);
             tokio::select! {
                 biased;
-                going = self.parts.timer.pause(left) => return going,
+                going = self.parts.timer.sleep(left) => return going,
                 Some(ask) = self.asks.recv() => self.take(ask),
             }
         }
@@ -152,7 +152,7 @@
     /// to wait for a store that doesn't answer.
     async fn patiently<T>(&mut self, call: impl Future<Output = T>) -> T {
         let timer = self.parts.timer.clone();
-        let stall = timer.pause(STALL);
+        let stall = timer.sleep(STALL);
         tokio::pin!(call, stall);
         self.calling = true;
         let (mut open, mut quick) = (true, true);
@@ -205,7 +205,7 @@
     async fn pace(&self) {
         let wait = self.parts.clock.now().until(self.paced);
         if wait > time::Duration::ZERO {
-            self.parts.timer.pause(wait).await;
+            self.parts.timer.sleep(wait).await;
         }
     }
 
--- a/crates/geraniumgauge/src/member/service.rs
+++ b/crates/geraniumgauge/src/member/service.rs
@@ -269,7 +269,7 @@
 /// there are, so that all together stay within [`LISTS_A_SECOND`].
 async fn read_list(service: Service, store: sync::Arc<dyn store::Api>, timer: timer::Service) {
     let mut wait = spans::Duration::ZERO;
-    while timer.pause(wait).await {
+    while timer.sleep(wait).await {
         let listed = store.vms().await;
         let members = service.view.borrow().members.len();
         let slow = spans::Duration::from_secs_f64(members as f64 / LISTS_A_SECOND).max(LIST);
--- a/crates/geraniumgauge/src/slo/service.rs
+++ b/crates/geraniumgauge/src/slo/service.rs
@@ -118,7 +118,7 @@
 
 async fn deliver(inner: sync::Arc<Inner>) {
     let mut wait = DELIVER.mul_f64(rand::random());
-    while inner.timer.pause(wait).await {
+    while inner.timer.sleep(wait).await {
         if let Err(error) = inner.deliver().await {
             log::debug!("counts of requests wait for the store: {error}");
         }
--- a/crates/geraniumgauge/src/spread/count.rs
+++ b/crates/geraniumgauge/src/spread/count.rs
@@ -39,7 +39,7 @@
         period: time::Duration,
         timer: timer::Service,
     ) {
-        while timer.pause(period).await {
+        while timer.sleep(period).await {
             let age = service.age().map_or(NO_LOOK, |age| age.as_secs_f64());
             self.age.record(age, &[]);
             let vms = service.vms().unwrap_or_default();
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -149,7 +149,7 @@
     heard: &[clock::Latest],
     timer: &timer::Service,
 ) {
-    while timer.pause(PROGRESS).await {
+    while timer.sleep(PROGRESS).await {
         if let Some(age) = heard.iter().filter_map(clock::Latest::age).min() {
             service.handle(|state, now| state.look_heard(age, now));
         }
@@ -206,7 +206,7 @@
             return;
         }
         let Some(revision) = service.revision() else {
-            if !timer.pause(RETRY).await {
+            if !timer.sleep(RETRY).await {
                 return;
             }
             continue;
@@ -223,7 +223,7 @@
         let pause = match watched {
             Ok((changes, told)) => {
                 let first = *duty.borrow() == Some(0);
-                if !first && !changes.is_empty() && !timer.pause(SECOND).await {
+                if !first && !changes.is_empty() && !timer.sleep(SECOND).await {
                     return;
                 }
                 if failures > 0 {
@@ -245,7 +245,7 @@
                 backoff.failed(rand::random_range(JITTER))
             }
         };
-        if !pause.is_zero() && !timer.pause(pause).await {
+        if !pause.is_zero() && !timer.sleep(pause).await {
             return;
         }
     }
--- a/crates/geraniumgauge/src/timer/mod.rs
+++ b/crates/geraniumgauge/src/timer/mod.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits for `span`; false if the service is stopped before it has passed.
-    pub async fn pause(&self, span: time::Duration) -> bool {
+    pub async fn sleep(&self, span: time::Duration) -> bool {
         tokio::select! {
             () = clock::sleep(span) => true,
             () = self.stop.cancelled() => false,
