--- a/crates/geraniumgauge/src/rate.rs
+++ b/crates/geraniumgauge/src/rate.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Bytes a second.
+/// Bytes per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[display("{_0} B/s")]
@@ -118,7 +118,7 @@
         value.map(Self).ok_or_else(|| Error {
             kind: "rate",
             text: text.to_owned(),
-            remedy: "give bytes a second above zero, such as 1750000",
+            remedy: "give a number of bytes per second above zero, such as 1750000",
         })
     }
 }
@@ -134,7 +134,7 @@
     type Err = Error;
     fn from_str(text: &str) -> Result<Self, Error> {
         let digits = text.strip_suffix("/s").unwrap_or(text);
-        let remedy = "give a number of 0 or more a second, such as 20/s";
+        let remedy = "give a number per second of 0 or more, such as 20/s";
         let value = digits
             .parse::<f64>()
             .ok()
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -83,7 +83,7 @@
     Full,
     /// Only if its service has no other: its registration vanished recently.
     LastResort,
-    /// Not at all: it is draining or gone.
+    /// Not at all: it is draining or gone, or its registration vanished too long ago.
     Never,
 }
 
@@ -127,7 +127,8 @@
     /// The registration is back after it vanished.
     Returned(Handle),
     /// The upstream gets no more requests: it drained and left, its registration
-    /// stayed away for too long, or another process registered under its id.
+    /// vanished too long ago, or its id was registered again with another start time,
+    /// address or service.
     Gone(Handle),
 }
 
--- a/crates/geraniumgauge/src/store/client.rs
+++ b/crates/geraniumgauge/src/store/client.rs
@@ -101,7 +101,7 @@
     }
 
     /// Waits until the budget allows a call, for at most [`BUDGET_TIMEOUT`].
-    async fn pay(&self, kind: budget::Kind, key: &str) -> Result<(), store::Error> {
+    async fn wait_for_budget(&self, kind: budget::Kind, key: &str) -> Result<(), store::Error> {
         let urgency = urgency(key);
         let until = self.clock.now() + BUDGET_TIMEOUT;
         while !self.lock().take(kind, urgency, self.clock.now()) {
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    fn object(&self, key: &str) -> Result<String, store::Error> {
+    fn object_url(&self, key: &str) -> Result<String, store::Error> {
         if key.split('/').any(|part| matches!(part, "" | "." | "..")) {
             // A URL parser would resolve such a part as a relative path, and the
             // call would access another object.
@@ -126,8 +126,8 @@
     }
 
     async fn read(&self, key: &str) -> Result<store::Object, store::Error> {
-        let url = self.object(key)?;
-        self.pay(budget::Kind::Read, key).await?;
+        let url = self.object_url(key)?;
+        self.wait_for_budget(budget::Kind::Read, key).await?;
         let reply = self.http.get(url).timeout(CALL_TIMEOUT).send().await;
         let reply = reply.map_err(|error| unavailable(&error))?;
         match reply.status().as_u16() {
@@ -152,8 +152,8 @@
         body: Option<bytes::Bytes>,
         condition: store::Condition,
     ) -> Result<ids::ObjectVersion, store::Error> {
-        let url = self.object(key)?;
-        self.pay(budget::Kind::Write, key).await?;
+        let url = self.object_url(key)?;
+        self.wait_for_budget(budget::Kind::Write, key).await?;
         let request = match body {
             Some(body) => self.http.put(url).body(body),
             None => self.http.delete(url),
@@ -175,9 +175,9 @@
         prefix: &str,
         within: time::Duration,
     ) -> Result<store::Listing, store::Error> {
-        self.pay(budget::Kind::Read, prefix).await?;
+        self.wait_for_budget(budget::Kind::Read, prefix).await?;
         let request = self.http.get(url).query(query).timeout(within);
-        json(request).await
+        send_for_json(request).await
     }
 }
 
@@ -244,9 +244,9 @@
     }
 
     async fn vms(&self) -> Result<Vec<store::Vm>, store::Error> {
-        let found = match self.pay(budget::Kind::Read, "vms").await {
+        let found = match self.wait_for_budget(budget::Kind::Read, "vms").await {
             Ok(()) => {
-                json(
+                send_for_json(
                     self.http
                         .get(format!("{}/vms", self.base))
                         .timeout(CALL_TIMEOUT),
@@ -269,7 +269,7 @@
     }
 }
 
-async fn json<T: serde::de::DeserializeOwned>(
+async fn send_for_json<T: serde::de::DeserializeOwned>(
     request: reqwest::RequestBuilder,
 ) -> Result<T, store::Error> {
     let reply = request.send().await.map_err(|error| unavailable(&error))?;
--- a/crates/geraniumgauge/src/store/fake.rs
+++ b/crates/geraniumgauge/src/store/fake.rs
@@ -43,9 +43,12 @@
 #[derive(Debug, Default)]
 struct State {
     objects: store::Objects,
-    shown: store::Objects,
+    /// The objects that reads show while [`Faults::stale_reads`] is set.
+    stale_objects: store::Objects,
     vms: Vec<store::Vm>,
-    shown_vms: Vec<store::Vm>,
+    /// The VM list that calls return; lags behind `vms` while
+    /// [`Faults::lagging_vms`] is set.
+    listed_vms: Vec<store::Vm>,
     faults: Faults,
     count: Count,
 }
@@ -53,7 +56,7 @@
 impl State {
     fn visible(&self) -> &store::Objects {
         if self.faults.stale_reads {
-            &self.shown
+            &self.stale_objects
         } else {
             &self.objects
         }
@@ -93,10 +96,10 @@
         let was_stale = state.faults.stale_reads;
         change(&mut state.faults);
         if state.faults.stale_reads && !was_stale {
-            state.shown = state.objects.clone();
+            state.stale_objects = state.objects.clone();
         }
         if !state.faults.lagging_vms {
-            state.shown_vms = state.vms.clone();
+            state.listed_vms = state.vms.clone();
         }
     }
 
@@ -105,7 +108,7 @@
         let mut state = self.lock();
         state.vms = vms;
         if !state.faults.lagging_vms {
-            state.shown_vms = state.vms.clone();
+            state.listed_vms = state.vms.clone();
         }
     }
 
@@ -211,6 +214,6 @@
 
     async fn vms(&self) -> Result<Vec<store::Vm>, store::Error> {
         self.begin_call(read).await?;
-        Ok(self.lock().shown_vms.clone())
+        Ok(self.lock().listed_vms.clone())
     }
 }
--- a/crates/geraniumgauge/src/store/objects.rs
+++ b/crates/geraniumgauge/src/store/objects.rs
@@ -13,6 +13,7 @@
     objects: collections::BTreeMap<String, store::Object>,
     /// The newest change of each key, deletions included, by revision.
     log: collections::BTreeMap<ids::Revision, store::Change>,
+    /// The revision of each key's newest change.
     latest: collections::BTreeMap<String, ids::Revision>,
 }
 
--- a/crates/geraniumgauge/src/upstream/connection.rs
+++ b/crates/geraniumgauge/src/upstream/connection.rs
@@ -119,7 +119,7 @@
             shard,
             index_version: call.index_version,
             layout: call.layout,
-            once: false,
+            at_most_once: false,
         };
         let mut request = self
             .post(&format!("/shards/{shard}/search"), call.time_left)
@@ -141,7 +141,7 @@
             shard,
             index_version: None,
             layout: call.layout,
-            once: true,
+            at_most_once: true,
         };
         let request = self
             .post(&format!("/shards/{shard}/records"), call.time_left)
@@ -158,7 +158,7 @@
         let url = format!("{}/requests/{id}", self.base);
         let reply = self.client.delete(url).send().await.ok()?;
         let status = reply.status();
-        self.body(reply).await.ok()?;
+        self.read_body(reply).await.ok()?;
         Some(status.is_success())
     }
 
@@ -172,7 +172,7 @@
             refused: error.is_connect(),
         };
         let reply = self.client.get(url).send().await.map_err(unanswered)?;
-        let body = self.body(reply).await;
+        let body = self.read_body(reply).await;
         let body = body.map_err(|_| Unanswered { refused: false })?;
         Ok(serde_json::from_slice(&body).ok())
     }
@@ -198,14 +198,14 @@
         reply_began();
         let status = reply.status().as_u16();
         let headers = reply.headers().clone();
-        match self.body(reply).await {
+        match self.read_body(reply).await {
             Ok(body) => expected.read(status, &headers, body),
             Err(Failure::TooLarge) => reply::Reply::bare(reply::Outcome::Crossed),
             Err(Failure::Http) => reply::Reply::bare(reply::Outcome::Lost),
         }
     }
 
-    async fn body(&self, mut reply: reqwest::Response) -> Result<bytes::Bytes, Failure> {
+    async fn read_body(&self, mut reply: reqwest::Response) -> Result<bytes::Bytes, Failure> {
         let mut body = bytes::BytesMut::new();
         while let Some(chunk) = reply.chunk().await? {
             if body.len() + chunk.len() > self.limits.max_body_bytes {
--- a/crates/geraniumgauge/src/upstream/reply.rs
+++ b/crates/geraniumgauge/src/upstream/reply.rs
@@ -116,7 +116,7 @@
     pub(super) layout: ids::LayoutVersion,
     /// Whether the call must run at most once. A refusal without the call's id is
     /// then no proof that the call hasn't run.
-    pub(super) once: bool,
+    pub(super) at_most_once: bool,
 }
 
 #[derive(Debug, Default)]
@@ -152,13 +152,13 @@
         let matches = text(headers, super::REQUEST_ID) == Some(self.id)
             && text(headers, super::SHARD) == Some(self.shard.as_str())
             && layout == Some(self.layout)
-            && (self.once || version.is_some())
+            && (self.at_most_once || version.is_some())
             && (self.index_version.is_none() || self.index_version == version);
         if !matches {
             return Reply::bare(Outcome::Crossed);
         }
         let version_in = |name| number(headers, name).map(ids::IndexVersion);
-        let body = if self.once {
+        let body = if self.at_most_once {
             registration_result(body)
         } else {
             body
@@ -179,7 +179,7 @@
         }
         let refusal: Refusal = serde_json::from_slice(body).unwrap_or_default();
         let outcome = match refusal.error.as_str() {
-            _ if self.once && echoed.is_none() => Outcome::Failed,
+            _ if self.at_most_once && echoed.is_none() => Outcome::Failed,
             "shed" => Outcome::Shed,
             "draining" => Outcome::Draining,
             "version_unavailable" => Outcome::Version,
