--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -312,7 +312,7 @@
         let registry = &state.fleet.registry;
         registry
             .iter()
-            .filter(|upstream| upstream.usable(now) == registry::Use::Full)
+            .filter(|upstream| upstream.eligibility(now) == registry::Eligibility::Full)
             .count()
     }
 
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -286,7 +286,9 @@
             self.end(id, forward::Verdict::Lost, now);
         }
         self.close(link);
-        if call.is_some() && self.fleet.registry.get(upstream).usable(now) != registry::Use::Never {
+        if call.is_some()
+            && self.fleet.registry.get(upstream).eligibility(now) != registry::Eligibility::Never
+        {
             // Whether this one succeeds shows if the upstream crashed.
             self.open(upstream);
         }
@@ -300,7 +302,7 @@
             return;
         };
         let upstream = connection.upstream;
-        if self.fleet.registry.get(upstream).usable(now) == registry::Use::Never {
+        if self.fleet.registry.get(upstream).eligibility(now) == registry::Eligibility::Never {
             self.close(link);
             return;
         }
@@ -334,7 +336,7 @@
         self.log_changes(changes);
         for change in changes {
             match *change {
-                registry::Change::Came(upstream) => self.preconnect(upstream),
+                registry::Change::Registered(upstream) => self.preconnect(upstream),
                 registry::Change::Draining(upstream) | registry::Change::Gone(upstream) => {
                     self.stop_using(upstream, now);
                 }
@@ -354,7 +356,7 @@
         let mut ids = Vec::new();
         for change in changes {
             let (upstream, count) = match *change {
-                registry::Change::Came(upstream) => (upstream, &mut came),
+                registry::Change::Registered(upstream) => (upstream, &mut came),
                 registry::Change::Draining(upstream) => (upstream, &mut draining),
                 registry::Change::Vanished(upstream) => (upstream, &mut vanished),
                 registry::Change::Returned(upstream) => (upstream, &mut returned),
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -159,8 +159,8 @@
         let own = self.fleet.own().data_centre.clone();
         let registry = &mut self.fleet.registry;
         let named = match requested.upstream.parse() {
-            Ok(id) => registry.named(&id, requested.address(), &own, now),
-            Err(_) => Err(registry::Unnamed::Unknown),
+            Ok(id) => registry.resolve(&id, requested.address(), &own, now),
+            Err(_) => Err(registry::Error::Unknown),
         };
         let upstream = named.map_err(|why| {
             log::info!(
@@ -168,8 +168,8 @@
                 "call for another VM not made"
             );
             let how = match why {
-                registry::Unnamed::Unknown => frame::How::Unknown,
-                registry::Unnamed::Leaving => frame::How::NotSent,
+                registry::Error::Unknown => frame::How::Unknown,
+                registry::Error::Leaving => frame::How::NotSent,
             };
             frame::End::new(requested.id, how)
         })?;
--- a/crates/geraniumgauge/src/edge/tests/peers.rs
+++ b/crates/geraniumgauge/src/edge/tests/peers.rs
@@ -5,9 +5,9 @@
 
 use crate::edge::frame;
 use crate::edge::peers;
+use crate::slow_sender;
 use crate::spread;
 use crate::spread::tests::messages;
-use crate::trickle;
 
 /// Reads an answer with `size` bytes of configuration. A tenth of it is sent each
 /// `interval`, and nothing more after `pieces` tenths.
@@ -17,7 +17,7 @@
         ..messages::answer(messages::nothing())
     };
     let bytes = frame::Frame::bytes(frame::Kind::Answer(answer.into()));
-    trickle::send(&bytes, pieces, interval, peers::read_answer)
+    slow_sender::send(&bytes, pieces, interval, peers::read_answer)
 }
 
 /// Guards against a fetch that times out while the answer is still arriving over a
--- a/crates/geraniumgauge/src/h1/tests.rs
+++ b/crates/geraniumgauge/src/h1/tests.rs
@@ -136,7 +136,7 @@
     const SIZE: usize = 100_000;
     let body = "a".repeat(SIZE);
     let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {SIZE}\r\n\r\n{body}");
-    crate::trickle::send(reply.as_bytes(), pieces, interval, async |mut stream| {
+    crate::slow_sender::send(reply.as_bytes(), pieces, interval, async |mut stream| {
         let wait = std::time::Duration::from_millis(900);
         let last_received = crate::time::Latest::default();
         let request = b"GET / HTTP/1.1\r\n\r\n";
--- a/crates/geraniumgauge/src/member/service.rs
+++ b/crates/geraniumgauge/src/member/service.rs
@@ -271,7 +271,7 @@
 /// the number of VMs, so that all together stay within [`LIST_READS_PER_SECOND`].
 async fn read_list(service: Service, store: sync::Arc<dyn store::Api>, timer: timer::Service) {
     let mut delay = spans::Duration::ZERO;
-    while timer.pause(delay).await {
+    while timer.sleep(delay).await {
         let listed = store.vms().await;
         let members = service.view.borrow().members.len();
         let interval = spans::Duration::from_secs_f64(members as f64 / LIST_READS_PER_SECOND)
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -18,7 +18,7 @@
 /// Content of the store that this VM holds.
 #[derive(Debug, Default)]
 pub(super) struct Content {
-    registrations: follow::Held,
+    registrations: follow::Inventory,
     config: Option<(ids::Revision, String)>,
     /// Set if the registrations are equal to what a poll showed.
     verified: bool,
@@ -27,7 +27,7 @@
 impl Content {
     fn position(&self) -> spread::Position {
         spread::Position {
-            revision: self.registrations.at(),
+            revision: self.registrations.revision(),
             digest: self.registrations.digest(),
             config: self.config.as_ref().map(|(revision, _)| *revision),
         }
@@ -37,7 +37,7 @@
 impl<H: spread::Listener> spread::Service<H> {
     /// Returns the revision up to which the registrations are held.
     pub(super) fn revision(&self) -> Option<ids::Revision> {
-        self.0.content.borrow().registrations.at()
+        self.0.content.borrow().registrations.revision()
     }
 
     /// Returns the answer to another VM's request, and the reservation of its link.
@@ -52,7 +52,7 @@
         let config = config.filter(|(revision, _)| Some(*revision) > fetch.position.config);
         let held = &content.registrations;
         let differs = held.digest() != fetch.position.digest || fetch.full;
-        let registrations = differs && held.at().is_some();
+        let registrations = differs && held.revision().is_some();
         let registrations = registrations.then(|| self.registrations_for(held, fetch));
         let size = config.map_or(0, |(_, text)| text.len())
             + registrations.as_ref().map_or(0, spread::wire::size_of);
@@ -76,7 +76,7 @@
 
     fn registrations_for(
         &self,
-        held: &follow::Held,
+        held: &follow::Inventory,
         fetch: &spread::Fetch,
     ) -> spread::Registrations {
         let item = |(name, revision): (String, ids::Revision)| follow::Item {
@@ -87,11 +87,11 @@
         let known = fetch.position.revision.filter(|_| !fetch.full);
         match known.and_then(|revision| held.since(revision)) {
             Some(since) => {
-                let gone = since.gone.into_iter().map(follow::Change::Gone);
+                let gone = since.gone.into_iter().map(follow::Change::Deleted);
                 let put = since.put.into_iter().map(item).map(follow::Change::Put);
-                follow::News::Changes(gone.chain(put).collect())
+                follow::Delta::Changes(gone.chain(put).collect())
             }
-            None => follow::News::All(held.all().put.into_iter().map(item).collect()),
+            None => follow::Delta::All(held.all().put.into_iter().map(item).collect()),
         }
     }
 
@@ -118,14 +118,14 @@
         };
         // An empty value stays in the answer, which shows that it contained
         // registrations.
-        let empty = follow::News::Changes(Vec::new());
+        let empty = follow::Delta::Changes(Vec::new());
         let received = answer.registrations.as_mut();
         match received.map(|received| std::mem::replace(received, empty)) {
-            Some(follow::News::All(items)) => {
+            Some(follow::Delta::All(items)) => {
                 let snapshot = follow::Snapshot { items, revision };
                 self.apply_list(snapshot, verified, &source);
             }
-            Some(follow::News::Changes(changes)) => {
+            Some(follow::Delta::Changes(changes)) => {
                 self.apply_changes(changes, revision, self.lag());
             }
             None => {}
@@ -195,7 +195,7 @@
         let lag = self.lag();
         let mut content = self.0.content.borrow_mut();
         let before = content.position();
-        if !content.registrations.list(&snapshot) {
+        if !content.registrations.apply_list(&snapshot) {
             return;
         }
         content.verified = verified;
@@ -207,7 +207,7 @@
                 objects = snapshot.items.len(), source = source;
                 "registrations listed"
             );
-            let delta = follow::News::All(snapshot.items);
+            let delta = follow::Delta::All(snapshot.items);
             self.0.listener.registrations(delta, lag);
             self.0.watch_missed.notify_waiters();
         }
@@ -248,13 +248,13 @@
         lag: time::Duration,
     ) -> Vec<follow::Change<registry::Entry>> {
         let mut content = self.0.content.borrow_mut();
-        let kept = content.registrations.change(changes, revision);
+        let kept = content.registrations.apply_changes(changes, revision);
         if !kept.is_empty() {
             content.verified = false;
         }
         drop(content);
         if !kept.is_empty() {
-            let delta = follow::News::Changes(kept.clone());
+            let delta = follow::Delta::Changes(kept.clone());
             self.0.listener.registrations(delta, lag);
         }
         self.publish_position();
@@ -301,7 +301,7 @@
         follow::Change::Put(item) => {
             log::info!(name = item.name.as_str(), revision:% = item.revision; "registration doesn't name an upstream");
         }
-        follow::Change::Gone(name) => {
+        follow::Change::Deleted(name) => {
             log::info!(upstream = name.as_str(); "registration deleted");
         }
     }
--- a/crates/geraniumgauge/src/spread/instruments.rs
+++ b/crates/geraniumgauge/src/spread/instruments.rs
@@ -39,7 +39,7 @@
         interval: time::Duration,
         timer: timer::Service,
     ) {
-        while timer.pause(interval).await {
+        while timer.sleep(interval).await {
             let age = service.age().map_or(UNKNOWN_AGE, |age| age.as_secs_f64());
             self.age.record(age, &[]);
             let vms = service.vms().unwrap_or_default();
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -101,7 +101,10 @@
                 () = service.poll_requested() => {}
             }
             let began = service.clock().now();
-            let received = [self.config.heard(), self.registrations.heard()];
+            let received = [
+                self.config.last_received(),
+                self.registrations.last_received(),
+            ];
             let polled = tokio::select! {
                 polled = self.poll(&service) => polled,
                 () = follow_progress(&service, &received, &timer) => return,
@@ -154,7 +157,7 @@
     received: &[clock::Latest],
     timer: &timer::Service,
 ) {
-    while timer.pause(PROGRESS_INTERVAL).await {
+    while timer.sleep(PROGRESS_INTERVAL).await {
         if let Some(age) = received.iter().filter_map(clock::Latest::age).min() {
             service.handle(|state, now| state.poll_progressed(age, now));
         }
@@ -211,7 +214,7 @@
             return;
         }
         let Some(revision) = service.revision() else {
-            if !timer.pause(MIN_RETRY_DELAY).await {
+            if !timer.sleep(MIN_RETRY_DELAY).await {
                 return;
             }
             continue;
@@ -228,7 +231,7 @@
         let delay = match watched {
             Ok((changes, until)) => {
                 let first = *poller_rank.borrow() == Some(0);
-                if !first && !changes.is_empty() && !timer.pause(SECOND_POLLER_DELAY).await {
+                if !first && !changes.is_empty() && !timer.sleep(SECOND_POLLER_DELAY).await {
                     return;
                 }
                 if failures > 0 {
@@ -250,7 +253,7 @@
                 backoff.failed(rand::random_range(RETRY_JITTER))
             }
         };
-        if !delay.is_zero() && !timer.pause(delay).await {
+        if !delay.is_zero() && !timer.sleep(delay).await {
             return;
         }
     }
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -22,7 +22,7 @@
 impl follow::Source for Config {
     type Value = String;
 
-    fn heard(&self) -> clock::Latest {
+    fn last_received(&self) -> clock::Latest {
         clock::Latest::default()
     }
 
@@ -59,7 +59,7 @@
 impl follow::Source for SilentWatch {
     type Value = registry::Entry;
 
-    fn heard(&self) -> clock::Latest {
+    fn last_received(&self) -> clock::Latest {
         clock::Latest::default()
     }
 
--- a/crates/geraniumgauge/src/spread/tests/wire.rs
+++ b/crates/geraniumgauge/src/spread/tests/wire.rs
@@ -62,7 +62,7 @@
 #[test]
 fn datagrams_round_trip() {
     let changes = vec![
-        follow::Change::Gone("u7".to_owned()),
+        follow::Change::Deleted("u7".to_owned()),
         follow::Change::Put(item("u8", Some(entry("u8")))),
         follow::Change::Put(item("no upstream", None)),
     ];
@@ -105,10 +105,10 @@
     assert_eq!(wire::Fetch::from(&fetch).read(), Some(fetch));
     for registrations in [
         None,
-        Some(follow::News::Changes(vec![follow::Change::Gone(
+        Some(follow::Delta::Changes(vec![follow::Change::Deleted(
             "u1".to_owned(),
         )])),
-        Some(follow::News::All(vec![
+        Some(follow::Delta::All(vec![
             item("u8", Some(entry("u8"))),
             item("x", None),
         ])),
--- a/crates/geraniumgauge/src/spread/tests/world/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/mod.rs
@@ -269,7 +269,7 @@
                 let position = answer.summary.position;
                 if !fetch.members_only && position.digest != fetch.position.digest {
                     // Stands for the registrations that differ.
-                    answer.registrations = Some(follow::News::Changes(Vec::new()));
+                    answer.registrations = Some(follow::Delta::Changes(Vec::new()));
                 }
                 if !fetch.members_only && position.config > fetch.position.config {
                     answer.config = Some(String::new());
--- a/crates/geraniumgauge/src/spread/wire/registration.rs
+++ b/crates/geraniumgauge/src/spread/wire/registration.rs
@@ -24,7 +24,7 @@
         for change in changes {
             match change {
                 follow::Change::Put(item) => encoded.put.push(item.into()),
-                follow::Change::Gone(name) => encoded.gone.push(name.clone()),
+                follow::Change::Deleted(name) => encoded.gone.push(name.clone()),
             }
         }
         encoded
@@ -35,7 +35,7 @@
     /// Deletions come first, so that an object that was deleted and written again
     /// exists.
     fn from(encoded: Changes) -> Self {
-        let gone = encoded.gone.into_iter().map(follow::Change::Gone);
+        let gone = encoded.gone.into_iter().map(follow::Change::Deleted);
         let put = encoded.put.into_iter();
         let put = put.map(|encoded| follow::Change::Put(encoded.into()));
         gone.chain(put).collect()
@@ -56,8 +56,8 @@
 impl From<&spread::Registrations> for Registrations {
     fn from(registrations: &spread::Registrations) -> Self {
         let (all, changes) = match registrations {
-            follow::News::Changes(changes) => (false, changes.as_slice().into()),
-            follow::News::All(items) => {
+            follow::Delta::Changes(changes) => (false, changes.as_slice().into()),
+            follow::Delta::All(items) => {
                 let put = items.iter().map(Registration::from).collect();
                 let gone = Vec::new();
                 (true, Changes { put, gone })
--- a/crates/geraniumgauge/src/store/calls.rs
+++ b/crates/geraniumgauge/src/store/calls.rs
@@ -1,10 +1,10 @@
-//! Counts of store calls by kind and result.
+//! Metric of store calls by kind and result.
 
 use opentelemetry::metrics;
 
 use crate::store;
 
-/// The calls of [`store::Api`].
+/// The kinds of calls in [`store::Api`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display(rename_all = "lowercase")]
@@ -38,7 +38,7 @@
             Some(store::Error::Conflict { .. }) => "conflict",
             Some(store::Error::Missing { .. }) => "missing",
             Some(store::Error::Unavailable { .. }) => "unavailable",
-            Some(store::Error::Unsure { .. }) => "unsure",
+            Some(store::Error::Unconfirmed { .. }) => "unsure",
             Some(store::Error::Refused { .. }) => "refused",
         };
         let labels = [
