--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -1,16 +1,17 @@
-//! Which extra calls this VM may make, and which it pays for others.
+//! Decides which extra calls this VM may make for itself and for other VMs.
 //!
-//! The fleet may make so many extra calls to a service in a window. Divided
-//! evenly, each of some sixty VMs holds a handful: those that meet a slow
-//! upstream run out while the others keep theirs. So where a fleet has large VMs
-//! that make the small ones' calls, they hold half of the allowance, and a small
-//! VM that has spent its own part asks one of them to make a call and to pay for
-//! it, in the message that asks for the call anyway.
+//! The fleet may make a limited number of extra calls to a service in a window.
+//! Divided evenly among some sixty VMs, that is a handful each: VMs that reach
+//! a slow upstream run out while the others keep their share unused. Therefore,
+//! in a fleet where large VMs relay the calls of small ones, the large VMs hold
+//! half of the allowance. A small VM that has used up its own share asks a
+//! relay to make an extra call and charge it to the relay's budget, in the
+//! message that requests the call anyway.
 //!
-//! The sum holds whatever VMs know of each other: each spends its own parts by
-//! its own counts, a request is counted once in each kind of budget, by the VM
-//! that took it and by the one that makes its first call, and a holder that dies
-//! takes with it what it hasn't spent.
+//! The sum stays within the allowance even if VMs don't know of each other:
+//! each VM spends its own shares by its own counts, a request is counted once
+//! in each kind of budget, by the VM that received it and by the VM that makes
+//! its first call, and a VM that dies takes its unspent share with it.
 
 use std::collections;
 
@@ -18,34 +19,36 @@
 use crate::ids;
 use crate::time as clock;
 
-/// Part of the allowance that VMs keep for their own calls where large VMs hold
-/// the rest. It is all there is for a window after large VMs started.
-const KEPT: f64 = 0.5;
+/// Share of the allowance that is divided among all VMs for their own calls
+/// when large VMs hold the rest. Only this share is available during the first
+/// window after the large VMs started.
+const OWN_SHARE: f64 = 0.5;
 
-/// The parts of the fleet's allowance that a VM spends.
+/// Shares of the fleet's allowance that a VM spends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Parts {
-    /// For its own calls.
+    /// Share for this VM's own calls.
     own: forward::Part,
-    /// For its own and other VMs' calls, where it is large.
+    /// Share for this VM's own and other VMs' calls. Only large VMs have one.
     lent: Option<forward::Part>,
-    /// Whether other VMs may be asked to pay.
+    /// Whether this VM may ask relays to charge extra calls to their budgets.
     may_ask: bool,
 }
 
-/// A VM's place in a fleet whose VMs differ in power.
+/// Role of a VM in a fleet whose VMs may differ in cores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rank {
-    /// All VMs are alike.
+    /// All VMs have about the same number of cores.
     Equal,
-    /// It makes calls for small VMs.
+    /// Relays the calls of small VMs.
     Large,
-    /// A large one makes its calls.
+    /// Has its calls relayed by large VMs.
     Small,
 }
 
 impl Parts {
-    /// The parts of one of `vms` VMs, of which `large` make the others' calls.
+    /// Returns the shares of one of `vms` VMs, `large` of which relay calls for
+    /// the others.
     pub fn new(rank: Rank, vms: usize, large: usize) -> Self {
         let even = forward::Part::of(vms);
         if rank == Rank::Equal {
@@ -56,12 +59,12 @@
             };
         }
         let own = forward::Part {
-            fixed: even.fixed * KEPT,
-            share: KEPT,
+            fixed: even.fixed * OWN_SHARE,
+            share: OWN_SHARE,
         };
         let lent = forward::Part {
-            fixed: (1.0 - KEPT) / large.max(1) as f64,
-            share: 1.0 - KEPT,
+            fixed: (1.0 - OWN_SHARE) / large.max(1) as f64,
+            share: 1.0 - OWN_SHARE,
         };
         Self {
             own,
@@ -71,24 +74,24 @@
     }
 }
 
-/// Who pays for an extra call.
+/// The VM whose budget an extra call is charged to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub enum Payer {
-    /// This VM has.
+    /// This VM.
     #[display("own")]
     Own,
-    /// The VM that is asked to make the call, if it has room.
+    /// The relay that makes the call, if its budget allows it.
     #[display("helper")]
     Helper,
 }
 
-/// What this VM has counted and spent, by service.
+/// Budgets for extra calls to each service.
 #[derive(Debug)]
 pub struct Allowance {
     parts: Parts,
     own: Budgets,
-    lent: Budgets,
+    shared: Budgets,
 }
 
 impl Default for Allowance {
@@ -96,37 +99,45 @@
         Self {
             parts: Parts::new(Rank::Equal, 1, 0),
             own: Budgets::default(),
-            lent: Budgets::default(),
+            shared: Budgets::default(),
         }
     }
 }
 
 impl Allowance {
-    /// Sets the parts.
+    /// Sets the shares of this VM.
     pub fn set_parts(&mut self, parts: Parts) {
         if self.parts != parts {
-            log::info!(before:? = self.parts, parts:? = parts; "parts of the allowance changed");
+            log::info!(before:? = self.parts, parts:? = parts; "shares of the extra call allowance changed");
             self.parts = parts;
         }
     }
 
     /// Counts a request of a caller.
-    pub fn first(&mut self, service: &ids::Service, policy: &forward::Policy, now: clock::Moment) {
-        self.own.of(service, |budget| budget.first(policy, now));
+    pub fn count_request(
+        &mut self,
+        service: &ids::Service,
+        policy: &forward::Policy,
+        now: clock::Moment,
+    ) {
+        self.own
+            .of(service, |budget| budget.count_request(policy, now));
     }
 
-    /// Counts a request whose first call this VM makes for another one.
+    /// Counts a request whose first call this VM makes for another VM.
     pub fn first_of_other(
         &mut self,
         service: &ids::Service,
         policy: &forward::Policy,
         now: clock::Moment,
     ) {
-        self.lent.of(service, |budget| budget.first(policy, now));
+        self.shared
+            .of(service, |budget| budget.count_request(policy, now));
     }
 
-    /// Pays for an own extra call; who does, where anybody may.
-    pub fn extra(
+    /// Counts an extra call of this VM and returns the VM whose budget is
+    /// charged. Returns `None` if no budget allows the call.
+    pub fn take_extra(
         &mut self,
         service: &ids::Service,
         policy: &forward::Policy,
@@ -135,16 +146,17 @@
         let part = self.parts.own;
         let own = self
             .own
-            .of(service, |budget| budget.extra(policy, part, now));
+            .of(service, |budget| budget.take_extra(policy, part, now));
         if own || self.lend(service, policy, now) {
             return Some(Payer::Own);
         }
         Some(Payer::Helper).filter(|_| self.parts.may_ask)
     }
 
-    /// Takes back what was paid at `paid` for an own extra call that wasn't made.
-    /// Where it was paid from what this VM holds for all, its own part gets the
-    /// call back, if it paid any at that time: the sum of both stays right.
+    /// Removes an own extra call that was charged at `paid` but wasn't made. If
+    /// the shared budget was charged, the call is removed from the own budget
+    /// instead, provided that one was charged at that time. The sum of both
+    /// stays correct.
     pub fn refund(
         &mut self,
         service: &ids::Service,
@@ -156,10 +168,11 @@
             .of(service, |budget| budget.refund(policy, paid, now));
     }
 
-    /// Pays for an extra call out of what this VM holds for all.
+    /// Charges an extra call to the shared budget. Returns whether the budget
+    /// allows the call.
     ///
-    /// Not in the first window after a start: a VM that crashed after spending
-    /// its part, and is back at once, would spend it again.
+    /// Returns `false` in the first window after a start: a VM that spent its
+    /// share, crashed and restarted at once would spend it again.
     pub fn lend(
         &mut self,
         service: &ids::Service,
@@ -173,8 +186,8 @@
         if now.since(started) < policy.extra_window {
             return false;
         }
-        self.lent
-            .of(service, |budget| budget.extra(policy, part, now))
+        self.shared
+            .of(service, |budget| budget.take_extra(policy, part, now))
     }
 }
 
@@ -183,7 +196,8 @@
 struct Budgets(collections::HashMap<ids::Service, forward::Budget>);
 
 impl Budgets {
-    /// Changes the budget of `service`. Its name is only copied where it is new.
+    /// Changes the budget of `service`. The name is cloned only for a new
+    /// service.
     fn of<T>(
         &mut self,
         service: &ids::Service,
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -1,4 +1,4 @@
-//! What all jobs of one VM share.
+//! State shared by all jobs of a VM.
 
 use std::collections;
 use std::rc;
@@ -10,170 +10,181 @@
 use crate::route;
 use crate::time as clock;
 
-/// What an upstream is charged that said it has no room, or whose call is late:
-/// any other that can be tried goes before it.
-const AVOID: time::Duration = time::Duration::from_secs(1);
-/// What an upstream is charged whose registration vanished lately.
-const LAST_RESORT: time::Duration = time::Duration::from_secs(10);
+/// Cost added for an upstream that reported no capacity or has a late call. It
+/// exceeds the cost of any other upstream that can be tried.
+const AVOID_PENALTY: time::Duration = time::Duration::from_secs(1);
+/// Cost added for an upstream whose registration vanished recently.
+const LAST_RESORT_PENALTY: time::Duration = time::Duration::from_secs(10);
 
-/// This VM, as far as choices depend on it.
+/// Properties of this VM that affect the choice of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Own {
-    /// Where it runs.
+    /// The data centre that this VM runs in.
     pub data_centre: ids::DataCentre,
 }
 
-/// A call that was made.
+/// A call that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Made {
-    /// Where it runs.
+    /// The upstream that was called.
     pub upstream: registry::Handle,
-    /// When it began.
+    /// When the call began.
     pub began: clock::Moment,
-    /// How long calls of its route usually take.
+    /// The typical time of the route's calls.
     pub usual: time::Duration,
 }
 
-/// Upstreams, their standings, and the budgets of extra calls.
+/// The known upstreams, their health, and the budgets for extra calls.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The upstreams known.
+    /// All known upstreams.
     pub registry: registry::Registry,
-    /// How requests are run.
+    /// Settings for running requests.
     pub policy: forward::Policy,
-    /// Requests that crash upstreams.
+    /// Requests that are suspected of crashing upstreams.
     pub blame: forward::Blame,
-    /// How late this process acts on its timers.
+    /// Estimated delay between a timer's due time and the moment this process
+    /// acts on it.
     pub lag: forward::Lag,
     own: Own,
-    standings: Vec<forward::Standing>,
+    health: Vec<forward::Standing>,
     allowance: forward::Allowance,
-    times: collections::HashMap<String, rc::Rc<forward::Times>>,
+    latencies: collections::HashMap<String, rc::Rc<forward::Latency>>,
     vms: usize,
     calls: u64,
 }
 
 impl Fleet {
-    /// An empty fleet, seen from `own`.
+    /// Creates an empty fleet as seen from the VM `own`.
     pub fn new(own: Own, policy: forward::Policy) -> Self {
         Self {
             registry: registry::Registry::default(),
             policy,
             blame: forward::Blame::default(),
-            lag: forward::Lag::usual(),
+            lag: forward::Lag::p90(),
             own,
-            standings: Vec::new(),
+            health: Vec::new(),
             allowance: forward::Allowance::default(),
-            times: collections::HashMap::new(),
+            latencies: collections::HashMap::new(),
             vms: 1,
             calls: 0,
         }
     }
 
-    /// This VM.
+    /// Returns the properties of this VM.
     pub fn own(&self) -> &Own {
         &self.own
     }
 
-    /// VMs that may be alive: they share the connection limits.
+    /// Returns the number of VMs that may be alive and share the connection
+    /// limits.
     pub fn vms(&self) -> usize {
         self.vms
     }
 
-    /// Sets how many VMs may be alive.
+    /// Sets the number of VMs that may be alive.
     pub fn set_vms(&mut self, vms: usize) {
         self.vms = vms.max(1);
     }
 
-    /// The usual times of a route's calls. They outlast a configuration.
-    pub fn times(&mut self, route: &route::Route) -> rc::Rc<forward::Times> {
-        if let Some(times) = self.times.get(&route.name) {
-            times.set_aim(route.aim);
-            return times.clone();
+    /// Returns the latency estimate of a route's calls. The estimate survives a
+    /// change of the configuration.
+    pub fn latency(&mut self, route: &route::Route) -> rc::Rc<forward::Latency> {
+        if let Some(latency) = self.latencies.get(&route.name) {
+            latency.set_target(route.aim);
+            return latency.clone();
         }
-        let times = rc::Rc::new(forward::Times::new(route.aim));
-        self.times.insert(route.name.clone(), times.clone());
-        times
+        let latency = rc::Rc::new(forward::Latency::new(route.aim));
+        self.latencies.insert(route.name.clone(), latency.clone());
+        latency
     }
 
-    /// Lets go of what was kept for routes that `table` doesn't name.
+    /// Drops the latency estimates of routes that `table` doesn't contain.
     pub fn keep_routes(&mut self, table: &route::Table) {
         let names: collections::HashSet<&str> = table
             .entries()
             .map(|entry| entry.route.name.as_str())
             .collect();
-        self.times.retain(|name, _| names.contains(name.as_str()));
+        self.latencies
+            .retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// The standing of an upstream.
+    /// Returns the health of an upstream.
     pub fn standing(&mut self, upstream: registry::Handle) -> &mut forward::Standing {
-        if self.standings.len() <= upstream.index() {
-            self.standings
+        if self.health.len() <= upstream.index() {
+            self.health
                 .resize_with(self.registry.handles(), Default::default);
         }
-        &mut self.standings[upstream.index()]
+        &mut self.health[upstream.index()]
     }
 
-    /// Sets which parts of the fleet's allowance of extra calls this VM spends.
+    /// Sets this VM's shares of the fleet's allowance for extra calls.
     pub fn set_parts(&mut self, parts: forward::Parts) {
         self.allowance.set_parts(parts);
     }
 
     /// Counts a request to `service`.
-    pub fn first(&mut self, service: &ids::Service, now: clock::Moment) {
-        self.allowance.first(service, &self.policy, now);
+    pub fn count_request(&mut self, service: &ids::Service, now: clock::Moment) {
+        self.allowance.count_request(service, &self.policy, now);
     }
 
-    /// Pays for an extra call to `service`; who does, where anybody may.
-    pub fn extra(&mut self, service: &ids::Service, now: clock::Moment) -> Option<forward::Payer> {
-        self.allowance.extra(service, &self.policy, now)
+    /// Counts an extra call to `service` and returns the VM whose budget is
+    /// charged. Returns `None` if no budget allows the call.
+    pub fn take_extra(
+        &mut self,
+        service: &ids::Service,
+        now: clock::Moment,
+    ) -> Option<forward::Payer> {
+        self.allowance.take_extra(service, &self.policy, now)
     }
 
-    /// Takes back what was paid at `paid` for an extra call that wasn't made.
+    /// Removes an extra call that was charged at `paid` but wasn't made.
     pub fn refund(&mut self, service: &ids::Service, paid: clock::Moment, now: clock::Moment) {
         self.allowance.refund(service, &self.policy, paid, now);
     }
 
-    /// Counts a request of another VM, whose first call this one makes.
+    /// Counts a request of another VM whose first call this VM makes.
     pub fn first_of_other(&mut self, upstream: registry::Handle, now: clock::Moment) {
         let service = &self.registry.get(upstream).entry.service;
         self.allowance.first_of_other(service, &self.policy, now);
     }
 
-    /// Pays for another VM's extra call, where there is room.
+    /// Charges another VM's extra call to this VM's shared budget. Returns
+    /// whether the budget allows the call.
     pub fn lend(&mut self, upstream: registry::Handle, now: clock::Moment) -> bool {
         let service = &self.registry.get(upstream).entry.service;
         self.allowance.lend(service, &self.policy, now)
     }
 
-    /// Whether any upstream of `service` can be tried.
+    /// Returns whether any upstream of `service` can be tried.
     pub fn has_upstream(&mut self, service: &ids::Service, now: clock::Moment) -> bool {
         self.choose(service, &[], time::Duration::ZERO, now)
             .is_some()
     }
 
-    /// The best upstream of `service` that isn't among `tried`, for a call that
-    /// usually takes `usual`.
+    /// Returns the cheapest upstream of `service` that isn't in `tried`, for a
+    /// call that typically takes `typical`.
     pub fn choose(
         &mut self,
         service: &ids::Service,
         tried: &[registry::Handle],
-        usual: time::Duration,
+        typical: time::Duration,
         now: clock::Moment,
     ) -> Option<registry::Handle> {
-        if self.standings.len() < self.registry.handles() {
-            self.standings
+        if self.health.len() < self.registry.handles() {
+            self.health
                 .resize_with(self.registry.handles(), Default::default);
         }
         let mut best: Option<(time::Duration, registry::Handle)> = None;
         let handles = self.registry.of(service);
-        // Of equals the first wins: starting elsewhere each time spreads them.
+        // The first of several equal upstreams wins, so a different start for
+        // each call spreads the load.
         let start = self.calls as usize % handles.len().max(1);
         for handle in handles[start..].iter().chain(&handles[..start]) {
             if tried.contains(handle) {
                 continue;
             }
-            let Some(cost) = self.cost(*handle, usual, now) else {
+            let Some(cost) = self.cost(*handle, typical, now) else {
                 continue;
             };
             if best.is_none_or(|(least, _)| cost < least) {
@@ -183,37 +194,37 @@
         best.map(|(_, handle)| handle)
     }
 
-    /// What a call to an upstream is expected to cost; `None` where it can't be
-    /// tried.
+    /// Returns the expected cost of a call to an upstream, or `None` if the
+    /// upstream can't be tried.
     fn cost(
         &self,
         handle: registry::Handle,
-        usual: time::Duration,
+        typical: time::Duration,
         now: clock::Moment,
     ) -> Option<time::Duration> {
         let upstream = self.registry.get(handle);
-        let standing = &self.standings[handle.index()];
+        let standing = &self.health[handle.index()];
         let usable = upstream.usable(now);
-        if usable == registry::Use::Never || !standing.up(now) {
+        if usable == registry::Use::Never || !standing.is_up(now) {
             return None;
         }
         let cold = now < upstream.warm_at;
-        let mut cost = standing.expect(usual, upstream.entry.slots, cold, now);
+        let mut cost = standing.expected_time(typical, upstream.entry.slots, cold, now);
         cost += standing.decline_cost(now);
         if upstream.entry.data_centre != self.own.data_centre {
-            cost += self.policy.far_penalty;
+            cost += self.policy.remote_penalty;
         }
         if standing.is_late() || standing.is_full(now) {
-            cost += AVOID;
+            cost += AVOID_PENALTY;
         }
         if usable == registry::Use::LastResort {
-            cost += LAST_RESORT;
+            cost += LAST_RESORT_PENALTY;
         }
         Some(cost)
     }
 
-    /// Whether first calls may go to an upstream: it is ready, and in this data
-    /// centre, or its service has none there.
+    /// Returns whether an upstream is a first choice: it is ready, and either
+    /// runs in this data centre or its service has no ready upstream there.
     pub fn is_first_choice(&self, upstream: registry::Handle) -> bool {
         let near = |handle: registry::Handle| {
             let entry = &self.registry.get(handle).entry;
@@ -225,7 +236,8 @@
         near(upstream) || ready && !others.iter().any(|other| near(*other))
     }
 
-    /// Takes what the end of a call, after `took`, shows of its upstream.
+    /// Records the result of a call that took `took` in the health of its
+    /// upstream.
     pub fn learn(
         &mut self,
         made: &Made,
@@ -240,15 +252,15 @@
                 standing.replied(forward::ratio(took, made.usual), made.began, now);
             }
             forward::Verdict::Failure(_) | forward::Verdict::Lost => standing.failed(now),
-            forward::Verdict::NotRun => standing.full(forward::NO_ROOM_PAUSE, now),
-            forward::Verdict::Misdirected => standing.misdirected(),
-            forward::Verdict::Advised(advice) => standing.hear(*advice, now),
+            forward::Verdict::NotRun => standing.mark_full(forward::NO_CAPACITY_DELAY, now),
+            forward::Verdict::Misdirected => standing.mark_misdirected(),
+            forward::Verdict::Advised(advice) => standing.apply_advice(*advice, now),
             forward::Verdict::NotSent | forward::Verdict::Unpaid => {}
         }
     }
 
-    /// Why another upstream than this one is better called first; `None` where
-    /// this one does well, or there is no other.
+    /// Returns the reason to call another upstream than this one first. Returns
+    /// `None` if this one is healthy or there is no healthy alternative.
     pub fn advice(
         &mut self,
         upstream: registry::Handle,
@@ -258,9 +270,9 @@
         let service = &self.registry.get(upstream).entry.service;
         let other = |other: &registry::Handle| {
             let usable = self.registry.get(*other).usable(now) == registry::Use::Full;
-            let standing = self.standings.get(other.index());
-            let well = standing.is_none_or(|standing| standing.advice(now).is_none());
-            *other != upstream && usable && well
+            let standing = self.health.get(other.index());
+            let is_healthy = standing.is_none_or(|standing| standing.advice(now).is_none());
+            *other != upstream && usable && is_healthy
         };
         self.registry
             .of(service)
@@ -269,8 +281,8 @@
             .then_some(advice)
     }
 
-    /// Takes the end of a call that nobody waited for any more: with a reply
-    /// after `took`, or given up without one.
+    /// Records the end of an abandoned call: `replied` is whether a reply came
+    /// before the call was given up.
     pub fn orphan_ended(&mut self, orphan: &Made, replied: bool, now: clock::Moment) {
         let ratio = forward::ratio(now.since(orphan.began), orphan.usual);
         let standing = self.standing(orphan.upstream);
@@ -278,11 +290,11 @@
         if replied {
             standing.replied(ratio, orphan.began, now);
         } else {
-            standing.given_up(ratio, orphan.began, now);
+            standing.abandoned(ratio, orphan.began, now);
         }
     }
 
-    /// A call's id, never used before by this process.
+    /// Returns a new call id, unique within this process.
     pub fn next_call(&mut self) -> ids::Attempt {
         self.calls += 1;
         ids::Attempt(self.calls)
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -1,4 +1,4 @@
-//! Which calls a job makes, and when a part is done or given up.
+//! Makes the calls of a job and completes or fails its parts.
 
 use std::time;
 
@@ -21,46 +21,46 @@
         self.suffices(live)
     }
 
-    /// The upstream for a part's next call. Where a search has called all of the
-    /// part's upstreams, those that declined may be called again.
-    fn upstream(
+    /// Returns the upstream for a part's next call. When a search has called
+    /// all of the part's upstreams, those that declined may be called again.
+    fn choose_upstream(
         &mut self,
-        place: usize,
+        index: usize,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
     ) -> Option<registry::Handle> {
-        let usual = self.times.median();
+        let typical = self.latency.median();
         let is_sharded = self.is_sharded();
-        let part = &mut self.parts[place];
-        let upstream = fleet.choose(&part.service, &part.tried, usual, now);
+        let part = &mut self.parts[index];
+        let upstream = fleet.choose(&part.service, &part.tried, typical, now);
         if upstream.is_some() || !is_sharded || !part.calls.is_empty() {
             return upstream;
         }
-        part.forgive();
-        fleet.choose(&part.service, &part.tried, usual, now)
+        part.retry_declined();
+        fleet.choose(&part.service, &part.tried, typical, now)
     }
 
-    /// Makes a call for a part; marks the part failed where none can be made.
+    /// Makes a call for a part, or fails the part if no call can be made.
     pub(super) fn call(
         &mut self,
-        place: usize,
+        index: usize,
         why: forward::Why,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
     ) {
-        let Some(upstream) = self.upstream(place, fleet, now) else {
-            return self.fail_unless_called(place, forward::Reason::NoUpstream);
+        let Some(upstream) = self.choose_upstream(index, fleet, now) else {
+            return self.fail_unless_called(index, forward::Reason::NoUpstream);
         };
-        let part = &mut self.parts[place];
+        let part = &mut self.parts[index];
         let payer = if part.arrivals > 0 {
-            fleet.extra(&part.service, now)
+            fleet.take_extra(&part.service, now)
         } else {
             Some(forward::Payer::Own)
         };
         let Some(payer) = payer else {
             part.unpaid = true;
-            return self.fail_unless_called(place, forward::Reason::NoRoom);
+            return self.fail_unless_called(index, forward::Reason::NoCapacity);
         };
         let id = fleet.next_call();
         fleet.standing(upstream).start();
@@ -71,7 +71,7 @@
             id,
             upstream,
             began: now,
-            known: part::Known::Out,
+            progress: part::Progress::Pending,
             why,
             payer,
         });
@@ -82,7 +82,7 @@
         }
         actions.push(forward::Action::Send(forward::Send {
             call: id,
-            part: place,
+            part: index,
             upstream,
             why,
             payer,
@@ -92,80 +92,81 @@
 
     pub(super) fn not_run(
         &mut self,
-        place: usize,
+        index: usize,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
     ) {
-        let part = &mut self.parts[place];
+        let part = &mut self.parts[index];
         part.may_have_run -= 1;
         part.not_run += 1;
         if part.not_run > part::MAX_NOT_RUN {
-            return self.fail_unless_called(place, forward::Reason::NoRoom);
+            return self.fail_unless_called(index, forward::Reason::NoCapacity);
         }
-        self.again(place, forward::Why::NotRun, fleet, now, actions);
+        self.retry(index, forward::Why::NotRun, fleet, now, actions);
     }
 
-    /// The VM that was asked to make a call advises against it: another upstream
-    /// is tried in its place, or the same one where there is no other.
+    /// Handles a relay's advice against a call: calls another upstream, or the
+    /// same one again if there is no other.
     pub(super) fn advised(
         &mut self,
-        place: usize,
+        index: usize,
         call: &part::Call,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
     ) {
-        let part = &mut self.parts[place];
+        let part = &mut self.parts[index];
         if part.arrivals > 1 && call.payer == forward::Payer::Own {
             fleet.refund(&part.service, call.began, now);
         }
         part.arrivals -= 1;
         part.may_have_run -= 1;
         part.advised = true;
-        let usual = self.times.median();
+        let typical = self.latency.median();
         if fleet
-            .choose(&part.service, &part.tried, usual, now)
+            .choose(&part.service, &part.tried, typical, now)
             .is_none()
         {
             part.tried.retain(|tried| *tried != call.upstream);
         }
-        self.again(place, call.why, fleet, now, actions);
+        self.retry(index, call.why, fleet, now, actions);
     }
 
-    /// A call wasn't made as nobody could pay for it: the service's allowance is
-    /// spent, and another try would meet the same.
-    pub(super) fn unpaid(&mut self, place: usize, upstream: registry::Handle) {
-        let part = &mut self.parts[place];
+    /// Handles an extra call that no budget allowed. The service's allowance is
+    /// used up, so another attempt would get the same result.
+    pub(super) fn unpaid(&mut self, index: usize, upstream: registry::Handle) {
+        let part = &mut self.parts[index];
         part.arrivals -= 1;
         part.may_have_run -= 1;
         part.unpaid = true;
         part.tried.retain(|tried| *tried != upstream);
-        self.fail_unless_called(place, forward::Reason::NoRoom);
+        self.fail_unless_called(index, forward::Reason::NoCapacity);
     }
 
-    /// Calls again after a call of the part ended without a reply of use.
-    pub(super) fn again(
+    /// Makes another call after a call of the part ended without a usable
+    /// reply.
+    pub(super) fn retry(
         &mut self,
-        place: usize,
+        index: usize,
         why: forward::Why,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
     ) {
         let route = &self.entry.route;
-        let part = &self.parts[place];
+        let part = &self.parts[index];
         if !part.is_open() || self.finished {
             return;
         }
-        let may = match route.repeat {
+        let may_retry = match route.repeat {
             route::Repeat::Idempotent => part.may_have_run < route.attempts,
             route::Repeat::Once => part.may_have_run == 0,
         };
-        if may {
-            self.call(place, why, fleet, now, actions);
+        if may_retry {
+            self.call(index, why, fleet, now, actions);
         } else {
-            self.fail_unless_called(place, forward::Reason::UpstreamsFailed);
+            self.fail_unless_called(index, forward::Reason::UpstreamsFailed);
         }
         self.plan_hedges();
     }
@@ -176,34 +177,34 @@
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
     ) {
-        for place in 0..self.parts.len() {
-            let part = &mut self.parts[place];
+        for index in 0..self.parts.len() {
+            let part = &mut self.parts[index];
             if !part.is_open() || part.hedge_at.is_none_or(|at| at > now) {
                 continue;
             }
             part.hedge_at = None;
             let mut why = forward::Why::Hedge;
             for call in &part.calls {
-                match call.known {
-                    part::Known::Out => fleet.standing(call.upstream).late(),
-                    // Its upstream may have replied in time.
-                    part::Known::Handed => {
+                match call.progress {
+                    part::Progress::Pending => fleet.standing(call.upstream).late(),
+                    // The upstream may have replied in time.
+                    part::Progress::Delegated => {
                         why = forward::Why::Silent;
                         actions.push(forward::Action::Silent(call.id));
                     }
                 }
             }
-            self.call(place, why, fleet, now, actions);
+            self.call(index, why, fleet, now, actions);
         }
     }
 
-    /// Other VMs make these calls, and tell after `told_after` which of them are
-    /// out. Until then a part isn't late: its reply may wait in a frame that is
-    /// on its way, and hedging by this VM's clock alone would hedge all parts of
-    /// a frame that comes a few milliseconds late.
-    pub fn handed(&mut self, calls: &[forward::Send], told_after: time::Duration) {
-        let latest = self.entry.route.aim.mul_f64(job::LATEST);
-        let wait = told_after.min(latest).max(self.hedge_after);
+    /// Records that relays make these calls and report after `report_after`
+    /// which of them have no reply. Until then a part isn't late: its reply may
+    /// be in a frame that is on its way, and hedging by this VM's clock alone
+    /// would hedge all parts of a frame that is a few milliseconds late.
+    pub fn handed(&mut self, calls: &[forward::Send], report_after: time::Duration) {
+        let latest = self.entry.route.aim.mul_f64(job::MAX_LATE_SHARE);
+        let wait = report_after.min(latest).max(self.hedge_after);
         for send in calls {
             let Some(part) = self.parts.get_mut(send.part) else {
                 continue;
@@ -211,7 +212,7 @@
             let Some(call) = part.calls.iter_mut().find(|call| call.id == send.call) else {
                 continue;
             };
-            call.known = part::Known::Handed;
+            call.progress = part::Progress::Delegated;
             if part.hedge_at.is_some() {
                 part.hedge_at = Some(call.began + wait);
             }
@@ -219,8 +220,8 @@
         self.plan_hedges();
     }
 
-    /// Another VM tells that these of its calls have no reply: their parts are
-    /// hedged at their hedge points.
+    /// Handles a relay's report that these calls have no reply. Their parts are
+    /// hedged at their regular hedge times.
     pub fn still_out(
         &mut self,
         calls: &[ids::Attempt],
@@ -235,7 +236,7 @@
             let Some(call) = part.calls.iter_mut().find(|call| calls.contains(&call.id)) else {
                 continue;
             };
-            call.known = part::Known::Out;
+            call.progress = part::Progress::Pending;
             if part.hedge_at.is_some() {
                 part.hedge_at = Some(call.began + self.hedge_after);
             }
@@ -251,11 +252,11 @@
 
     pub(super) fn complete(
         &mut self,
-        place: usize,
+        index: usize,
         reply: h1::Reply,
         actions: &mut Vec<forward::Action>,
     ) {
-        let part = &mut self.parts[place];
+        let part = &mut self.parts[index];
         if !part.is_open() {
             return;
         }
@@ -267,9 +268,9 @@
         actions.extend(lost.map(|call| forward::Action::Abandon(call.id)));
     }
 
-    /// Gives a part up where no call of it is under way.
-    fn fail_unless_called(&mut self, place: usize, reason: forward::Reason) {
-        let part = &mut self.parts[place];
+    /// Fails a part that has no call in progress.
+    fn fail_unless_called(&mut self, index: usize, reason: forward::Reason) {
+        let part = &mut self.parts[index];
         if part.is_open() && part.calls.is_empty() {
             part.state = part::State::Failed(reason);
             part.hedge_at = None;
--- a/crates/geraniumgauge/src/forward/job/finish.rs
+++ b/crates/geraniumgauge/src/forward/job/finish.rs
@@ -1,4 +1,4 @@
-//! How a job ends, and what its caller is told.
+//! Ends a job and determines its outcome.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 use crate::route;
 
 impl job::Job {
-    /// Ends the job as soon as its end is certain.
+    /// Ends the job as soon as its outcome is certain.
     pub(super) fn settle(&mut self, actions: &mut Vec<forward::Action>) {
         if self.finished {
             return;
@@ -26,8 +26,8 @@
         }
     }
 
-    pub(super) fn time_over(&mut self, actions: &mut Vec<forward::Action>) {
-        if self.is_sharded() && self.enough() {
+    pub(super) fn expire(&mut self, actions: &mut Vec<forward::Action>) {
+        if self.is_sharded() && self.is_sufficient() {
             self.finish_merged(actions);
         } else {
             let reason = forward::Reason::Timeout;
@@ -66,8 +66,8 @@
         self.finish(forward::Outcome::Merged(merged), actions);
     }
 
-    /// Tells the caller the truth about a request that can't succeed any more:
-    /// an upstream's own failure, not run, or unknown.
+    /// Ends a job that can't succeed any more: with an upstream's own failure,
+    /// as not run, or as unknown.
     fn finish_failed(&mut self, actions: &mut Vec<forward::Action>) {
         if !self.is_sharded()
             && let Some(reply) = self.parts.first_mut().and_then(|part| part.failure.take())
@@ -80,16 +80,16 @@
         });
         let full = reasons
             .clone()
-            .any(|reason| reason == forward::Reason::NoRoom);
+            .any(|reason| reason == forward::Reason::NoCapacity);
         let reason = match (self.is_sharded(), reasons.last()) {
             (false, Some(reason)) => reason,
-            _ if full => forward::Reason::NoRoom,
+            _ if full => forward::Reason::NoCapacity,
             _ => forward::Reason::TooFewShards,
         };
         if self.parts.iter().any(|part| part.may_have_run > 0) {
             return self.finish(forward::Outcome::Unknown { reason }, actions);
         }
-        self.refuse(reason, forward::NO_ROOM_PAUSE, actions);
+        self.refuse(reason, forward::NO_CAPACITY_DELAY, actions);
     }
 
     pub(super) fn refuse(
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -1,4 +1,4 @@
-//! One request on its way.
+//! The state machine of one request.
 
 mod calls;
 mod finish;
@@ -15,43 +15,45 @@
 use crate::route;
 use crate::time as clock;
 
-/// Pause told to callers of a service without an upstream. Crashed upstreams
-/// are back after seconds, but another VM may reach one now.
-const NO_UPSTREAM_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Pause told to callers of a request that crashes upstreams: as long as it
-/// stays refused, at least.
-const QUARANTINE_PAUSE: time::Duration = time::Duration::from_secs(30);
+/// Retry delay for callers of a service without an upstream. Crashed upstreams
+/// are back after seconds, but another VM may already reach one.
+const NO_UPSTREAM_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
+/// Retry delay for callers of a request that crashes upstreams. The request
+/// usually stays refused for at least as long.
+const QUARANTINE_RETRY_DELAY: time::Duration = time::Duration::from_secs(30);
 
-/// Times the usual before which no call is late: most would still reply.
-const LATE: f64 = 1.8;
-/// Part of the aim after which a call is late in any case: another one has to
-/// fit into the rest.
-const LATEST: f64 = 0.6;
+/// Multiple of the typical time before which no call is late, because most
+/// calls would still get a reply.
+const LATE_RATIO: f64 = 1.8;
+/// Share of the latency target after which a call is always late, because
+/// another call has to fit into the rest.
+const MAX_LATE_SHARE: f64 = 0.6;
 
-/// What a job starts from.
+/// Parameters of a job.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The route.
+    /// The route of the request.
     pub entry: rc::Rc<route::table::Entry>,
-    /// When it was read.
+    /// When the request was read.
     pub began: clock::Moment,
-    /// How long its caller waits.
+    /// How long the caller waits. `None` if the caller set no limit.
     pub time_left: Option<time::Duration>,
 }
 
-/// One request on its way: a state machine without I/O.
+/// State machine of one request. Performs no I/O.
 #[derive(Debug)]
 pub struct Job {
     entry: rc::Rc<route::table::Entry>,
-    times: rc::Rc<forward::Times>,
+    latency: rc::Rc<forward::Latency>,
     parts: Vec<part::Part>,
-    /// Parts with calls under way.
+    /// Number of parts with calls in progress.
     open: usize,
     done: usize,
     began: clock::Moment,
-    /// When an answer that lacks shards is better than a later one.
+    /// From this time on, an incomplete answer with enough shards is preferred
+    /// over waiting.
     answer_at: clock::Moment,
-    /// When the final answer goes out, whatever it is.
+    /// When the final answer is sent, whatever the state of the parts.
     deadline: clock::Moment,
     hedge_after: time::Duration,
     next_hedge: Option<clock::Moment>,
@@ -59,24 +61,25 @@
 }
 
 impl Job {
-    /// A job for `request`. [`Self::start`] makes its first calls.
+    /// Creates a job for `request`. Call [`Self::start`] to make its first
+    /// calls.
     pub fn new(request: Request, fleet: &mut forward::Fleet) -> Self {
         let route = &request.entry.route;
-        let times = fleet.times(route);
+        let latency = fleet.latency(route);
         let policy = &fleet.policy;
         let wait = request
             .time_left
             .unwrap_or(route.timeout)
             .min(route.timeout);
-        // A tenth of a short wait is left for the way back.
+        // A short timeout reserves only a tenth of it for the way back.
         let margin = policy.deadline_margin.min(wait / 10);
-        let margin_of_aim = policy.answer_margin + fleet.lag.get();
-        let hedge_after = Self::late_after(route.aim, times.median(), policy);
+        let target_margin = policy.answer_margin + fleet.lag.get();
+        let hedge_after = Self::late_after(route.aim, latency.median(), policy);
         let services: Vec<ids::Service> = match &route.target {
             route::Target::One(split) => {
-                let place = request.entry.split.borrow_mut().deal();
+                let index = request.entry.split.borrow_mut().deal();
                 split
-                    .get(place)
+                    .get(index)
                     .map(|part| part.service.clone())
                     .into_iter()
                     .collect()
@@ -85,11 +88,11 @@
         };
         Self {
             parts: services.into_iter().map(part::Part::new).collect(),
-            times,
+            latency,
             open: 0,
             done: 0,
             began: request.began,
-            answer_at: request.began + route.aim.saturating_sub(margin_of_aim),
+            answer_at: request.began + route.aim.saturating_sub(target_margin),
             deadline: request.began + wait.saturating_sub(margin),
             hedge_after,
             next_hedge: None,
@@ -98,23 +101,25 @@
         }
     }
 
-    /// A call is late after the policy's part of the aim, but not while most
-    /// calls of the route still run.
+    /// Returns the time after which a call is late: the policy's share of the
+    /// latency target, but not while most of the route's calls still run.
     fn late_after(
         aim: time::Duration,
         median: time::Duration,
         policy: &forward::Policy,
     ) -> time::Duration {
-        let share = aim.mul_f64(policy.hedge_at.get());
-        share.max(median.mul_f64(LATE)).min(aim.mul_f64(LATEST))
+        let share = aim.mul_f64(policy.hedge_share.get());
+        share
+            .max(median.mul_f64(LATE_RATIO))
+            .min(aim.mul_f64(MAX_LATE_SHARE))
     }
 
-    /// The route.
+    /// Returns the route of the request.
     pub fn route(&self) -> &route::Route {
         &self.entry.route
     }
 
-    /// When [`Self::tick`] is to be called next.
+    /// Returns when [`Self::tick`] must be called next.
     pub fn wake_at(&self) -> clock::Moment {
         let mut at = self.deadline;
         if self.is_sharded() && self.answer_at < at && self.done < self.parts.len() {
@@ -123,22 +128,23 @@
         self.next_hedge.map_or(at, |hedge| hedge.min(at))
     }
 
-    /// When the final answer goes out, whatever it is.
+    /// Returns when the final answer is sent, whatever the state of the parts.
     pub fn deadline(&self) -> clock::Moment {
         self.deadline
     }
 
-    /// When the request was read.
+    /// Returns when the request was read.
     pub fn began(&self) -> clock::Moment {
         self.began
     }
 
-    /// Parts that have their reply, and all of them.
+    /// Returns the number of parts with a reply and the number of all parts.
     pub fn progress(&self) -> (usize, usize) {
         (self.done, self.parts.len())
     }
 
-    /// Makes the first calls, or refuses at once what can't be served.
+    /// Makes the first calls, or refuses the request at once if it can't be
+    /// served.
     pub fn start(
         &mut self,
         fleet: &mut forward::Fleet,
@@ -146,26 +152,34 @@
         actions: &mut Vec<forward::Action>,
     ) {
         for part in &self.parts {
-            fleet.first(&part.service, now);
+            fleet.count_request(&part.service, now);
         }
         self.open = self.parts.len();
         if !self.can_start(fleet, now) {
-            return self.refuse(forward::Reason::NoUpstream, NO_UPSTREAM_PAUSE, actions);
+            return self.refuse(
+                forward::Reason::NoUpstream,
+                NO_UPSTREAM_RETRY_DELAY,
+                actions,
+            );
         }
-        for place in 0..self.parts.len() {
-            self.call(place, forward::Why::First, fleet, now, actions);
+        for index in 0..self.parts.len() {
+            self.call(index, forward::Why::First, fleet, now, actions);
         }
         self.plan_hedges();
         self.settle(actions);
     }
 
-    /// Refuses the request, in the place of [`Self::start`]: it crashes the
-    /// upstreams that run it.
+    /// Refuses the request because it crashes the upstreams that run it. Called
+    /// instead of [`Self::start`].
     pub fn quarantine(&mut self, actions: &mut Vec<forward::Action>) {
-        self.refuse(forward::Reason::Quarantined, QUARANTINE_PAUSE, actions);
+        self.refuse(
+            forward::Reason::Quarantined,
+            QUARANTINE_RETRY_DELAY,
+            actions,
+        );
     }
 
-    /// A call was answered, or is known to get no answer.
+    /// Handles the end of a call, with or without a reply.
     pub fn ended(
         &mut self,
         end: forward::End,
@@ -173,51 +187,52 @@
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
     ) {
-        let place = end.part;
-        let Some(part) = self.parts.get_mut(place) else {
+        let index = end.part;
+        let Some(part) = self.parts.get_mut(index) else {
             return;
         };
-        let Some(call) = part.take(end.call) else {
+        let Some(call) = part.remove_call(end.call) else {
             return;
         };
         let made = forward::Made {
             upstream: call.upstream,
             began: call.began,
-            usual: self.times.median(),
+            usual: self.latency.median(),
         };
         fleet.learn(&made, &end.verdict, end.took, now);
         match end.verdict {
             forward::Verdict::Good(reply) => {
-                self.times.add(end.took);
-                self.complete(place, reply, actions);
+                self.latency.add(end.took);
+                self.complete(index, reply, actions);
             }
             forward::Verdict::Failure(reply) => {
                 part.failure = Some(reply);
-                self.again(place, forward::Why::Failed, fleet, now, actions);
+                self.retry(index, forward::Why::Failed, fleet, now, actions);
             }
             forward::Verdict::NotRun => {
                 part.declined.push(call.upstream);
-                self.not_run(place, fleet, now, actions);
+                self.not_run(index, fleet, now, actions);
             }
             forward::Verdict::Misdirected => {
-                self.not_run(place, fleet, now, actions);
+                self.not_run(index, fleet, now, actions);
             }
             forward::Verdict::NotSent => {
                 part.arrivals -= 1;
-                self.not_run(place, fleet, now, actions);
+                self.not_run(index, fleet, now, actions);
             }
             forward::Verdict::Advised(_) => {
-                self.advised(place, &call, fleet, now, actions);
+                self.advised(index, &call, fleet, now, actions);
             }
-            forward::Verdict::Unpaid => self.unpaid(place, call.upstream),
+            forward::Verdict::Unpaid => self.unpaid(index, call.upstream),
             forward::Verdict::Lost => {
-                self.again(place, forward::Why::Failed, fleet, now, actions);
+                self.retry(index, forward::Why::Failed, fleet, now, actions);
             }
         }
         self.settle(actions);
     }
 
-    /// Hedges, answers with what there is, or gives up, as the time says.
+    /// Handles a timer: hedges, answers with the replies received so far, or
+    /// gives up.
     pub fn tick(
         &mut self,
         fleet: &mut forward::Fleet,
@@ -229,13 +244,14 @@
         }
         fleet.lag.add(now.since(self.wake_at()));
         if now >= self.deadline {
-            return self.time_over(actions);
+            return self.expire(actions);
         }
         if self.is_sharded() && now >= self.answer_at {
-            if self.enough() {
+            if self.is_sufficient() {
                 return self.finish_merged(actions);
             }
-            // From here on only a whole answer, or the deadline, ends it.
+            // From here on, only a complete answer or the deadline ends the
+            // job.
             self.answer_at = self.deadline;
         }
         if self.next_hedge.is_some_and(|at| at <= now) {
@@ -244,14 +260,14 @@
         }
     }
 
-    /// Nobody waits any more: the caller left.
+    /// Cancels the job because its caller disconnected.
     pub fn cancel(&mut self, actions: &mut Vec<forward::Action>) {
         self.finished = true;
         self.abandon(actions);
     }
 
-    /// Lets go of the calls under way. From here on, what becomes of them is
-    /// told to [`forward::Fleet::orphan_ended`].
+    /// Abandons all calls in progress. Report their ends to
+    /// [`forward::Fleet::orphan_ended`] from then on.
     fn abandon(&mut self, actions: &mut Vec<forward::Action>) {
         for part in &mut self.parts {
             let calls = part.calls.drain(..);
@@ -259,32 +275,32 @@
         }
     }
 
-    /// The services whose parts have no reply.
+    /// Returns the services of the parts that have no reply.
     pub fn missing(&self) -> impl Iterator<Item = &ids::Service> {
         let open = self.parts.iter().filter(|part| !part.is_done());
         open.map(|part| &part.service)
     }
 
-    /// Why parts have no reply, and how many for each cause.
-    pub fn lacks(&self) -> collections::BTreeMap<forward::Lack, usize> {
-        let mut lacks = collections::BTreeMap::new();
-        for lack in self.parts.iter().filter_map(part::Part::lack) {
-            *lacks.entry(lack).or_default() += 1;
+    /// Returns the number of parts without a reply by reason.
+    pub fn lacks(&self) -> collections::BTreeMap<forward::MissingReason, usize> {
+        let mut counts = collections::BTreeMap::new();
+        for reason in self.parts.iter().filter_map(part::Part::missing_reason) {
+            *counts.entry(reason).or_default() += 1;
         }
-        lacks
+        counts
     }
 
-    /// The upstreams that were called for the first part.
+    /// Returns the upstreams that were called for the first part.
     pub fn tried(&self) -> &[registry::Handle] {
         self.parts.first().map_or(&[], |part| &part.tried)
     }
 
-    /// How long after its start a call counts as late.
+    /// Returns the time after which a call counts as late.
     pub fn hedge_after(&self) -> time::Duration {
         self.hedge_after
     }
 
-    /// Records that an answer needs at most.
+    /// Returns the maximum number of records in an answer.
     pub fn top(&self) -> usize {
         match &self.entry.route.target {
             route::Target::One(_) => 0,
@@ -292,36 +308,36 @@
         }
     }
 
-    /// Puts a reply in the place of the one that a part has.
-    pub fn replace(&mut self, place: usize, reply: h1::Reply) {
-        let part = self.parts.get_mut(place);
+    /// Replaces the reply of a part that has one.
+    pub fn replace(&mut self, index: usize, reply: h1::Reply) {
+        let part = self.parts.get_mut(index);
         if let Some(part) = part.filter(|part| part.is_done()) {
             part.state = part::State::Done(reply);
         }
     }
 
-    /// The usual times of the route's calls.
-    pub fn times(&self) -> &rc::Rc<forward::Times> {
-        &self.times
+    /// Returns the latency estimate of the route's calls.
+    pub fn times(&self) -> &rc::Rc<forward::Latency> {
+        &self.latency
     }
 
     fn is_sharded(&self) -> bool {
         matches!(self.entry.route.target, route::Target::Shards(_))
     }
 
-    fn least(&self) -> f64 {
+    fn min_coverage(&self) -> f64 {
         match &self.entry.route.target {
             route::Target::One(_) => 1.0,
             route::Target::Shards(shards) => shards.least.get(),
         }
     }
 
-    /// Whether `count` parts make an answer.
+    /// Returns whether replies of `count` parts suffice for an answer.
     fn suffices(&self, count: usize) -> bool {
-        count > 0 && count as f64 >= self.least() * self.parts.len() as f64
+        count > 0 && count as f64 >= self.min_coverage() * self.parts.len() as f64
     }
 
-    fn enough(&self) -> bool {
+    fn is_sufficient(&self) -> bool {
         self.suffices(self.done)
     }
 }
--- a/crates/geraniumgauge/src/forward/lag.rs
+++ b/crates/geraniumgauge/src/forward/lag.rs
@@ -1,31 +1,31 @@
-//! How late things come that were due at a known point in time.
+//! Estimates how late events occur relative to their due time.
 
 use std::time;
 
-/// Largest estimate. Beyond it, acting on it wouldn't help any more.
-const MOST: time::Duration = time::Duration::from_millis(20);
+/// Upper bound of the estimate. Compensating for a larger lag wouldn't help.
+const MAX_LAG: time::Duration = time::Duration::from_millis(20);
 
-/// Weights by which an estimate follows later and earlier ones. Their ratio says
-/// which part of all comes by it: nine of ten.
-const USUAL: Weights = Weights {
-    up: 0.18,
-    down: 0.02,
+/// Weights for samples above and below the estimate. Their ratio determines the
+/// quantile that the estimate follows: 0.18 to 0.02 yields nine of ten.
+const P90_WEIGHTS: Weights = Weights {
+    later: 0.18,
+    earlier: 0.02,
 };
-/// Likewise for some 97 of 100.
-const RARE: Weights = Weights {
-    up: 0.16,
-    down: 0.005,
+/// Weights for an estimate of about the 97th percentile.
+const P97_WEIGHTS: Weights = Weights {
+    later: 0.16,
+    earlier: 0.005,
 };
 
 #[derive(Debug, Clone, Copy)]
 struct Weights {
-    up: f64,
-    down: f64,
+    later: f64,
+    earlier: f64,
 }
 
-/// A running estimate of how late most of something comes: this process's own
-/// turns after a timer's point, or the messages of another VM. On a part of a
-/// core, a turn has to wait for the others.
+/// Moving estimate of a high quantile of lateness: of this process's turns
+/// after their timers' due time, or of another VM's messages. On a fraction of
+/// a core, a turn has to wait for other processes.
 #[derive(Debug, Clone, Copy)]
 pub struct Lag {
     seconds: f64,
@@ -33,34 +33,34 @@
 }
 
 impl Lag {
-    /// Nine of ten come by the estimate.
-    pub fn usual() -> Self {
+    /// Creates an estimate that about 90 of 100 samples don't exceed.
+    pub fn p90() -> Self {
         Self {
             seconds: 0.0,
-            weights: USUAL,
+            weights: P90_WEIGHTS,
         }
     }
 
-    /// Some 97 of 100 come by the estimate.
-    pub fn rare() -> Self {
+    /// Creates an estimate that about 97 of 100 samples don't exceed.
+    pub fn p97() -> Self {
         Self {
-            seconds: MOST.as_secs_f64() / 2.0,
-            weights: RARE,
+            seconds: MAX_LAG.as_secs_f64() / 2.0,
+            weights: P97_WEIGHTS,
         }
     }
 
-    /// Takes how late one came.
+    /// Adds a sample of lateness.
     pub fn add(&mut self, late: time::Duration) {
-        let late = late.min(MOST).as_secs_f64();
+        let late = late.min(MAX_LAG).as_secs_f64();
         let weight = if late > self.seconds {
-            self.weights.up
+            self.weights.later
         } else {
-            self.weights.down
+            self.weights.earlier
         };
         self.seconds += weight * (late - self.seconds);
     }
 
-    /// The estimate.
+    /// Returns the estimate.
     pub fn get(&self) -> time::Duration {
         time::Duration::from_secs_f64(self.seconds)
     }
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -1,43 +1,44 @@
-//! Decides to which upstreams a request goes, and what its caller is told.
+//! Forwards requests to upstreams and decides what to answer their callers.
 //!
-//! A [`Job`] is one request: one part for a route to a single upstream, one
-//! part a shard otherwise. It takes events and answers with [`Action`]s;
-//! [`Fleet`] holds what all jobs of a VM share: which upstreams there are, how
-//! they did lately, and what may be spent on extra calls. No I/O.
+//! A [`Job`] is the state machine of one request. It has a single part where
+//! the route goes to one upstream, and one part per shard where the route is
+//! sharded. It consumes events and emits [`Action`]s. [`Fleet`] holds the state
+//! that all jobs of a VM share: the known upstreams, their recent health, and
+//! the budgets for extra calls. This module performs no I/O.
 
 mod allowance;
-mod blame;
 mod budget;
 mod fleet;
+mod health;
 mod job;
 mod lag;
+mod latency;
 mod merge;
 mod part;
 mod relay;
-mod standing;
-mod times;
+mod suspects;
 
 pub use allowance::Allowance;
 pub use allowance::Parts;
 pub use allowance::Payer;
 pub use allowance::Rank;
-pub use blame::Blame;
 pub use budget::Budget;
 pub use budget::Part;
 pub use fleet::Fleet;
 pub use fleet::Made;
 pub use fleet::Own;
+pub use health::Advice;
+pub use health::Standing;
 pub use job::Job;
 pub use job::Request;
 pub use lag::Lag;
-pub use merge::RECORD;
+pub use latency::Latency;
+pub use merge::RECORD_BYTES;
 pub use merge::top;
-pub use part::Lack;
+pub use part::MissingReason;
 pub use relay::Helper;
 pub use relay::Relays;
-pub use standing::Advice;
-pub use standing::Standing;
-pub use times::Times;
+pub use suspects::Blame;
 
 use std::time;
 
@@ -46,42 +47,45 @@
 use crate::rate;
 use crate::registry;
 
-/// How long an upstream that has no room is left alone, and the pause told to
-/// callers then: some queue has drained by then, and callers that were refused
-/// together return apart.
-const NO_ROOM_PAUSE: time::Duration = time::Duration::from_millis(40);
+/// How long an upstream that reported no capacity is avoided, and the retry
+/// delay that callers get in that case. Some queue has drained by then, and
+/// callers that were refused together come back at different times.
+const NO_CAPACITY_DELAY: time::Duration = time::Duration::from_millis(40);
 
-/// How requests are run. Times are of this VM's clock.
+/// Settings for running requests. Durations are measured on this VM's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Part of a route's aim after which a call counts as late and its part is
-    /// hedged. A third leaves the other upstream time to answer within the aim.
-    pub hedge_at: rate::Share,
-    /// Left of the aim when an answer must be on its way, beside this process's
-    /// own lag. Callers are up to 3 ms away one way and mostly open a connection
-    /// first: four ways.
+    /// Share of a route's latency target after which a call counts as late and
+    /// its part is hedged. A third leaves the other upstream time to answer
+    /// within the target.
+    pub hedge_share: rate::Share,
+    /// Time before the latency target at which an answer must be sent, in
+    /// addition to this process's own lag. Callers are up to 3 ms away one way
+    /// and mostly open a connection first, which makes four one-way trips.
     pub answer_margin: time::Duration,
-    /// Left of the deadline when the final answer must be on its way.
+    /// Time before the deadline at which the final answer must be sent.
     pub deadline_margin: time::Duration,
-    /// What a call to another data centre must save to be preferred over one
-    /// to the same: the way there and back, and the price of its bytes.
-    pub far_penalty: time::Duration,
-    /// Extra calls to a service's upstreams that all VMs together may make, as
-    /// a share of its requests.
+    /// Time that a call to another data centre must save to be preferred over a
+    /// call within this one. Covers the round trip and the price of the bytes
+    /// sent.
+    pub remote_penalty: time::Duration,
+    /// Number of extra calls that all VMs together may make to a service's
+    /// upstreams, as a share of its requests.
     pub extra_share: rate::Share,
-    /// Extra calls to a service's upstreams in a window, beside that share.
+    /// Number of extra calls to a service's upstreams that are allowed per
+    /// window in addition to `extra_share`.
     pub extra_calls: f64,
-    /// The window in which they are counted.
+    /// Length of the window in which extra calls are counted.
     pub extra_window: time::Duration,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            hedge_at: rate::Share::percent(30),
+            hedge_share: rate::Share::percent(30),
             answer_margin: time::Duration::from_millis(12),
             deadline_margin: time::Duration::from_millis(20),
-            far_penalty: time::Duration::from_millis(6),
+            remote_penalty: time::Duration::from_millis(6),
             extra_share: rate::Share::percent(20),
             extra_calls: 10.0,
             extra_window: time::Duration::from_secs(10),
@@ -89,25 +93,25 @@
     }
 }
 
-/// Why a call is made.
+/// The reason for making a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display("{}", self.name())]
 pub enum Why {
-    /// It is the part's first.
+    /// First call of its part.
     First,
-    /// The upstream of the one before is late.
+    /// The upstream of the previous call is late.
     Hedge,
-    /// The VM that was asked to make the one before tells nothing of it.
+    /// The relay that was asked to make the previous call doesn't respond.
     Silent,
-    /// The one before wasn't run.
+    /// The previous call wasn't run.
     NotRun,
-    /// The one before failed, and the request may run again.
+    /// The previous call failed, and the request may run again.
     Failed,
 }
 
 impl Why {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -119,46 +123,46 @@
     }
 }
 
-/// What is to be done for a job.
+/// An action that a job requests.
 #[derive(Debug)]
 pub enum Action {
     /// Call an upstream.
     Send(Send),
-    /// Nobody waits for this call any more.
+    /// Stop waiting for a call whose result is no longer wanted.
     Abandon(ids::Attempt),
-    /// The VM that was asked to make this call is silent.
+    /// Report that the relay that was asked to make this call doesn't respond.
     Silent(ids::Attempt),
-    /// The job is over.
+    /// End the job with this outcome.
     Finish(Outcome),
 }
 
 /// A call to make.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Send {
-    /// The call's id.
+    /// Identifies the call.
     pub call: ids::Attempt,
-    /// The part it is for.
+    /// Index of the part that the call is made for.
     pub part: usize,
-    /// The upstream.
+    /// The upstream to call.
     pub upstream: registry::Handle,
-    /// Why.
+    /// The reason for making the call.
     pub why: Why,
-    /// Who pays for it, where it is an extra one.
+    /// The VM whose budget is charged if this is an extra call.
     pub payer: Payer,
-    /// Whether a VM that is asked to make it does so in any case.
+    /// Set when a relay must make the call even if it would advise against it.
     pub insist: bool,
 }
 
 /// The end of a call.
 #[derive(Debug)]
 pub struct End {
-    /// The call's id.
+    /// Identifies the call.
     pub call: ids::Attempt,
-    /// The part it was for.
+    /// Index of the part that the call was made for.
     pub part: usize,
     /// How it ended.
     pub verdict: Verdict,
-    /// How long it took.
+    /// Time from the start of the call to its end.
     pub took: time::Duration,
 }
 
@@ -167,39 +171,42 @@
 pub enum Verdict {
     /// The upstream ran it and replied with success.
     Good(h1::Reply),
-    /// The upstream replied with a failure of its own: it may have run.
+    /// The upstream replied with a failure of its own, so the request may have
+    /// run.
     Failure(h1::Reply),
-    /// It wasn't run: the upstream said so.
+    /// The upstream replied that it didn't run the request.
     NotRun,
-    /// It wasn't run: another upstream has the address.
+    /// Not run: another upstream answers at the address.
     Misdirected,
-    /// It wasn't run: no byte of it was sent.
+    /// Not run: no byte of the request was sent.
     NotSent,
-    /// It wasn't made: the VM that was asked knows the upstream to do badly.
+    /// Not made: the relay observed that the upstream is slow or declines
+    /// calls.
     Advised(Advice),
-    /// It wasn't made: nobody could pay for it.
+    /// Not made: no budget allows the extra call.
     Unpaid,
-    /// Its connection ended, or its reply can't be used: it may have run.
+    /// The connection ended or the reply can't be used, so the request may have
+    /// run.
     Lost,
 }
 
-/// Why a request got no answer from an upstream.
+/// The reason why no upstream answered a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub enum Reason {
-    /// No upstream that could run it is known to live.
+    /// No upstream that could run the request is known to be alive.
     #[display("no_upstream")]
     NoUpstream,
-    /// The upstreams have no room.
+    /// The upstreams have no capacity left.
     #[display("no_room")]
-    NoRoom,
+    NoCapacity,
     /// Too few shards can still answer.
     #[display("too_few_shards")]
     TooFewShards,
     /// Calls failed.
     #[display("upstreams_failed")]
     UpstreamsFailed,
-    /// The time is over.
+    /// The deadline passed.
     #[display("timeout")]
     Timeout,
     /// The request crashes upstreams.
@@ -207,23 +214,23 @@
     Quarantined,
 }
 
-/// What the caller is told.
+/// The answer to the caller.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An upstream's own reply.
+    /// The reply of a single upstream.
     Reply(h1::Reply),
-    /// Merged from the replies of shards.
+    /// An answer merged from the replies of shards.
     Merged(Merged),
-    /// Not run, and never will be.
+    /// The request didn't run and won't run later.
     NotRun {
-        /// Why.
+        /// The reason for the refusal.
         reason: Reason,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: time::Duration,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// Why.
+        /// The reason for the missing answer.
         reason: Reason,
     },
 }
@@ -231,17 +238,17 @@
 /// An answer that was merged from the replies of shards.
 #[derive(Debug)]
 pub struct Merged {
-    /// The signatures of the parts that are in.
+    /// Signatures of the replies that were merged.
     pub signatures: Vec<String>,
-    /// How many shards are left out.
+    /// Number of shards without a reply.
     pub missing: usize,
-    /// The greatest records, falling.
+    /// The greatest records in descending order.
     pub records: Vec<u8>,
 }
 
-/// A call's time by the usual one.
-fn ratio(took: time::Duration, usual: time::Duration) -> f64 {
-    took.as_secs_f64() / usual.as_secs_f64().max(1e-6)
+/// Returns the time that a call took relative to the typical time.
+fn ratio(took: time::Duration, typical: time::Duration) -> f64 {
+    took.as_secs_f64() / typical.as_secs_f64().max(1e-6)
 }
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/forward/part.rs
+++ b/crates/geraniumgauge/src/forward/part.rs
@@ -1,4 +1,4 @@
-//! One part of a job: what one service's upstreams are asked for.
+//! One part of a job: the calls to the upstreams of one service.
 
 use crate::forward;
 use crate::h1;
@@ -6,85 +6,87 @@
 use crate::registry;
 use crate::time as clock;
 
-/// Calls of one part that were proven not run, beyond which it is given up.
-/// Each costs its service an arrival, so trying on doesn't help a full one.
+/// Number of calls that were proven not run after which a part is given up.
+/// Each call adds load to its service, so further attempts don't help a service
+/// that has no capacity.
 pub(super) const MAX_NOT_RUN: u32 = 3;
 
-/// A call under way.
+/// A call that has no result yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Call {
     pub(super) id: ids::Attempt,
     pub(super) upstream: registry::Handle,
     pub(super) began: clock::Moment,
-    pub(super) known: Known,
+    pub(super) progress: Progress,
     pub(super) why: forward::Why,
     pub(super) payer: forward::Payer,
 }
 
-/// What is known of a call while it has no reply.
+/// How much is known about a call that has no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Known {
-    /// That its upstream hasn't replied.
-    Out,
-    /// Nothing yet: another VM makes it, and may have its reply already.
-    Handed,
+pub(super) enum Progress {
+    /// The upstream hasn't replied.
+    Pending,
+    /// A relay makes the call and may already have the reply.
+    Delegated,
 }
 
-/// How a part stands.
+/// State of a part.
 #[derive(Debug)]
 pub(super) enum State {
-    /// Calls are under way.
+    /// Calls are in progress.
     Open,
-    /// It has its reply.
+    /// A reply was received.
     Done(h1::Reply),
-    /// It won't have one.
+    /// No reply can be received any more.
     Failed(forward::Reason),
 }
 
-/// Why a part has no reply.
+/// The reason why a part has no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(derive_more::Display)]
-pub enum Lack {
-    /// An extra call was wanted, and the service's allowance was spent.
+pub enum MissingReason {
+    /// An extra call was needed, but the service's allowance was used up.
     #[display("unpaid")]
     Unpaid,
     /// No upstream could be tried.
     #[display("no_upstream")]
     NoUpstream,
-    /// Its calls failed or were declined.
+    /// All calls failed or were declined.
     #[display("failed")]
     Failed,
-    /// Its upstream is late, and no other was called.
+    /// The upstream is late, and no other one was called.
     #[display("late")]
     Late,
-    /// Several upstreams were called, and all are late.
+    /// Several upstreams were called, and all of them are late.
     #[display("all_late")]
     AllLate,
 }
 
-/// One part.
+/// The calls to one service's upstreams.
 #[derive(Debug)]
 pub(super) struct Part {
     pub(super) service: ids::Service,
     pub(super) state: State,
     pub(super) calls: Vec<Call>,
     pub(super) tried: Vec<registry::Handle>,
-    /// Those among them that declined a call.
+    /// Upstreams in `tried` that declined a call.
     pub(super) declined: Vec<registry::Handle>,
-    /// Calls that may have run, those under way included.
+    /// Number of calls that may have run, including those in progress.
     pub(super) may_have_run: u32,
-    /// Calls that were proven not run.
+    /// Number of calls that were proven not run.
     pub(super) not_run: u32,
-    /// Calls that reached an upstream or may have: the first isn't extra.
+    /// Number of calls that reached an upstream or may have. All but the first
+    /// are extra calls.
     pub(super) arrivals: u32,
-    /// Whether a VM advised against a call, so that the next one is made in any
-    /// case.
+    /// Set when a relay advised against a call. The next call is mandatory.
     pub(super) advised: bool,
-    /// Whether an extra call was wanted that nobody could pay for.
+    /// Set when an extra call was needed that no budget allowed.
     pub(super) unpaid: bool,
-    /// When it is hedged; `None` where it was, or can't be.
+    /// When the part is hedged. `None` if it was hedged already or can't be.
     pub(super) hedge_at: Option<clock::Moment>,
-    /// An upstream's own failure, told to the caller where nothing better comes.
+    /// An upstream's failure reply, returned to the caller if no better reply
+    /// comes.
     pub(super) failure: Option<h1::Reply>,
 }
 
@@ -114,29 +116,30 @@
         matches!(self.state, State::Done(_))
     }
 
-    /// Why it has no reply; `None` where it has one.
-    pub(super) fn lack(&self) -> Option<Lack> {
+    /// Returns the reason why the part has no reply, or `None` if it has one.
+    pub(super) fn missing_reason(&self) -> Option<MissingReason> {
         match self.state {
             State::Done(_) => None,
-            _ if self.unpaid => Some(Lack::Unpaid),
-            State::Failed(forward::Reason::NoUpstream) => Some(Lack::NoUpstream),
-            State::Failed(_) => Some(Lack::Failed),
-            State::Open if self.tried.len() > 1 => Some(Lack::AllLate),
-            State::Open => Some(Lack::Late),
+            _ if self.unpaid => Some(MissingReason::Unpaid),
+            State::Failed(forward::Reason::NoUpstream) => Some(MissingReason::NoUpstream),
+            State::Failed(_) => Some(MissingReason::Failed),
+            State::Open if self.tried.len() > 1 => Some(MissingReason::AllLate),
+            State::Open => Some(MissingReason::Late),
         }
     }
 
-    /// Lets upstreams that declined be tried again. One that declines a part of
-    /// its calls though it has room may take the next one; a shard all of whose
-    /// upstreams do so was given up after one call to each.
-    pub(super) fn forgive(&mut self) {
+    /// Allows upstreams that declined a call to be tried again. An upstream
+    /// that declines some calls although it has capacity may accept the next
+    /// one. Without this, a shard whose upstreams all do so was given up after
+    /// one call to each.
+    pub(super) fn retry_declined(&mut self) {
         let declined = std::mem::take(&mut self.declined);
         self.tried.retain(|tried| !declined.contains(tried));
     }
 
-    /// Takes the call off those under way.
-    pub(super) fn take(&mut self, id: ids::Attempt) -> Option<Call> {
-        let place = self.calls.iter().position(|call| call.id == id)?;
-        Some(self.calls.swap_remove(place))
+    /// Removes a call from those in progress.
+    pub(super) fn remove_call(&mut self, id: ids::Attempt) -> Option<Call> {
+        let index = self.calls.iter().position(|call| call.id == id)?;
+        Some(self.calls.swap_remove(index))
     }
 }
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -1,10 +1,11 @@
-//! Which calls of a search another VM makes for this one.
+//! Chooses the relays that make calls of a search for this VM.
 //!
-//! A call to another data centre brings a whole part over the dear link; a VM
-//! beside the upstreams can make a search's calls there and send back one frame
-//! of the greatest records. And a small VM needs long for the calls of a wide
-//! search: at 25 microseconds of a core a call, 90 calls take 19 ms on an
-//! eighth of a core, more than the upstreams themselves.
+//! A call to another data centre transfers a whole part over the expensive
+//! link. A relay in the upstreams' data centre can make all of a search's calls
+//! there and return one frame with the greatest records. Small VMs also take
+//! long to make the calls of a wide search: at 25 microseconds of a core per
+//! call, 90 calls take 19 ms on an eighth of a core, longer than the upstreams
+//! themselves.
 
 use std::collections;
 use std::net;
@@ -14,126 +15,131 @@
 use crate::ids;
 use crate::time as clock;
 
-/// Processor time of one call with its reply, measured on the users' platform
-/// as the difference between a day with and one without searches.
-const CALL: time::Duration = time::Duration::from_micros(28);
-/// Time for a search's own calls from which a VM hands those beside it to a
-/// larger VM. A hop within a data centre and the frames cost about 2 ms.
-const CROWDED: time::Duration = time::Duration::from_millis(6);
-/// How much larger a VM must be to take calls of one beside it.
-const LARGER: f64 = 2.0;
-/// Part of the largest VM's power from which a VM makes calls for others.
-const POWERFUL: f64 = 0.6;
-/// Part of an upstream's connections that VMs of its data centre share.
-const NEAR: f64 = 0.6;
-/// Part of an upstream's connections that VMs of other data centres share.
-const FAR: f64 = 0.25;
-/// Part of an upstream's connections that small VMs share, which hand their
-/// calls over: theirs are for calls that are late, and few.
-const LATE: f64 = 0.15;
-/// Where less than one VM in so many is known, nobody can tell which of them make
-/// the others' calls: each takes no more than any.
-const FEW: usize = 10;
-/// How long a VM that didn't know an upstream is told their addresses: cuts from
-/// the store last for seconds.
-const LACKS: time::Duration = time::Duration::from_secs(10);
-/// How long a VM may leave a frame unanswered before no more are sent to it.
-const SILENT: time::Duration = time::Duration::from_millis(80);
+/// Processor time of one call with its reply on the users' platform: the
+/// difference between a day with searches and one without.
+const CALL_PROCESSOR_TIME: time::Duration = time::Duration::from_micros(28);
+/// Time to make a search's own calls above which a VM delegates calls within
+/// its data centre to a larger VM. A hop within a data centre and the frames
+/// cost about 2 ms.
+const MAX_OWN_CALLS_TIME: time::Duration = time::Duration::from_millis(6);
+/// Minimum ratio of cores between a relay and a VM of the same data centre that
+/// delegates calls to it.
+const MIN_LARGER_RATIO: f64 = 2.0;
+/// Share of the largest VM's cores from which a VM relays calls.
+const MIN_RELAY_CORES_SHARE: f64 = 0.6;
+/// Share of an upstream's connections for VMs of its own data centre.
+const LOCAL_CONNECTION_SHARE: f64 = 0.6;
+/// Share of an upstream's connections for VMs of other data centres.
+const REMOTE_CONNECTION_SHARE: f64 = 0.25;
+/// Share of an upstream's connections for small VMs. They delegate most calls
+/// and need connections only for the few calls that are late.
+const SMALL_VM_CONNECTION_SHARE: f64 = 0.15;
+/// If less than one VM in this many is known, a VM can't tell which VMs relay
+/// calls, and it takes no more connections than any VM may.
+const MAX_VMS_PER_KNOWN: usize = 10;
+/// How long upstream addresses are sent to a relay that didn't know an
+/// upstream. Partitions from the store last for seconds.
+const SEND_ADDRESSES_WINDOW: time::Duration = time::Duration::from_secs(10);
+/// How long a relay may leave a request unanswered before no more are sent to
+/// it.
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
-/// Another VM.
+/// A VM that may make calls for this one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Helper {
-    /// Where it takes messages of other VMs.
+    /// The address at which the VM receives messages of other VMs.
     pub address: net::SocketAddr,
-    /// Where it runs.
+    /// The data centre that the VM runs in.
     pub data_centre: ids::DataCentre,
-    /// Cores that it has.
+    /// Number of processor cores of the VM.
     pub power: f64,
 }
 
-/// A helper with what is known of its connection.
+/// Another VM and the state of the connection to it.
 #[derive(Debug, Clone)]
-struct Known {
-    helper: Helper,
-    /// Whether it may make calls for this VM.
-    suits: bool,
+struct Peer {
+    relay: Helper,
+    /// Whether the VM may relay calls for this one.
+    eligible: bool,
     connected: bool,
     waiting_since: Option<clock::Moment>,
-    /// Whether a frame of it is overdue.
+    /// Set while a frame of the VM is overdue.
     silent: bool,
-    /// Until when it is told the addresses of upstreams.
-    lacks_until: clock::Moment,
+    /// Until when upstream addresses are sent along with calls.
+    send_addresses_until: clock::Moment,
 }
 
-impl Known {
+impl Peer {
     fn answers(&self, now: clock::Moment) -> bool {
         let silent = self
             .waiting_since
-            .is_some_and(|since| now.since(since) >= SILENT);
+            .is_some_and(|since| now.since(since) >= ANSWER_TIMEOUT);
         self.connected && !silent
     }
 }
 
-/// The other VMs, as far as they can make calls for this one.
+/// The other VMs as potential relays.
 #[derive(Debug)]
 pub struct Relays {
     own: ids::DataCentre,
     power: f64,
-    known: Vec<Known>,
-    turn: usize,
+    peers: Vec<Peer>,
+    next: usize,
     lateness: forward::Lag,
-    /// Whether the other VMs were ever told.
-    heard: bool,
+    /// Whether the other VMs were ever set.
+    was_set: bool,
 }
 
 impl Relays {
-    /// No other VM yet, for a VM of `power` cores in data centre `own`.
+    /// Creates an empty set for a VM of `power` cores in data centre `own`.
     pub fn new(own: ids::DataCentre, power: f64) -> Self {
         Self {
             own,
             power,
-            known: Vec::new(),
-            turn: 0,
-            lateness: forward::Lag::rare(),
-            heard: false,
+            peers: Vec::new(),
+            next: 0,
+            lateness: forward::Lag::p97(),
+            was_set: false,
         }
     }
 
-    /// Takes the VMs that may be alive; what is known of those that stay is
-    /// kept.
-    pub fn set(&mut self, helpers: Vec<Helper>) {
-        self.heard = true;
-        let before = std::mem::take(&mut self.known).into_iter();
-        let before: collections::HashMap<net::SocketAddr, Known> =
-            before.map(|known| (known.helper.address, known)).collect();
-        let known = |helper: Helper| {
-            let same = before.get(&helper.address);
-            Known {
-                suits: false,
-                connected: same.is_some_and(|known| known.connected),
-                waiting_since: same.and_then(|known| known.waiting_since),
-                silent: same.is_some_and(|known| known.silent),
-                lacks_until: same.map_or_else(Default::default, |known| known.lacks_until),
-                helper,
+    /// Sets the VMs that may be alive. Keeps the connection state of those that
+    /// were known before.
+    pub fn set(&mut self, relays: Vec<Helper>) {
+        self.was_set = true;
+        let before = std::mem::take(&mut self.peers).into_iter();
+        let before: collections::HashMap<net::SocketAddr, Peer> =
+            before.map(|peer| (peer.relay.address, peer)).collect();
+        let peer = |relay: Helper| {
+            let same = before.get(&relay.address);
+            Peer {
+                eligible: false,
+                connected: same.is_some_and(|peer| peer.connected),
+                waiting_since: same.and_then(|peer| peer.waiting_since),
+                silent: same.is_some_and(|peer| peer.silent),
+                send_addresses_until: same
+                    .map_or_else(Default::default, |peer| peer.send_addresses_until),
+                relay,
             }
         };
-        self.known = helpers.into_iter().map(known).collect();
-        let largest = self.largest();
-        let suits = |known: &Known| self.suits(&known.helper, &largest);
-        let suits: Vec<bool> = self.known.iter().map(suits).collect();
-        for (known, suits) in self.known.iter_mut().zip(suits) {
-            known.suits = suits;
+        self.peers = relays.into_iter().map(peer).collect();
+        let max_cores = self.max_cores();
+        let eligible = |peer: &Peer| self.eligible(&peer.relay, &max_cores);
+        let eligible: Vec<bool> = self.peers.iter().map(eligible).collect();
+        for (peer, eligible) in self.peers.iter_mut().zip(eligible) {
+            peer.eligible = eligible;
         }
     }
 
-    /// The VMs to keep a connection to: those that may make calls for this one.
+    /// Returns the addresses of the VMs that may relay calls for this one. The
+    /// VM keeps a connection to each of them.
     pub fn wanted(&self) -> Vec<net::SocketAddr> {
-        let wanted = self.known.iter().filter(|known| known.suits);
-        wanted.map(|known| known.helper.address).collect()
+        let wanted = self.peers.iter().filter(|peer| peer.eligible);
+        wanted.map(|peer| peer.relay.address).collect()
     }
 
-    /// The VM that makes this VM's calls to upstreams of `data_centre`, for a
-    /// search of `all` calls; `None` where this VM makes them itself.
+    /// Returns the relay for calls to upstreams of `data_centre`, for a search
+    /// of `all` calls. Returns `None` if this VM makes the calls itself.
     pub fn choose(
         &mut self,
         data_centre: &ids::DataCentre,
@@ -143,176 +149,183 @@
         if *data_centre == self.own && !self.crowded(all) {
             return None;
         }
-        self.turn = self.turn.wrapping_add(1);
-        let mut able: Vec<&Known> = self
-            .in_place(data_centre)
-            .filter(|known| known.suits && known.answers(now))
+        self.next = self.next.wrapping_add(1);
+        let mut candidates: Vec<&Peer> = self
+            .in_data_centre(data_centre)
+            .filter(|peer| peer.eligible && peer.answers(now))
             .collect();
-        // A late frame may be all that is wrong with a silent VM: it is still
-        // better than many calls of a small VM's own.
-        if able.iter().any(|known| !known.silent) {
-            able.retain(|known| !known.silent);
+        // A silent relay may just have sent a frame late, which is still better
+        // than making many calls on a small VM.
+        if candidates.iter().any(|peer| !peer.silent) {
+            candidates.retain(|peer| !peer.silent);
         }
-        let chosen = able.get(self.turn % able.len().max(1))?;
-        Some(chosen.helper.address)
+        let chosen = candidates.get(self.next % candidates.len().max(1))?;
+        Some(chosen.relay.address)
     }
 
-    /// A connection to a VM is open.
+    /// Records that a connection to a VM was opened.
     pub fn connected(&mut self, address: net::SocketAddr) {
-        if let Some(known) = self.find(address) {
-            known.connected = true;
-            known.waiting_since = None;
-            known.silent = false;
+        if let Some(peer) = self.peer_mut(address) {
+            peer.connected = true;
+            peer.waiting_since = None;
+            peer.silent = false;
         }
     }
 
-    /// A connection to a VM has ended.
+    /// Records that the connection to a VM was lost.
     pub fn lost(&mut self, address: net::SocketAddr) {
-        if let Some(known) = self.find(address) {
-            known.connected = false;
-            known.waiting_since = None;
-            known.silent = false;
+        if let Some(peer) = self.peer_mut(address) {
+            peer.connected = false;
+            peer.waiting_since = None;
+            peer.silent = false;
         }
     }
 
-    /// Calls were handed to a VM.
+    /// Records that a VM was asked to make calls.
     pub fn asked(&mut self, address: net::SocketAddr, now: clock::Moment) {
-        if let Some(known) = self.find(address) {
-            known.waiting_since.get_or_insert(now);
+        if let Some(peer) = self.peer_mut(address) {
+            peer.waiting_since.get_or_insert(now);
         }
     }
 
-    /// A frame of a VM is overdue: others are asked first until it answers. One
-    /// that froze would cost each search that it is asked for the same wait.
+    /// Records that a frame of a VM is overdue. Other relays are preferred
+    /// until it answers, since each search that asks a frozen VM would wait for
+    /// as long.
     pub fn silent(&mut self, address: net::SocketAddr) {
-        if let Some(known) = self.find(address) {
-            known.silent = true;
+        if let Some(peer) = self.peer_mut(address) {
+            peer.silent = true;
         }
     }
 
-    /// A frame came so much later than it was to be sent.
+    /// Records by how much a frame missed its due time.
     pub fn came_late(&mut self, late: time::Duration) {
         self.lateness.add(late);
     }
 
-    /// How late nearly all frames of other VMs come: the way there and back, and
-    /// both VMs' own lag.
+    /// Returns the lateness that nearly all frames of other VMs stay within:
+    /// the round trip and the lag of both VMs.
     pub fn lateness(&self) -> time::Duration {
         self.lateness.get()
     }
 
-    /// A VM has answered.
+    /// Records that a VM answered.
     pub fn told(&mut self, address: net::SocketAddr) {
-        if let Some(known) = self.find(address) {
-            known.waiting_since = None;
-            known.silent = false;
+        if let Some(peer) = self.peer_mut(address) {
+            peer.waiting_since = None;
+            peer.silent = false;
         }
     }
 
-    /// Connections to one upstream of `data_centre` that this VM may have, where
-    /// the upstream takes `limit` from all of `vms` VMs. Those beside it make
-    /// most calls to it, their own and those of VMs elsewhere; among them, the
-    /// larger ones make those of the smaller ones.
+    /// Returns the number of connections that this VM may have to one upstream
+    /// of `data_centre`, if all of `vms` VMs together may have `limit`. VMs in
+    /// the upstream's data centre make most of the calls to it, their own and
+    /// those of VMs elsewhere. Among them, the larger VMs make the calls of the
+    /// smaller ones.
     pub fn connections(&self, data_centre: &ids::DataCentre, limit: u32, vms: usize) -> f64 {
         let limit = f64::from(limit);
-        let few_known = (self.known.len() + 1) * FEW < vms;
-        if few_known || self.has_larger_beside() {
-            return LATE * limit / vms.max(1) as f64;
+        let knows_few = (self.peers.len() + 1) * MAX_VMS_PER_KNOWN < vms;
+        if knows_few || self.has_larger_local() {
+            return SMALL_VM_CONNECTION_SHARE * limit / vms.max(1) as f64;
         }
-        let smaller = |known: &&Known| known.helper.power * LARGER <= self.power;
-        let beside = |known: &&Known| known.helper.data_centre == self.own;
-        let sharers = self.known.iter().filter(|known| !smaller(known));
+        let smaller = |peer: &&Peer| peer.relay.power * MIN_LARGER_RATIO <= self.power;
+        let local = |peer: &&Peer| peer.relay.data_centre == self.own;
+        let sharing = self.peers.iter().filter(|peer| !smaller(peer));
         if *data_centre == self.own {
-            return NEAR * limit / (sharers.filter(beside).count() + 1) as f64;
+            return LOCAL_CONNECTION_SHARE * limit / (sharing.filter(local).count() + 1) as f64;
         }
-        FAR * limit / (sharers.count() + 1) as f64
+        REMOTE_CONNECTION_SHARE * limit / (sharing.count() + 1) as f64
     }
 
-    /// The parts of the fleet's allowance of extra calls that this VM spends, where
-    /// there are `vms` VMs, which may be more than are known.
+    /// Returns this VM's shares of the fleet's allowance for extra calls. There
+    /// are `vms` VMs, which may be more than are known.
     pub fn parts(&self, vms: usize) -> forward::Parts {
-        let mut largest = self.largest();
-        let own = largest.entry(&self.own).or_default();
+        let mut max_cores = self.max_cores();
+        let own = max_cores.entry(&self.own).or_default();
         *own = own.max(self.power);
-        let powers = self.known.iter().map(|known| known.helper.power);
-        let least = powers.fold(self.power, f64::min);
-        // Each VM finds the same of any, as it depends on nothing but powers.
+        let powers = self.peers.iter().map(|peer| peer.relay.power);
+        let smallest = powers.fold(self.power, f64::min);
+        // Depends on cores only, so each VM classifies all VMs alike.
         let is_large = |data_centre: &ids::DataCentre, power: f64| {
-            power >= POWERFUL * largest[data_centre] && power >= LARGER * least
+            power >= MIN_RELAY_CORES_SHARE * max_cores[data_centre]
+                && power >= MIN_LARGER_RATIO * smallest
         };
-        let others = self.known.iter().map(|known| &known.helper);
-        let large = others.filter(|helper| is_large(&helper.data_centre, helper.power));
-        let own_large = is_large(&self.own, self.power);
-        let large = large.count() + usize::from(own_large);
-        let rank = match (own_large, large) {
+        let others = self.peers.iter().map(|peer| &peer.relay);
+        let large = others.filter(|relay| is_large(&relay.data_centre, relay.power));
+        let own_is_large = is_large(&self.own, self.power);
+        let large = large.count() + usize::from(own_is_large);
+        let rank = match (own_is_large, large) {
             (_, 0) => forward::Rank::Equal,
             (true, _) => forward::Rank::Large,
             (false, _) => forward::Rank::Small,
         };
-        forward::Parts::new(rank, vms.max(self.known.len() + 1), large)
+        forward::Parts::new(rank, vms.max(self.peers.len() + 1), large)
     }
 
-    /// The power of the largest of the other VMs in each data centre.
-    fn largest(&self) -> Largest<'_> {
-        let mut largest = Largest::new();
-        for Known { helper, .. } in &self.known {
-            let most = largest.entry(&helper.data_centre).or_default();
-            *most = most.max(helper.power);
+    /// Returns the cores of the largest other VM in each data centre.
+    fn max_cores(&self) -> MaxCores<'_> {
+        let mut max_cores = MaxCores::new();
+        for Peer { relay, .. } in &self.peers {
+            let max = max_cores.entry(&relay.data_centre).or_default();
+            *max = max.max(relay.power);
         }
-        largest
+        max_cores
     }
 
-    /// Whether this VM makes the calls of its searches itself, as far as it knows
-    /// the others; `None` before it was told of them.
+    /// Returns whether this VM makes the calls of its searches itself, judging
+    /// by the VMs it knows. Returns `None` before the other VMs were set.
     pub fn makes_own_calls(&self) -> Option<bool> {
-        self.heard.then(|| !self.has_larger_beside())
+        self.was_set.then(|| !self.has_larger_local())
     }
 
-    /// Whether a VM beside this one makes its calls where they are many.
-    fn has_larger_beside(&self) -> bool {
-        let mut beside = self.in_place(&self.own);
-        beside.any(|known| known.helper.power >= LARGER * self.power)
+    /// Returns whether a larger VM of this data centre relays calls when there
+    /// are many.
+    fn has_larger_local(&self) -> bool {
+        let mut local = self.in_data_centre(&self.own);
+        local.any(|peer| peer.relay.power >= MIN_LARGER_RATIO * self.power)
     }
 
-    /// The VMs of a data centre, without this one.
-    fn in_place<'s>(&'s self, data_centre: &'s ids::DataCentre) -> impl Iterator<Item = &'s Known> {
-        let of_it = move |known: &&Known| known.helper.data_centre == *data_centre;
-        self.known.iter().filter(of_it)
+    /// Returns the other VMs in a data centre.
+    fn in_data_centre<'s>(
+        &'s self,
+        data_centre: &'s ids::DataCentre,
+    ) -> impl Iterator<Item = &'s Peer> {
+        let is_there = move |peer: &&Peer| peer.relay.data_centre == *data_centre;
+        self.peers.iter().filter(is_there)
     }
 
-    fn find(&mut self, address: net::SocketAddr) -> Option<&mut Known> {
-        self.known
+    fn peer_mut(&mut self, address: net::SocketAddr) -> Option<&mut Peer> {
+        self.peers
             .iter_mut()
-            .find(|known| known.helper.address == address)
+            .find(|peer| peer.relay.address == address)
     }
 
-    /// A VM didn't know an upstream that it was asked to call.
+    /// Records that a VM didn't know an upstream that it was asked to call.
     pub fn missed(&mut self, address: net::SocketAddr, now: clock::Moment) {
-        if let Some(known) = self.find(address) {
-            known.lacks_until = now + LACKS;
+        if let Some(peer) = self.peer_mut(address) {
+            peer.send_addresses_until = now + SEND_ADDRESSES_WINDOW;
         }
     }
 
-    /// Whether a VM lately didn't know an upstream, so that it is told their
-    /// addresses.
+    /// Returns whether upstream addresses must be sent to a VM because it
+    /// recently didn't know an upstream.
     pub fn lacks(&mut self, address: net::SocketAddr, now: clock::Moment) -> bool {
-        self.find(address)
-            .is_some_and(|known| now < known.lacks_until)
+        self.peer_mut(address)
+            .is_some_and(|peer| now < peer.send_addresses_until)
     }
 
-    /// Whether a search's calls take this VM too long.
+    /// Returns whether this VM would take too long to make a search's calls.
     pub fn crowded(&self, calls: usize) -> bool {
-        CALL.mul_f64(calls as f64 / self.power.max(0.01)) > CROWDED
+        CALL_PROCESSOR_TIME.mul_f64(calls as f64 / self.power.max(0.01)) > MAX_OWN_CALLS_TIME
     }
 
-    /// Whether a VM may make calls for this one, where `largest` are those of the
-    /// other VMs.
-    fn suits(&self, helper: &Helper, largest: &Largest<'_>) -> bool {
-        let powerful = helper.power >= POWERFUL * largest[&helper.data_centre];
-        let near = helper.data_centre == self.own;
-        powerful && (!near || helper.power >= LARGER * self.power)
+    /// Returns whether a VM may relay calls for this one. `max_cores` are the
+    /// cores of the largest other VMs.
+    fn eligible(&self, relay: &Helper, max_cores: &MaxCores<'_>) -> bool {
+        let is_large = relay.power >= MIN_RELAY_CORES_SHARE * max_cores[&relay.data_centre];
+        let is_local = relay.data_centre == self.own;
+        is_large && (!is_local || relay.power >= MIN_LARGER_RATIO * self.power)
     }
 }
 
-/// The power of the largest VM of each data centre.
-type Largest<'n> = collections::BTreeMap<&'n ids::DataCentre, f64>;
+/// The cores of the largest VM in each data centre.
+type MaxCores<'n> = collections::BTreeMap<&'n ids::DataCentre, f64>;
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -1,5 +1,5 @@
-//! Load: a fleet whose small VMs run out of extra calls while large ones hold
-//! some for all.
+//! Tests with a fleet whose small VMs use up their extra calls while large VMs
+//! hold a shared budget.
 
 use std::time;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// One VM, whose clock starts with its process.
+/// A VM whose clock starts with its process.
 struct Vm {
     allowance: forward::Allowance,
     rank: forward::Rank,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A fleet; small VMs first.
+/// A fleet that lists its small VMs first.
 struct Fleet {
     vms: Vec<Vm>,
     service: ids::Service,
@@ -56,7 +56,7 @@
 }
 
 impl Fleet {
-    /// A fleet that has run for a while.
+    /// Creates a fleet that has run for a while.
     fn new() -> Self {
         let small = (0..SMALL).map(|_| forward::Rank::Small);
         let ranks = small.chain((0..LARGE).map(|_| forward::Rank::Large));
@@ -70,35 +70,37 @@
         }
     }
 
-    /// A small VM takes a request; `helper` makes its first call, if anybody is
-    /// told of it.
-    fn request(&mut self, vm: usize, helper: Option<usize>) {
+    /// A small VM receives a request. `relay` makes its first call, if it is
+    /// told.
+    fn request(&mut self, vm: usize, relay: Option<usize>) {
         let policy = policy();
         let now = self.now;
-        let entry = &mut self.vms[vm % SMALL];
-        let at = entry.clock(now);
-        entry.allowance.first(&self.service, &policy, at);
-        if let Some(helper) = helper {
-            let helper = &mut self.vms[SMALL + helper % LARGE];
-            let at = helper.clock(now);
-            helper.allowance.first_of_other(&self.service, &policy, at);
+        let coordinator = &mut self.vms[vm % SMALL];
+        let at = coordinator.clock(now);
+        coordinator
+            .allowance
+            .count_request(&self.service, &policy, at);
+        if let Some(relay) = relay {
+            let relay = &mut self.vms[SMALL + relay % LARGE];
+            let at = relay.clock(now);
+            relay.allowance.first_of_other(&self.service, &policy, at);
         }
         self.requests.push(now);
     }
 
-    /// A small VM wants an extra call, by `helper` where it can't pay itself;
-    /// whether it was made.
-    fn extra(&mut self, vm: usize, helper: usize) -> bool {
+    /// A small VM needs an extra call, charged to `relay` if its own budget
+    /// doesn't allow it. Returns whether the call was made.
+    fn extra(&mut self, vm: usize, relay: usize) -> bool {
         let policy = policy();
         let now = self.now;
-        let entry = &mut self.vms[vm % SMALL];
-        let at = entry.clock(now);
-        let paid = match entry.allowance.extra(&self.service, &policy, at) {
+        let coordinator = &mut self.vms[vm % SMALL];
+        let at = coordinator.clock(now);
+        let paid = match coordinator.allowance.take_extra(&self.service, &policy, at) {
             Some(forward::Payer::Own) => true,
             Some(forward::Payer::Helper) => {
-                let helper = &mut self.vms[SMALL + helper % LARGE];
-                let at = helper.clock(now);
-                helper.allowance.lend(&self.service, &policy, at)
+                let relay = &mut self.vms[SMALL + relay % LARGE];
+                let at = relay.clock(now);
+                relay.allowance.lend(&self.service, &policy, at)
             }
             None => false,
         };
@@ -108,13 +110,13 @@
         paid
     }
 
-    /// A large VM ends, and another one starts in its place.
-    fn replace(&mut self, helper: usize) {
-        let vm = &mut self.vms[SMALL + helper % LARGE];
+    /// Replaces a large VM by a newly started one.
+    fn replace(&mut self, relay: usize) {
+        let vm = &mut self.vms[SMALL + relay % LARGE];
         *vm = Vm::start(vm.rank, self.now);
     }
 
-    /// Whether some window has more extra calls than it allows.
+    /// Returns whether any window has more extra calls than allowed.
     fn overspent(&self) -> bool {
         let within =
             |at: &clock::Moment, start: clock::Moment| *at >= start && at.since(start) < WINDOW;
@@ -129,39 +131,42 @@
     }
 }
 
-/// Story: the callers of one of many small VMs meet a slow upstream. The VM's own
-/// part of the allowance is spent at once; that of the fleet is hardly touched,
-/// and its searches lacked the shard all the same.
+/// The callers of one of many small VMs reach a slow upstream. The VM uses up
+/// its own share at once while nearly all of the fleet's allowance remains. Its
+/// searches used to miss the shard all the same.
 #[test]
-fn a_small_vm_that_has_spent_its_part_is_lent_more() {
-    let alone = (FIXED / (SMALL + LARGE) as f64) as usize;
+fn a_small_vm_that_used_up_its_share_may_use_large_vms_shares() {
+    let own_share = (FIXED / (SMALL + LARGE) as f64) as usize;
     let mut fleet = Fleet::new();
-    let lent = (0..100).filter(|turn| fleet.extra(0, *turn)).count();
-    assert!(lent > 3 * alone, "{lent} of {FIXED}, alone {alone}");
+    let made = (0..100).filter(|turn| fleet.extra(0, *turn)).count();
+    assert!(
+        made > 3 * own_share,
+        "{made} of {FIXED}, own share {own_share}"
+    );
     assert!(!fleet.overspent());
 }
 
-/// Story: no large VM can be asked, as all of them are gone. Small VMs still hedge
-/// out of what they kept, and nobody lends what nobody holds.
+/// All large VMs are gone, so none can be asked. Small VMs still hedge within
+/// their own shares, and the shares of the large VMs stay unused.
 #[test]
-fn small_vms_that_are_alone_keep_a_part_and_no_more() {
+fn small_vms_without_large_ones_spend_only_their_own_shares() {
     let mut fleet = Fleet::new();
     let policy = policy();
     let now = fleet.now;
-    let mut kept = 0;
+    let mut spent = 0;
     for vm in &mut fleet.vms[..SMALL] {
-        let mut pay = || vm.allowance.extra(&world::name(0), &policy, now);
-        kept += (0..100)
+        let mut pay = || vm.allowance.take_extra(&world::name(0), &policy, now);
+        spent += (0..100)
             .filter(|_| pay() == Some(forward::Payer::Own))
             .count();
     }
-    assert!((SMALL..=FIXED as usize / 2).contains(&kept), "{kept}");
+    assert!((SMALL..=FIXED as usize / 2).contains(&spent), "{spent}");
 }
 
-/// Story: a large VM spends all that it holds, crashes, and is back within a
-/// second. It knows nothing of what it spent, so it must not spend it again.
+/// A large VM spends all its shares, crashes and is back within a second. It
+/// doesn't know what it spent and must not spend it again.
 #[test]
-fn a_large_vm_that_restarts_lends_nothing_for_a_window() {
+fn a_restarted_large_vm_spends_no_shared_budget_for_a_window() {
     let mut fleet = Fleet::new();
     while fleet.extra(0, 0) {}
     let spent = fleet.extras.len();
@@ -174,32 +179,32 @@
     assert!(fleet.extras.len() > spent);
 }
 
-/// Story: a VM pays for a call to another upstream, and the VM that was to make it
-/// sends it back. What was paid for nothing can be spent again, once; what lies
-/// outside of both windows changes nothing.
+/// A VM charges a call, and the relay that was to make it returns it. The
+/// refunded call can be made again, once. Refunds from before both windows
+/// change nothing.
 #[test]
-fn what_was_paid_for_nothing_can_be_spent_again_once() {
+fn a_refunded_call_can_be_made_again_once() {
     let policy = policy();
     let mut budget = forward::Budget::default();
     let part = forward::Part::of(4);
     let now = clock::Moment::from_millis(60_000);
-    while budget.extra(&policy, part, now) {}
+    while budget.take_extra(&policy, part, now) {}
     budget.refund(&policy, clock::Moment::from_millis(10_000), now);
-    assert!(!budget.extra(&policy, part, now));
+    assert!(!budget.take_extra(&policy, part, now));
     let later = now + time::Duration::from_millis(900);
     budget.refund(&policy, now, later);
-    assert!(budget.extra(&policy, part, later));
-    assert!(!budget.extra(&policy, part, later));
+    assert!(budget.take_extra(&policy, part, later));
+    assert!(!budget.take_extra(&policy, part, later));
 }
 
-/// Story: all VMs of a fleet are alike. Nobody makes calls for small VMs, so each
-/// holds an even part, and none asks another.
+/// All VMs of a fleet are equal. No VM relays calls for others, so each holds
+/// an even share and asks no other VM.
 #[test]
-fn equal_vms_hold_even_parts() {
+fn equal_vms_hold_even_shares() {
     let mut allowance = forward::Allowance::default();
     allowance.set_parts(forward::Parts::new(forward::Rank::Equal, 4, 0));
     let now = clock::Moment::from_millis(30_000);
-    let mut pay = || allowance.extra(&world::name(0), &policy(), now);
+    let mut pay = || allowance.take_extra(&world::name(0), &policy(), now);
     let paid = (0..100)
         .filter(|_| pay() == Some(forward::Payer::Own))
         .count();
@@ -208,25 +213,26 @@
 }
 
 quickcheck::quickcheck! {
-    /// Whoever asks whom, whatever first calls are told to nobody, and whichever
-    /// large VMs are replaced: no window has more extra calls than it allows.
-    fn no_window_of_the_fleet_passes_its_allowance(steps: Vec<(u8, u8, u8, u16)>) -> bool {
+    /// Whichever VM asks which relay, whichever first calls aren't relayed, and
+    /// whichever large VMs are replaced: no window has more extra calls than
+    /// allowed.
+    fn no_window_of_the_fleet_exceeds_its_allowance(steps: Vec<(u8, u8, u8, u16)>) -> bool {
         let mut fleet = Fleet::new();
-        for (vm, helper, kind, pause) in steps.into_iter().take(40) {
-            let (vm, helper) = (usize::from(vm), usize::from(helper));
+        for (vm, relay, kind, delay_ms) in steps.into_iter().take(40) {
+            let (vm, relay) = (usize::from(vm), usize::from(relay));
             match kind % 8 {
-                0 => fleet.replace(helper),
+                0 => fleet.replace(relay),
                 1 => fleet.request(vm, None),
                 kind => {
                     for _ in 0..u32::from(kind) * 8 {
-                        fleet.request(vm, Some(helper));
+                        fleet.request(vm, Some(relay));
                     }
                 }
             }
             for vm in 0..SMALL {
-                while fleet.extra(vm, helper) {}
+                while fleet.extra(vm, relay) {}
             }
-            fleet.now = fleet.now + time::Duration::from_millis(u64::from(pause % 3000));
+            fleet.now = fleet.now + time::Duration::from_millis(u64::from(delay_ms % 3000));
         }
         !fleet.overspent()
     }
--- a/crates/geraniumgauge/src/forward/tests/job.rs
+++ b/crates/geraniumgauge/src/forward/tests/job.rs
@@ -27,10 +27,10 @@
     assert!(merged.records.starts_with(b"cc") && merged.records.ends_with(b"aa"));
 }
 
-/// Story: one shard's upstream pauses. The other one is asked after a part of
-/// the aim; the answer is whole and in time, and the loser is let go.
+/// The upstream of one shard pauses. Another upstream is called after the hedge
+/// delay, the answer is complete and in time, and the late call is abandoned.
 #[test]
-fn a_late_part_is_hedged_elsewhere_and_the_loser_let_go() {
+fn a_late_part_is_hedged_elsewhere_and_the_late_call_abandoned() {
     let mut world = world::World::new(2, 2);
     let mut job = world.start(world::shards(2, 50));
     world.at(&mut job, 5);
@@ -45,17 +45,17 @@
     assert_eq!(world.abandoned, vec![first.call]);
 }
 
-/// Story: a shard answers too late for the aim. What is there is worth more
-/// now than the whole later, if it is enough; else the whole is waited for.
+/// A shard misses the latency target. An incomplete answer is sent if it covers
+/// enough shards; otherwise the job waits for the rest.
 #[test]
-fn at_the_aim_enough_parts_make_an_answer() {
-    for (least, due) in [(60, Some((2, 1))), (80, None)] {
+fn at_the_latency_target_enough_parts_make_an_answer() {
+    for (min_coverage, expected) in [(60, Some((2, 1))), (80, None)] {
         let mut world = world::World::new(3, 2);
-        let mut job = world.start(world::shards(3, least));
+        let mut job = world.start(world::shards(3, min_coverage));
         world.end(&mut job, 0, world::good(b'a'));
         world.end(&mut job, 1, world::good(b'b'));
         world.at(&mut job, 95);
-        assert_eq!(merged(&world), due, "{least}");
+        assert_eq!(merged(&world), expected, "{min_coverage}");
     }
 }
 
@@ -79,12 +79,12 @@
     assert_eq!(
         world.abandoned.len(),
         calls - 1,
-        "no call goes on for nobody"
+        "all other calls are abandoned"
     );
 }
 
-/// Story: all upstreams of most shards are down. The search can't succeed, so
-/// nothing of it is sent, and its caller learns at once when to come back.
+/// All upstreams of most shards are down, so the search can't succeed. No call
+/// is made, and the caller learns at once when to retry.
 #[test]
 fn a_search_that_cannot_succeed_is_refused_before_anything_is_sent() {
     let mut world = world::World::new(3, 1);
@@ -108,9 +108,8 @@
     assert!(world.sends.is_empty());
 }
 
-/// Story: a record must be entered once at most, and the upstream's connection
-/// is lost under it. Neither may it be sent again, nor may the caller be told
-/// that it hasn't run.
+/// A request must run at most once, and its connection is lost or it fails. It
+/// must neither be sent again nor be reported to the caller as not run.
 #[test]
 fn a_request_that_may_have_run_once_is_not_repeated_nor_refused() {
     for verdict in [forward::Verdict::Lost, world::failure()] {
@@ -126,7 +125,7 @@
 }
 
 #[test]
-fn proof_that_it_has_not_run_allows_another_try() {
+fn proof_that_it_has_not_run_allows_a_retry() {
     let mut world = world::World::new(1, 2);
     let mut job = world.start(world::single(route::Repeat::Once));
     world.end(&mut job, 0, forward::Verdict::NotRun);
@@ -139,7 +138,7 @@
     );
 }
 
-/// What may happen to a job: a call ends somehow, or time passes.
+/// Maps a number to one of the ways in which a call can end.
 fn verdict(kind: u8) -> forward::Verdict {
     match kind % 7 {
         0 => forward::Verdict::Lost,
@@ -152,59 +151,59 @@
 }
 
 quickcheck::quickcheck! {
-    /// Whatever happens in whatever order: a job ends once, by its deadline; no
-    /// part may run at more upstreams than attempts allow, nor twice where it
-    /// may run once; a refusal is only told where nothing may have run.
-    fn promises_hold_in_any_order(once: bool, shards: bool, events: Vec<(u8, u8, u8)>) -> bool {
+    /// In any order of events, a job ends exactly once and by its deadline. No
+    /// part runs at more upstreams than its attempts allow, or more than once
+    /// if it must run once, and a request is refused only if it can't have run.
+    fn invariants_hold_in_any_order(once: bool, shards: bool, events: Vec<(u8, u8, u8)>) -> bool {
         let mut world = world::World::new(4, 3);
         let repeat = if once { route::Repeat::Once } else { route::Repeat::Idempotent };
         let route = if shards { world::shards(4, 60) } else { world::single(repeat) };
         let once = once && !shards;
         let mut job = world.start(route);
         let mut ended: Vec<Option<bool>> = Vec::new();
-        for (kind, which, pause) in events {
+        for (kind, which, delay_ms) in events {
             if world.outcome.is_some() {
                 break;
             }
             let since = world.now.since(job.began()).as_millis() as u64;
-            world.at(&mut job, since + u64::from(pause % 40));
+            world.at(&mut job, since + u64::from(delay_ms % 40));
             ended.resize(world.sends.len(), None);
             let open: Vec<usize> = (0..ended.len())
-                .filter(|place| ended[*place].is_none())
-                .filter(|place| !world.abandoned.contains(&world.sends[*place].call))
+                .filter(|index| ended[*index].is_none())
+                .filter(|index| !world.abandoned.contains(&world.sends[*index].call))
                 .collect();
             if open.is_empty() || world.outcome.is_some() {
                 continue;
             }
-            let place = open[usize::from(which) % open.len()];
+            let index = open[usize::from(which) % open.len()];
             let verdict = verdict(kind);
             let ran = matches!(
                 verdict,
                 forward::Verdict::Lost | forward::Verdict::Failure(_) | forward::Verdict::Good(_)
             );
-            ended[place] = Some(ran);
-            world.end(&mut job, place, verdict);
+            ended[index] = Some(ran);
+            world.end(&mut job, index, verdict);
         }
         world.at(&mut job, 600);
         ended.resize(world.sends.len(), None);
-        let may_have_run = |place: &usize| ended[*place].unwrap_or(true);
-        let bound = if once { 1 } else { 2 };
-        let within = (0..4).all(|part| {
-            let of_part = (0..world.sends.len()).filter(|place| world.sends[*place].part == part);
+        let may_have_run = |index: &usize| ended[*index].unwrap_or(true);
+        let max_runs = if once { 1 } else { 2 };
+        let runs_are_limited = (0..4).all(|part| {
+            let of_part = (0..world.sends.len()).filter(|index| world.sends[*index].part == part);
             let ran: Vec<registry::Handle> =
-                of_part.filter(may_have_run).map(|place| world.sends[place].upstream).collect();
-            ran.len() <= bound
+                of_part.filter(may_have_run).map(|index| world.sends[index].upstream).collect();
+            ran.len() <= max_runs
         });
         let refused = matches!(world.outcome, Some(forward::Outcome::NotRun { .. }));
-        let true_refusal = !refused || !(0..world.sends.len()).any(|place| may_have_run(&place));
-        world.outcome.is_some() && within && true_refusal
+        let refusal_is_correct = !refused || !(0..world.sends.len()).any(|index| may_have_run(&index));
+        world.outcome.is_some() && runs_are_limited && refusal_is_correct
     }
 }
 
-/// Story: both upstreams of a shard decline a part of their calls though they have
-/// room. One call to each was declined, and the shard was given up, with it
-/// searches that needed it; the next call would have been taken. A shard that
-/// declines on is given up after a few.
+/// Both upstreams of a shard decline some calls although they have capacity.
+/// The shard used to be given up after one declined call to each, although the
+/// next call would have been accepted. A shard that keeps declining is given up
+/// after a few calls.
 #[test]
 fn upstreams_that_declined_are_tried_again_where_no_other_is_left() {
     let mut world = world::World::new(1, 2);
--- a/crates/geraniumgauge/src/forward/tests/merge.rs
+++ b/crates/geraniumgauge/src/forward/tests/merge.rs
@@ -6,7 +6,7 @@
         let merged = forward::top(bodies.iter().map(Vec::as_slice), count);
         let mut naive: Vec<&[u8]> = bodies
             .iter()
-            .flat_map(|body| body.chunks_exact(forward::RECORD))
+            .flat_map(|body| body.chunks_exact(forward::RECORD_BYTES))
             .collect();
         naive.sort();
         naive.reverse();
@@ -14,7 +14,8 @@
         merged == naive.concat()
     }
 
-    /// Merging what was merged before loses nothing: VMs merge for each other.
+    /// Merging merged records again loses nothing. Relays merge before the
+    /// requester does.
     fn merging_in_two_steps_is_merging_once(one: Vec<u8>, two: Vec<u8>, three: Vec<u8>, count: u8) -> bool {
         let count = usize::from(count % 20);
         let first = forward::top([one.as_slice(), &two].into_iter(), count);
--- a/crates/geraniumgauge/src/forward/tests/mod.rs
+++ b/crates/geraniumgauge/src/forward/tests/mod.rs
@@ -1,10 +1,10 @@
 mod advice;
 mod allowance;
-mod blame;
 mod budget;
+mod health;
 mod hedge;
 mod job;
 mod merge;
 mod relay;
-mod standing;
+mod suspects;
 mod world;
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -3,7 +3,7 @@
 use crate::forward;
 use crate::time as clock;
 
-fn helper(number: u8, data_centre: &str, power: f64) -> forward::Helper {
+fn vm(number: u8, data_centre: &str, power: f64) -> forward::Helper {
     forward::Helper {
         address: address(number),
         data_centre: data_centre.parse().expect("a name"),
@@ -15,10 +15,10 @@
     net::SocketAddr::from(([127, 0, 0, number], 1))
 }
 
-fn relays(power: f64, helpers: Vec<forward::Helper>) -> forward::Relays {
+fn relays(power: f64, vms: Vec<forward::Helper>) -> forward::Relays {
     let mut relays = forward::Relays::new("a".parse().expect("a name"), power);
-    let addresses: Vec<_> = helpers.iter().map(|helper| helper.address).collect();
-    relays.set(helpers);
+    let addresses: Vec<_> = vms.iter().map(|vm| vm.address).collect();
+    relays.set(vms);
     for address in addresses {
         relays.connected(address);
     }
@@ -29,15 +29,11 @@
     clock::Moment::from_millis(millis)
 }
 
-/// Story: eight equal VMs. Calls beside a VM cost it little, so it makes them
-/// itself; those elsewhere go to the VMs there by turns.
+/// Eight equal VMs. Calls within its data centre cost a VM little, so it makes
+/// them itself. Calls elsewhere go to the VMs there in turn.
 #[test]
-fn equal_vms_help_across_data_centres_only() {
-    let fleet = vec![
-        helper(1, "a", 0.25),
-        helper(2, "b", 0.25),
-        helper(3, "b", 0.25),
-    ];
+fn equal_vms_relay_only_across_data_centres() {
+    let fleet = vec![vm(1, "a", 0.25), vm(2, "b", 0.25), vm(3, "b", 0.25)];
     let mut relays = relays(0.25, fleet);
     let own = "a".parse().expect("a name");
     let other = "b".parse().expect("a name");
@@ -50,15 +46,15 @@
     assert_eq!(chosen, [Some(address(2)), Some(address(3))]);
 }
 
-/// Story: most VMs have an eighth of a core, two of each data centre have half
-/// a one. A wide search would take a small VM longer than its upstreams do.
+/// Most VMs have an eighth of a core, and two in each data centre have half a
+/// core. A wide search would take a small VM longer than its upstreams.
 #[test]
-fn small_vms_hand_wide_searches_to_large_ones() {
+fn small_vms_delegate_wide_searches_to_large_ones() {
     let fleet = vec![
-        helper(1, "a", 0.5),
-        helper(2, "a", 0.12),
-        helper(3, "b", 0.12),
-        helper(4, "b", 0.5),
+        vm(1, "a", 0.5),
+        vm(2, "a", 0.12),
+        vm(3, "b", 0.12),
+        vm(4, "b", 0.5),
     ];
     let mut small = relays(0.12, fleet.clone());
     let own = "a".parse().expect("a name");
@@ -68,17 +64,17 @@
     assert_eq!(
         small.choose(&own, 3, at(0)),
         None,
-        "few calls it makes itself"
+        "it makes few calls itself"
     );
     let mut large = relays(0.5, fleet);
     assert_eq!(large.choose(&own, 90, at(0)), None);
 }
 
-/// Story: a VM that others ask freezes. Each search sent to it would lose its
-/// first calls until the connection fails, a second later.
+/// A relay freezes. Each search delegated to it would lose its first calls
+/// until the connection fails a second later.
 #[test]
 fn a_silent_vm_gets_no_more_calls_until_it_answers() {
-    let mut relays = relays(0.25, vec![helper(2, "b", 0.25)]);
+    let mut relays = relays(0.25, vec![vm(2, "b", 0.25)]);
     let other = "b".parse().expect("a name");
     relays.asked(address(2), at(0));
     assert!(relays.choose(&other, 30, at(50)).is_some());
@@ -89,8 +85,8 @@
     assert_eq!(relays.choose(&other, 30, at(200)), None);
 }
 
-/// However the fleet is made up, the VMs' connections to one upstream stay
-/// within its limit.
+/// In any fleet, the connections of all VMs to one upstream stay within its
+/// limit.
 #[test]
 fn connections_of_all_vms_stay_within_the_limit() {
     for (fleet, limit) in [
@@ -106,10 +102,10 @@
         ),
     ] {
         let mut all = Vec::new();
-        for (place, power, count) in fleet {
+        for (data_centre, power, count) in fleet {
             for _ in 0..count {
                 let number = u8::try_from(all.len() + 1).expect("a small fleet");
-                all.push(helper(number, place, power));
+                all.push(vm(number, data_centre, power));
             }
         }
         let upstream = "a".parse().expect("a name");
@@ -126,49 +122,49 @@
     }
 }
 
-/// Story: one of two large VMs freezes. The first search that it is asked for
-/// finds its frame overdue; those after it must not wait for the same. Where it
-/// is the only one, it is asked all the same: making ninety calls takes a small
-/// VM longer than a late frame does.
+/// One of two large VMs freezes. The first search delegated to it finds its
+/// frame overdue, and later searches must not wait again. If it is the only
+/// relay it is still used, since ninety calls take a small VM longer than a
+/// late frame.
 #[test]
 fn a_silent_vm_is_asked_last_until_it_answers() {
-    let fleet = vec![helper(1, "b", 0.5), helper(2, "b", 0.5)];
+    let fleet = vec![vm(1, "b", 0.5), vm(2, "b", 0.5)];
     let mut relays = relays(0.12, fleet);
-    let place = "b".parse().expect("a name");
+    let data_centre = "b".parse().expect("a name");
     relays.silent(address(1));
     for _ in 0..4 {
-        assert_eq!(relays.choose(&place, 90, at(0)), Some(address(2)));
+        assert_eq!(relays.choose(&data_centre, 90, at(0)), Some(address(2)));
     }
     relays.silent(address(2));
-    assert!(relays.choose(&place, 90, at(0)).is_some());
+    assert!(relays.choose(&data_centre, 90, at(0)).is_some());
     relays.told(address(1));
     for _ in 0..4 {
-        assert_eq!(relays.choose(&place, 90, at(0)), Some(address(1)));
+        assert_eq!(relays.choose(&data_centre, 90, at(0)), Some(address(1)));
     }
 }
 
-/// Story: sixty VMs start at one moment, and each opened a connection to every
-/// upstream beside it: the upstreams' limits were passed, and calls waited for
-/// slots that handshakes took. Small VMs hand their searches over, so they need
-/// none; until a VM knows the others it can't tell.
+/// Sixty VMs start at the same time. When each connected to every upstream of
+/// its data centre, the upstreams' limits were exceeded and handshakes took the
+/// slots of calls. Small VMs delegate their searches and need no connections,
+/// but a VM can't tell whether it is small until it knows the others.
 #[test]
-fn only_vms_that_make_their_own_calls_connect_ahead() {
-    let place = || "a".parse().expect("a name");
-    let unknown = forward::Relays::new(place(), 0.12);
+fn only_vms_that_make_their_own_calls_connect_in_advance() {
+    let data_centre = || "a".parse().expect("a name");
+    let unknown = forward::Relays::new(data_centre(), 0.12);
     assert_eq!(unknown.makes_own_calls(), None);
-    let fleet = || vec![helper(1, "a", 0.5), helper(2, "a", 0.12)];
+    let fleet = || vec![vm(1, "a", 0.5), vm(2, "a", 0.12)];
     assert_eq!(relays(0.12, fleet()).makes_own_calls(), Some(false));
     assert_eq!(relays(0.5, fleet()).makes_own_calls(), Some(true));
-    let alike = vec![helper(1, "a", 0.25), helper(2, "b", 0.25)];
-    assert_eq!(relays(0.25, alike).makes_own_calls(), Some(true));
+    let equal = vec![vm(1, "a", 0.25), vm(2, "b", 0.25)];
+    assert_eq!(relays(0.25, equal).makes_own_calls(), Some(true));
     assert_eq!(relays(0.25, Vec::new()).makes_own_calls(), Some(true));
 }
 
-/// Guards against connections beyond an upstream's limit, where VMs that have
-/// just started know few others and each takes the place of all.
+/// VMs that have just started know few others. If each took the share of all,
+/// the connections would exceed an upstream's limit.
 #[test]
-fn a_vm_that_knows_few_others_opens_next_to_no_connections() {
-    let relays = relays(0.5, vec![helper(1, "a", 0.125)]);
+fn a_vm_that_knows_few_others_opens_almost_no_connections() {
+    let relays = relays(0.5, vec![vm(1, "a", 0.125)]);
     let near = "a".parse().expect("a name");
     assert!(relays.connections(&near, 175, 2) > 50.0);
     assert!(relays.connections(&near, 175, 10_000) < 0.01);
--- a/crates/geraniumgauge/src/forward/tests/blame.rs
+++ b/crates/geraniumgauge/src/forward/tests/suspects.rs
@@ -9,25 +9,25 @@
     clock::Moment::from_millis(millis)
 }
 
-/// Story: a request crashes each upstream that runs it, and its caller sends it
-/// again and again. After the second crash it is refused everywhere.
+/// A request crashes each upstream that runs it, and its caller keeps sending
+/// it. It is refused everywhere after the second crash.
 #[test]
 fn a_request_that_crashed_upstreams_twice_is_refused() {
     let mut blame = forward::Blame::default();
     for (round, upstream) in [(1, 1), (2, 2)] {
         assert!(!blame.is_quarantined(BAD, at(round * 2000)));
         blame.lost(registry::Handle(upstream), BAD, at(round * 2000));
-        let told = blame.unreachable(registry::Handle(upstream), at(round * 2000 + 300));
-        assert_eq!(told, vec![BAD]);
+        let reported = blame.unreachable(registry::Handle(upstream), at(round * 2000 + 300));
+        assert_eq!(reported, vec![BAD]);
     }
     assert!(blame.is_quarantined(BAD, at(4400)));
-    assert!(!blame.is_quarantined(BAD, at(70_000)), "not for ever");
+    assert!(!blame.is_quarantined(BAD, at(70_000)), "not forever");
 }
 
-/// Story: a rack loses power under a search that ran on five upstreams there.
-/// The search is innocent; so are requests whose connection alone was lost.
+/// A rack loses power while a search runs on five upstreams there. Neither the
+/// search nor a request that only lost its connections becomes a suspect.
 #[test]
-fn a_rack_that_fails_and_lost_answers_blame_nobody() {
+fn failed_racks_and_lost_replies_make_no_suspects() {
     let mut blame = forward::Blame::default();
     for upstream in 0..5 {
         blame.lost(registry::Handle(upstream), BAD, at(1000));
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -1,4 +1,4 @@
-//! A fleet of upstreams without a network, for stories of single jobs.
+//! A fleet of upstreams without a network, for tests of single jobs.
 
 use std::net;
 use std::rc;
@@ -11,7 +11,7 @@
 use crate::route;
 use crate::time as clock;
 
-/// Upstreams of services `s0`, `s1`, …, and the calls that a job made.
+/// Upstreams of services `s0`, `s1`, …, and the actions of a job.
 pub(super) struct World {
     pub(super) fleet: forward::Fleet,
     pub(super) now: clock::Moment,
@@ -21,11 +21,12 @@
     pub(super) outcome: Option<forward::Outcome>,
 }
 
-/// The route's aim in these stories.
+/// Latency target of the route in these tests.
 pub(super) const AIM: time::Duration = time::Duration::from_millis(100);
 
 impl World {
-    /// `services` services of `replicas` upstreams each, with budget to spare.
+    /// Creates `services` services with `replicas` upstreams each and a budget
+    /// that no test uses up.
     pub(super) fn new(services: usize, replicas: usize) -> Self {
         let own = forward::Own {
             data_centre: "a".parse().expect("a name"),
@@ -79,7 +80,7 @@
         job
     }
 
-    /// Lets time pass up to `millis` after the job's start.
+    /// Advances the time to `millis` after the job's start.
     pub(super) fn at(&mut self, job: &mut forward::Job, millis: u64) {
         let until = job.began() + time::Duration::from_millis(millis);
         while self.outcome.is_none() && job.wake_at() <= until && job.wake_at() > self.now {
@@ -91,7 +92,7 @@
         self.now = self.now.max(until);
     }
 
-    /// Another VM tells that the call that was made as number `send` is out.
+    /// A relay reports that call number `send` has no reply.
     pub(super) fn still_out(&mut self, job: &mut forward::Job, send: usize) {
         let calls = [self.sends[send].call];
         let mut actions = Vec::new();
@@ -99,7 +100,7 @@
         self.take(actions);
     }
 
-    /// Ends the call that was made as number `send`.
+    /// Ends call number `send`.
     pub(super) fn end(&mut self, job: &mut forward::Job, send: usize, verdict: forward::Verdict) {
         let send = self.sends[send];
         let end = forward::End {
@@ -132,19 +133,19 @@
     format!("s{service}").parse().expect("a name")
 }
 
-/// A route to all of `services` services.
-pub(super) fn shards(services: usize, least: u8) -> route::Route {
+/// Returns a route to all of `services` services.
+pub(super) fn shards(services: usize, min_coverage: u8) -> route::Route {
     route::Route {
         target: route::Target::Shards(route::Shards {
             services: (0..services).map(name).collect(),
             top: 3,
-            least: rate::Share::percent(least),
+            least: rate::Share::percent(min_coverage),
         }),
         ..single(route::Repeat::Idempotent)
     }
 }
 
-/// A route to service `s0`.
+/// Returns a route to service `s0`.
 pub(super) fn single(repeat: route::Repeat) -> route::Route {
     route::Route {
         name: "r".to_owned(),
@@ -162,14 +163,14 @@
     }
 }
 
-/// A good reply with one record.
+/// Returns a successful reply with one record.
 pub(super) fn good(letter: u8) -> forward::Verdict {
-    let body = bytes::Bytes::from(vec![letter; forward::RECORD]);
+    let body = bytes::Bytes::from(vec![letter; forward::RECORD_BYTES]);
     let signature = char::from(letter).to_string();
     forward::Verdict::Good(h1::Reply::merged(signature, body))
 }
 
-/// An upstream's own failure.
+/// Returns an upstream's own failure.
 pub(super) fn failure() -> forward::Verdict {
     let mut reply = h1::Reply::merged("f".to_owned(), bytes::Bytes::new());
     reply.status = 500;
