--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -77,7 +77,7 @@
         let hedge_after = Self::late_after(route.aim, latency.median(), policy);
         let services: Vec<ids::Service> = match &route.target {
             route::Target::One(split) => {
-                let index = request.entry.split.borrow_mut().deal();
+                let index = request.entry.split.borrow_mut().next_index();
                 split
                     .get(index)
                     .map(|part| part.service.clone())
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -1,8 +1,9 @@
-//! Which upstreams a caller's request may go to, and on what terms.
+//! Defines which upstreams the requests of callers may go to, and with what
+//! limits.
 //!
-//! A [`Config`] is one version of what the operators want, as a whole. Each
-//! request is handled by the version that was in force when it was read, so an
-//! answer never mixes two versions.
+//! A [`Config`] is one complete version of the operators' configuration. Each
+//! request is handled by the version that was in force when the request was
+//! read, so an answer never mixes two versions.
 
 mod split;
 pub mod table;
@@ -20,98 +21,100 @@
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Its version; higher is later.
+    /// Version number. Higher numbers are newer.
     pub version: ids::Generation,
-    /// Its routes, in no order.
+    /// Routes in no particular order.
     pub routes: Vec<Route>,
-    /// What holds for calls to each service's upstreams.
+    /// Limits for calls to each service's upstreams.
     pub services: collections::BTreeMap<ids::Service, Service>,
-    /// What callers may send.
+    /// Limits for the requests of callers.
     pub limits: Limits,
 }
 
-/// What holds for calls to one service's upstreams.
+/// Limits for calls to one service's upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Service {
-    /// Connections that each upstream takes from all VMs together.
+    /// Maximum number of connections from all VMs together to each upstream.
     pub max_connections: u32,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits for the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request.
+    /// Maximum size of a request's head.
     pub head: rate::Bytes,
-    /// Largest body of a request.
+    /// Maximum size of a request's body.
     pub body: rate::Bytes,
-    /// Longest time from a head's first byte to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head_time: time::Duration,
-    /// Longest time without a byte between requests, or within a body.
+    /// Maximum time without a byte between requests or within a body.
     pub idle: time::Duration,
 }
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Idempotent: may be retried and hedged.
+    /// The request is idempotent and may be retried and hedged.
     Idempotent,
-    /// Runs once at most: sent again only on proof that it hasn't run.
+    /// The request runs at most once. It is sent again only on proof that it
+    /// hasn't run.
     Once,
 }
 
-/// Where a route's requests go.
+/// The services that a route's requests go to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Target {
-    /// To one upstream of one of these services, by weight.
+    /// One upstream of one of these services, chosen by weight.
     One(Vec<Weighted>),
-    /// To one upstream of each shard's service; the replies are merged.
+    /// One upstream of each shard's service. The replies are merged.
     Shards(Shards),
 }
 
 /// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Weighted {
-    /// The service.
+    /// The name of the service.
     pub service: ids::Service,
-    /// Its weight among those beside it.
+    /// Weight of the service relative to the others of the route.
     pub weight: f64,
 }
 
-/// The shards of a route, and what an answer needs.
+/// The shards of a route and the requirements for an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shards {
-    /// One service a shard.
+    /// One service per shard.
     pub services: Vec<ids::Service>,
-    /// Records in an answer at most.
+    /// Maximum number of records in an answer.
     pub top: usize,
-    /// Least share of the shards that makes an answer.
+    /// Minimum share of the shards that an answer must cover.
     pub least: rate::Share,
 }
 
-/// One route.
+/// Maps requests by host and path to upstreams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route in logs.
     pub name: String,
-    /// The host that callers name, in lower case.
+    /// The host in callers' requests, in lower case.
     pub host: String,
-    /// Start of the paths that belong to it.
+    /// Prefix of the paths that belong to the route.
     pub prefix: String,
     /// Whether its requests may run more than once.
     pub repeat: Repeat,
-    /// Upstreams that one request, or one shard's part of it, may reach.
+    /// Maximum number of upstreams that a request, or one shard's part of it,
+    /// may reach.
     pub attempts: u32,
-    /// Longest time until the final answer.
+    /// Maximum time until the final answer.
     pub timeout: time::Duration,
-    /// Time within which an answer is worth most.
+    /// Time within which an answer is worth the most.
     pub aim: time::Duration,
-    /// Rank; 0 goes first.
+    /// Priority of the route. 0 comes first.
     pub priority: u32,
-    /// Where its requests go.
+    /// The services that the requests go to.
     pub target: Target,
 }
 
-/// A configuration that is shared by the requests it governs.
+/// A configuration shared by the requests that it applies to.
 pub type Shared = rc::Rc<Table>;
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/route/split.rs
+++ b/crates/geraniumgauge/src/route/split.rs
@@ -1,10 +1,10 @@
-//! Deals requests out among services by weight.
+//! Distributes requests among services by weight.
 
 use crate::route;
 
-/// Deals one route's requests out by smooth weighted round robin: after any
-/// number of requests, each service has had its share to within one request.
-/// Drawing at random would miss a share by several in a hundred on a VM that
+/// Distributes one route's requests by smooth weighted round robin. After any
+/// number of requests, each service has received its share to within one
+/// request. Random choice would miss a share by several per cent on a VM that
 /// sees a few hundred requests.
 #[derive(Debug, Clone, Default)]
 pub struct Split {
@@ -13,7 +13,8 @@
 }
 
 impl Split {
-    /// Deals out among the services of `target`; one place where it has shards.
+    /// Creates a split among the services of `target`. A sharded target counts
+    /// as a single service.
     pub fn of(target: &route::Target) -> Self {
         let weights: Vec<f64> = match target {
             route::Target::One(split) => split.iter().map(|part| part.weight.max(0.0)).collect(),
@@ -23,15 +24,15 @@
         Self { weights, credits }
     }
 
-    /// The place of the service that gets the next request. Places without
-    /// weight get none, unless no place has any.
-    pub fn deal(&mut self) -> usize {
+    /// Returns the index of the service that gets the next request. Services
+    /// without weight get none, unless no service has any.
+    pub fn next_index(&mut self) -> usize {
         let total: f64 = self.weights.iter().sum();
         let mut best = 0;
-        for place in 0..self.weights.len() {
-            self.credits[place] += self.weights[place];
-            if self.credits[place] > self.credits[best] {
-                best = place;
+        for index in 0..self.weights.len() {
+            self.credits[index] += self.weights[index];
+            if self.credits[index] > self.credits[best] {
+                best = index;
             }
         }
         if let Some(credit) = self.credits.get_mut(best) {
--- a/crates/geraniumgauge/src/route/table.rs
+++ b/crates/geraniumgauge/src/route/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Finds the route for a request.
 
 use std::cell;
 use std::collections;
@@ -7,29 +7,29 @@
 use crate::ids;
 use crate::route;
 
-/// One version's routes, ready for lookups.
+/// The routes of one configuration version, indexed for lookup.
 #[derive(Debug)]
 pub struct Table {
     version: ids::Generation,
     hosts: collections::HashMap<String, Vec<rc::Rc<Entry>>>,
     services: collections::BTreeMap<ids::Service, route::Service>,
-    /// Services that routes to a single upstream go to.
+    /// Services that routes to a single upstream use.
     single: collections::HashSet<ids::Service>,
     limits: route::Limits,
     routes: usize,
 }
 
-/// A route with the state that lasts as long as its version.
+/// A route with state that lasts as long as its configuration version.
 #[derive(Debug)]
 pub struct Entry {
     /// The route.
     pub route: route::Route,
-    /// Deals the route's requests out by weight.
+    /// Distributes the route's requests by weight.
     pub split: cell::RefCell<route::Split>,
 }
 
 impl Table {
-    /// The lookup table of `config`.
+    /// Creates the lookup table of `config`.
     pub fn new(config: route::Config) -> Self {
         let mut hosts: collections::HashMap<String, Vec<rc::Rc<Entry>>> = Default::default();
         let routes = config.routes.len();
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The route for `host` with the longest prefix that begins `path`. A port
-    /// behind the host, the host's case and a query behind the path don't count.
+    /// Returns the route for `host` with the longest prefix of `path`. Ignores
+    /// the port and the case of the host, and the query of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&rc::Rc<Entry>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let path = path.split_once('?').map_or(path, |(before, _)| before);
@@ -67,43 +67,44 @@
             Some(entries) => entries,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
         };
-        // Sorted by falling length: the first that fits is the longest.
+        // Sorted by descending length, so the first match is the longest.
         entries
             .iter()
             .find(|entry| path.starts_with(&entry.route.prefix))
     }
 
-    /// The configuration's version.
+    /// Returns the configuration's version.
     pub fn version(&self) -> ids::Generation {
         self.version
     }
 
-    /// What callers may send.
+    /// Returns the limits for the requests of callers.
     pub fn limits(&self) -> route::Limits {
         self.limits
     }
 
-    /// Whether a route sends requests to a single upstream of `service`.
+    /// Returns whether any route sends requests to a single upstream of
+    /// `service`.
     pub fn is_single(&self, service: &ids::Service) -> bool {
         self.single.contains(service)
     }
 
-    /// What holds for calls to `service`.
+    /// Returns the limits for calls to `service`.
     pub fn service(&self, service: &ids::Service) -> Option<&route::Service> {
         self.services.get(service)
     }
 
-    /// Every route.
+    /// Returns all routes.
     pub fn entries(&self) -> impl Iterator<Item = &rc::Rc<Entry>> {
         self.hosts.values().flatten()
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.routes
     }
 
-    /// Whether there is no route.
+    /// Returns whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.routes == 0
     }
--- a/crates/geraniumgauge/src/route/tests.rs
+++ b/crates/geraniumgauge/src/route/tests.rs
@@ -30,8 +30,9 @@
     })
 }
 
-/// Prefixes and paths from a small alphabet, so that they often share a start.
-fn spell(digits: &[u8]) -> String {
+/// Builds prefixes and paths from a small alphabet, so that many share a
+/// beginning.
+fn path_of(digits: &[u8]) -> String {
     let mut text = "/".to_owned();
     for digit in digits.iter().take(5) {
         text.push_str(["a/", "b/", "ab/"][usize::from(*digit) % 3]);
@@ -44,9 +45,9 @@
         let host = |first: bool| if first { "one.example" } else { "two.example" };
         let routes: Vec<Route> = prefixes
             .iter()
-            .map(|(first, digits)| route(host(*first), &spell(digits)))
+            .map(|(first, digits)| route(host(*first), &path_of(digits)))
             .collect();
-        let path = spell(&path) + "x?a/b/";
+        let path = path_of(&path) + "x?a/b/";
         let naive = routes
             .iter()
             .filter(|route| route.host == host(other))
@@ -67,12 +68,12 @@
         let service: ids::Service = "s".parse().expect("a name");
         let split = weights.iter().map(|weight| Weighted { service: service.clone(), weight: *weight });
         let mut split = Split::of(&Target::One(split.collect()));
-        let mut dealt = vec![0.0; weights.len()];
+        let mut assigned = vec![0.0; weights.len()];
         for _ in 0..requests {
-            dealt[split.deal()] += 1.0;
+            assigned[split.next_index()] += 1.0;
         }
-        let due = |weight: f64| weight / total * f64::from(requests);
-        weights.iter().zip(&dealt).all(|(weight, had)| (had - due(*weight)).abs() <= weights.len() as f64)
+        let expected = |weight: f64| weight / total * f64::from(requests);
+        weights.iter().zip(&assigned).all(|(weight, got)| (got - expected(*weight)).abs() <= weights.len() as f64)
     }
 }
 
