--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -153,7 +153,7 @@
 
     /// Takes how many VMs may be alive, where that is known, and which are known;
     /// connects to those that may make calls for this one.
-    pub fn set_fleet(&self, vms: Option<usize>, helpers: Vec<forward::Helper>) {
+    pub fn set_fleet(&self, vms: Option<usize>, helpers: Vec<forward::Relay>) {
         let wanted = {
             let mut state = self.state.borrow_mut();
             let before = state.fleet.vms();
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -36,7 +36,7 @@
 pub use merge::RECORD_BYTES;
 pub use merge::top;
 pub use part::MissingReason;
-pub use relay::Helper;
+pub use relay::Relay;
 pub use relay::Relays;
 pub use suspects::Blame;
 
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -46,7 +46,7 @@
 
 /// A VM that may make calls for this one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Helper {
+pub struct Relay {
     /// The address at which the VM receives messages of other VMs.
     pub address: net::SocketAddr,
     /// The data centre that the VM runs in.
@@ -58,7 +58,7 @@
 /// Another VM and the state of the connection to it.
 #[derive(Debug, Clone)]
 struct Peer {
-    relay: Helper,
+    relay: Relay,
     /// Whether the VM may relay calls for this one.
     eligible: bool,
     connected: bool,
@@ -105,12 +105,12 @@
 
     /// Sets the VMs that may be alive. Keeps the connection state of those that
     /// were known before.
-    pub fn set(&mut self, relays: Vec<Helper>) {
+    pub fn set(&mut self, relays: Vec<Relay>) {
         self.was_set = true;
         let before = std::mem::take(&mut self.peers).into_iter();
         let before: collections::HashMap<net::SocketAddr, Peer> =
             before.map(|peer| (peer.relay.address, peer)).collect();
-        let peer = |relay: Helper| {
+        let peer = |relay: Relay| {
             let same = before.get(&relay.address);
             Peer {
                 eligible: false,
@@ -320,7 +320,7 @@
 
     /// Returns whether a VM may relay calls for this one. `max_cores` are the
     /// cores of the largest other VMs.
-    fn eligible(&self, relay: &Helper, max_cores: &MaxCores<'_>) -> bool {
+    fn eligible(&self, relay: &Relay, max_cores: &MaxCores<'_>) -> bool {
         let is_large = relay.power >= MIN_RELAY_CORES_SHARE * max_cores[&relay.data_centre];
         let is_local = relay.data_centre == self.own;
         is_large && (!is_local || relay.power >= MIN_LARGER_RATIO * self.power)
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -3,8 +3,8 @@
 use crate::forward;
 use crate::time as clock;
 
-fn vm(number: u8, data_centre: &str, power: f64) -> forward::Helper {
-    forward::Helper {
+fn vm(number: u8, data_centre: &str, power: f64) -> forward::Relay {
+    forward::Relay {
         address: address(number),
         data_centre: data_centre.parse().expect("a name"),
         power,
@@ -15,7 +15,7 @@
     net::SocketAddr::from(([127, 0, 0, number], 1))
 }
 
-fn relays(power: f64, vms: Vec<forward::Helper>) -> forward::Relays {
+fn relays(power: f64, vms: Vec<forward::Relay>) -> forward::Relays {
     let mut relays = forward::Relays::new("a".parse().expect("a name"), power);
     let addresses: Vec<_> = vms.iter().map(|vm| vm.address).collect();
     relays.set(vms);
