--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -52,7 +52,7 @@
     /// The data centre that the VM runs in.
     pub data_centre: ids::DataCentre,
     /// Number of processor cores of the VM.
-    pub power: f64,
+    pub cores: f64,
 }
 
 /// Another VM and the state of the connection to it.
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct Relays {
     own: ids::DataCentre,
-    power: f64,
+    cores: f64,
     peers: Vec<Peer>,
     next: usize,
     lateness: forward::Lag,
@@ -91,11 +91,11 @@
 }
 
 impl Relays {
-    /// Creates an empty set for a VM of `power` cores in data centre `own`.
-    pub fn new(own: ids::DataCentre, power: f64) -> Self {
+    /// Creates an empty set for a VM with `cores` cores in data centre `own`.
+    pub fn new(own: ids::DataCentre, cores: f64) -> Self {
         Self {
             own,
-            power,
+            cores,
             peers: Vec::new(),
             next: 0,
             lateness: forward::Lag::p97(),
@@ -227,7 +227,7 @@
         if knows_few || self.has_larger_local() {
             return SMALL_VM_CONNECTION_SHARE * limit / vms.max(1) as f64;
         }
-        let smaller = |peer: &&Peer| peer.relay.power * MIN_LARGER_RATIO <= self.power;
+        let smaller = |peer: &&Peer| peer.relay.cores * MIN_LARGER_RATIO <= self.cores;
         let local = |peer: &&Peer| peer.relay.data_centre == self.own;
         let sharing = self.peers.iter().filter(|peer| !smaller(peer));
         if *data_centre == self.own {
@@ -241,17 +241,17 @@
     pub fn parts(&self, vms: usize) -> forward::Parts {
         let mut max_cores = self.max_cores();
         let own = max_cores.entry(&self.own).or_default();
-        *own = own.max(self.power);
-        let powers = self.peers.iter().map(|peer| peer.relay.power);
-        let smallest = powers.fold(self.power, f64::min);
+        *own = own.max(self.cores);
+        let all_cores = self.peers.iter().map(|peer| peer.relay.cores);
+        let smallest = all_cores.fold(self.cores, f64::min);
         // Depends on cores only, so each VM classifies all VMs alike.
-        let is_large = |data_centre: &ids::DataCentre, power: f64| {
-            power >= MIN_RELAY_CORES_SHARE * max_cores[data_centre]
-                && power >= MIN_LARGER_RATIO * smallest
+        let is_large = |data_centre: &ids::DataCentre, cores: f64| {
+            cores >= MIN_RELAY_CORES_SHARE * max_cores[data_centre]
+                && cores >= MIN_LARGER_RATIO * smallest
         };
         let others = self.peers.iter().map(|peer| &peer.relay);
-        let large = others.filter(|relay| is_large(&relay.data_centre, relay.power));
-        let own_is_large = is_large(&self.own, self.power);
+        let large = others.filter(|relay| is_large(&relay.data_centre, relay.cores));
+        let own_is_large = is_large(&self.own, self.cores);
         let large = large.count() + usize::from(own_is_large);
         let rank = match (own_is_large, large) {
             (_, 0) => forward::Rank::Equal,
@@ -266,7 +266,7 @@
         let mut max_cores = MaxCores::new();
         for Peer { relay, .. } in &self.peers {
             let max = max_cores.entry(&relay.data_centre).or_default();
-            *max = max.max(relay.power);
+            *max = max.max(relay.cores);
         }
         max_cores
     }
@@ -281,7 +281,7 @@
     /// are many.
     fn has_larger_local(&self) -> bool {
         let mut local = self.in_data_centre(&self.own);
-        local.any(|peer| peer.relay.power >= MIN_LARGER_RATIO * self.power)
+        local.any(|peer| peer.relay.cores >= MIN_LARGER_RATIO * self.cores)
     }
 
     /// Returns the other VMs in a data centre.
@@ -315,15 +315,15 @@
 
     /// Returns whether this VM would take too long to make a search's calls.
     pub fn crowded(&self, calls: usize) -> bool {
-        CALL_PROCESSOR_TIME.mul_f64(calls as f64 / self.power.max(0.01)) > MAX_OWN_CALLS_TIME
+        CALL_PROCESSOR_TIME.mul_f64(calls as f64 / self.cores.max(0.01)) > MAX_OWN_CALLS_TIME
     }
 
     /// Returns whether a VM may relay calls for this one. `max_cores` are the
     /// cores of the largest other VMs.
     fn eligible(&self, relay: &Relay, max_cores: &MaxCores<'_>) -> bool {
-        let is_large = relay.power >= MIN_RELAY_CORES_SHARE * max_cores[&relay.data_centre];
+        let is_large = relay.cores >= MIN_RELAY_CORES_SHARE * max_cores[&relay.data_centre];
         let is_local = relay.data_centre == self.own;
-        is_large && (!is_local || relay.power >= MIN_LARGER_RATIO * self.power)
+        is_large && (!is_local || relay.cores >= MIN_LARGER_RATIO * self.cores)
     }
 }
 
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -3,11 +3,11 @@
 use crate::forward;
 use crate::time as clock;
 
-fn vm(number: u8, data_centre: &str, power: f64) -> forward::Relay {
+fn vm(number: u8, data_centre: &str, cores: f64) -> forward::Relay {
     forward::Relay {
         address: address(number),
         data_centre: data_centre.parse().expect("a name"),
-        power,
+        cores,
     }
 }
 
@@ -15,8 +15,8 @@
     net::SocketAddr::from(([127, 0, 0, number], 1))
 }
 
-fn relays(power: f64, vms: Vec<forward::Relay>) -> forward::Relays {
-    let mut relays = forward::Relays::new("a".parse().expect("a name"), power);
+fn relays(cores: f64, vms: Vec<forward::Relay>) -> forward::Relays {
+    let mut relays = forward::Relays::new("a".parse().expect("a name"), cores);
     let addresses: Vec<_> = vms.iter().map(|vm| vm.address).collect();
     relays.set(vms);
     for address in addresses {
@@ -102,17 +102,17 @@
         ),
     ] {
         let mut all = Vec::new();
-        for (data_centre, power, count) in fleet {
+        for (data_centre, cores, count) in fleet {
             for _ in 0..count {
                 let number = u8::try_from(all.len() + 1).expect("a small fleet");
-                all.push(vm(number, data_centre, power));
+                all.push(vm(number, data_centre, cores));
             }
         }
         let upstream = "a".parse().expect("a name");
         let sum: f64 = all
             .iter()
             .map(|own| {
-                let mut relays = forward::Relays::new(own.data_centre.clone(), own.power);
+                let mut relays = forward::Relays::new(own.data_centre.clone(), own.cores);
                 let others = all.iter().filter(|other| other.address != own.address);
                 relays.set(others.cloned().collect());
                 relays.connections(&upstream, limit, all.len())
