--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -102,7 +102,7 @@
             };
             match place.payer {
                 forward::Payer::Own => own.extend(left),
-                forward::Payer::Helper => self.unpaid(job, left, now),
+                forward::Payer::Relay => self.unpaid(job, left, now),
             }
         }
         own
@@ -166,7 +166,7 @@
                 })
                 .collect(),
             first: place.first,
-            unpaid: place.payer == forward::Payer::Helper,
+            unpaid: place.payer == forward::Payer::Relay,
             usual_us: clock::micros(usual),
             insist: place.insist,
         };
--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -83,7 +83,7 @@
     Own,
     /// The relay that makes the call, if its budget allows it.
     #[display("helper")]
-    Helper,
+    Relay,
 }
 
 /// Budgets for extra calls to each service.
@@ -150,7 +150,7 @@
         if own || self.lend(service, policy, now) {
             return Some(Payer::Own);
         }
-        Some(Payer::Helper).filter(|_| self.parts.may_ask)
+        Some(Payer::Relay).filter(|_| self.parts.may_ask)
     }
 
     /// Removes an own extra call that was charged at `paid` but wasn't made. If
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -97,7 +97,7 @@
         let at = coordinator.clock(now);
         let paid = match coordinator.allowance.take_extra(&self.service, &policy, at) {
             Some(forward::Payer::Own) => true,
-            Some(forward::Payer::Helper) => {
+            Some(forward::Payer::Relay) => {
                 let relay = &mut self.vms[SMALL + relay % LARGE];
                 let at = relay.clock(now);
                 relay.allowance.lend(&self.service, &policy, at)
