--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -47,7 +47,7 @@
     /// acts on it.
     pub lag: forward::Lag,
     own: Own,
-    health: Vec<forward::Standing>,
+    health: Vec<forward::Health>,
     allowance: forward::Allowance,
     latencies: collections::HashMap<String, rc::Rc<forward::Latency>>,
     vms: usize,
@@ -110,7 +110,7 @@
     }
 
     /// Returns the health of an upstream.
-    pub fn standing(&mut self, upstream: registry::Handle) -> &mut forward::Standing {
+    pub fn standing(&mut self, upstream: registry::Handle) -> &mut forward::Health {
         if self.health.len() <= upstream.index() {
             self.health
                 .resize_with(self.registry.handles(), Default::default);
--- a/crates/geraniumgauge/src/forward/health.rs
+++ b/crates/geraniumgauge/src/forward/health.rs
@@ -67,7 +67,7 @@
 
 /// Observed health of one upstream.
 #[derive(Debug, Clone)]
-pub struct Standing {
+pub struct Health {
     running: u32,
     slowness: f64,
     slowness_updated: clock::Moment,
@@ -84,7 +84,7 @@
     misdirected: bool,
 }
 
-impl Default for Standing {
+impl Default for Health {
     fn default() -> Self {
         Self {
             running: 0,
@@ -103,7 +103,7 @@
     }
 }
 
-impl Standing {
+impl Health {
     /// Records that a call was sent.
     pub fn start(&mut self) {
         self.running += 1;
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -28,7 +28,7 @@
 pub use fleet::Made;
 pub use fleet::Own;
 pub use health::Advice;
-pub use health::Standing;
+pub use health::Health;
 pub use job::Job;
 pub use job::Request;
 pub use lag::Lag;
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -157,7 +157,7 @@
 /// seconds, and a few calls of this VM override it.
 #[test]
 fn advice_decays_and_is_overridden_by_own_calls() {
-    let mut standing = forward::Standing::default();
+    let mut standing = forward::Health::default();
     standing.apply_advice(SLOW, at(1000));
     assert!(standing.advice(at(1000)).is_some());
     assert_eq!(standing.advice(at(5000)), None);
--- a/crates/geraniumgauge/src/forward/tests/health.rs
+++ b/crates/geraniumgauge/src/forward/tests/health.rs
@@ -13,7 +13,7 @@
 /// afterwards would move its load to the others for seconds, again and again.
 #[test]
 fn one_pause_does_not_make_an_upstream_slow() {
-    let mut standing = forward::Standing::default();
+    let mut standing = forward::Health::default();
     standing.late();
     assert!(standing.is_late());
     for began in [1000, 1010, 1040] {
@@ -27,7 +27,7 @@
 /// replies in a row reveal it, and it is tried again after a while.
 #[test]
 fn slow_replies_in_a_row_make_a_slow_upstream_for_a_while() {
-    let mut standing = forward::Standing::default();
+    let mut standing = forward::Health::default();
     standing.replied(10.0, at(1000), at(1110));
     standing.replied(10.0, at(1111), at(1221));
     assert!(standing.slowness(at(1221)) > 5.0);
@@ -45,7 +45,7 @@
 /// good.
 #[test]
 fn failed_connections_back_off_for_up_to_a_second() {
-    let mut standing = forward::Standing::default();
+    let mut standing = forward::Health::default();
     for round in 1..10 {
         standing.unreachable(at(round * 10_000));
         assert!(!standing.is_up(at(round * 10_000 + 50)));
@@ -62,7 +62,7 @@
 #[test]
 fn queued_calls_and_warm_up_increase_the_expected_time() {
     let typical = time::Duration::from_millis(10);
-    let mut standing = forward::Standing::default();
+    let mut standing = forward::Health::default();
     let idle = standing.expected_time(typical, 2, false, at(1));
     for _ in 0..4 {
         standing.start();
