--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -150,7 +150,7 @@
             upstream = entry.id.as_str(), service = entry.service.as_str(), error = error;
             "upstream can't be connected to"
         );
-        self.fleet.standing(known.upstream).unreachable(now);
+        self.fleet.health(known.upstream).unreachable(now);
         self.blame(known.upstream, now);
         let pool = self.pool(known.upstream);
         pool.links -= 1;
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -167,7 +167,7 @@
             asked.pending.insert(wanted.id, id);
         }
         self.peers.made += 1;
-        self.fleet.standing(upstream).start();
+        self.fleet.health(upstream).start();
         let owner = call::Owner::Ask {
             ask,
             remote: wanted.id,
@@ -267,7 +267,7 @@
         let due = ask.merge_after;
         for call in ask.pending.values() {
             if let Some(call) = self.calls.get(call) {
-                self.fleet.standing(call.upstream).late();
+                self.fleet.health(call.upstream).late();
             }
         }
         self.tell_merged(id, out, due);
--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -139,7 +139,7 @@
         }
         let upstream = call.upstream;
         self.calls.remove(&id);
-        self.fleet.standing(upstream).end();
+        self.fleet.health(upstream).end();
         true
     }
 }
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns the health of an upstream.
-    pub fn standing(&mut self, upstream: registry::Handle) -> &mut forward::Health {
+    pub fn health(&mut self, upstream: registry::Handle) -> &mut forward::Health {
         if self.health.len() <= upstream.index() {
             self.health
                 .resize_with(self.registry.handles(), Default::default);
@@ -203,18 +203,18 @@
         now: clock::Moment,
     ) -> Option<time::Duration> {
         let upstream = self.registry.get(handle);
-        let standing = &self.health[handle.index()];
+        let health = &self.health[handle.index()];
         let usable = upstream.usable(now);
-        if usable == registry::Use::Never || !standing.is_up(now) {
+        if usable == registry::Use::Never || !health.is_up(now) {
             return None;
         }
         let cold = now < upstream.warm_at;
-        let mut cost = standing.expected_time(typical, upstream.entry.slots, cold, now);
-        cost += standing.decline_cost(now);
+        let mut cost = health.expected_time(typical, upstream.entry.slots, cold, now);
+        cost += health.decline_cost(now);
         if upstream.entry.data_centre != self.own.data_centre {
             cost += self.policy.remote_penalty;
         }
-        if standing.is_late() || standing.is_full(now) {
+        if health.is_late() || health.is_full(now) {
             cost += AVOID_PENALTY;
         }
         if usable == registry::Use::LastResort {
@@ -245,16 +245,16 @@
         took: time::Duration,
         now: clock::Moment,
     ) {
-        let standing = self.standing(made.upstream);
-        standing.end();
+        let health = self.health(made.upstream);
+        health.end();
         match verdict {
             forward::Verdict::Good(_) => {
-                standing.replied(forward::ratio(took, made.usual), made.began, now);
+                health.replied(forward::ratio(took, made.usual), made.began, now);
             }
-            forward::Verdict::Failure(_) | forward::Verdict::Lost => standing.failed(now),
-            forward::Verdict::NotRun => standing.mark_full(forward::NO_CAPACITY_DELAY, now),
-            forward::Verdict::Misdirected => standing.mark_misdirected(),
-            forward::Verdict::Advised(advice) => standing.apply_advice(*advice, now),
+            forward::Verdict::Failure(_) | forward::Verdict::Lost => health.failed(now),
+            forward::Verdict::NotRun => health.mark_full(forward::NO_CAPACITY_DELAY, now),
+            forward::Verdict::Misdirected => health.mark_misdirected(),
+            forward::Verdict::Advised(advice) => health.apply_advice(*advice, now),
             forward::Verdict::NotSent | forward::Verdict::Unpaid => {}
         }
     }
@@ -266,12 +266,12 @@
         upstream: registry::Handle,
         now: clock::Moment,
     ) -> Option<forward::Advice> {
-        let advice = self.standing(upstream).advice(now)?;
+        let advice = self.health(upstream).advice(now)?;
         let service = &self.registry.get(upstream).entry.service;
         let other = |other: &registry::Handle| {
             let usable = self.registry.get(*other).usable(now) == registry::Use::Full;
-            let standing = self.health.get(other.index());
-            let is_healthy = standing.is_none_or(|standing| standing.advice(now).is_none());
+            let health = self.health.get(other.index());
+            let is_healthy = health.is_none_or(|health| health.advice(now).is_none());
             *other != upstream && usable && is_healthy
         };
         self.registry
@@ -285,12 +285,12 @@
     /// before the call was given up.
     pub fn orphan_ended(&mut self, orphan: &Made, replied: bool, now: clock::Moment) {
         let ratio = forward::ratio(now.since(orphan.began), orphan.usual);
-        let standing = self.standing(orphan.upstream);
-        standing.end();
+        let health = self.health(orphan.upstream);
+        health.end();
         if replied {
-            standing.replied(ratio, orphan.began, now);
+            health.replied(ratio, orphan.began, now);
         } else {
-            standing.abandoned(ratio, orphan.began, now);
+            health.abandoned(ratio, orphan.began, now);
         }
     }
 
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -63,7 +63,7 @@
             return self.fail_unless_called(index, forward::Reason::NoCapacity);
         };
         let id = fleet.next_call();
-        fleet.standing(upstream).start();
+        fleet.health(upstream).start();
         part.arrivals += 1;
         part.may_have_run += 1;
         part.tried.push(upstream);
@@ -186,7 +186,7 @@
             let mut why = forward::Why::Hedge;
             for call in &part.calls {
                 match call.progress {
-                    part::Progress::Pending => fleet.standing(call.upstream).late(),
+                    part::Progress::Pending => fleet.health(call.upstream).late(),
                     // The upstream may have replied in time.
                     part::Progress::Delegated => {
                         why = forward::Why::Silent;
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -101,10 +101,10 @@
     let mut world = world::World::new(1, 2);
     let upstream = world.fleet.registry.of(&world::name(0))[0];
     assert_eq!(world.fleet.advice(upstream, world.now), None);
-    world.fleet.standing(upstream).late();
+    world.fleet.health(upstream).late();
     assert!(world.fleet.advice(upstream, world.now).is_some());
     let now = world.now;
-    world.fleet.standing(upstream).replied(1.0, now, now);
+    world.fleet.health(upstream).replied(1.0, now, now);
     assert_eq!(world.fleet.advice(upstream, now), None);
 }
 
@@ -115,7 +115,7 @@
     let mut world = world::World::new(1, 2);
     let now = world.now;
     for upstream in world.fleet.registry.of(&world::name(0)).to_vec() {
-        world.fleet.standing(upstream).apply_advice(SLOW, now);
+        world.fleet.health(upstream).apply_advice(SLOW, now);
         let other_is_healthy = world.fleet.advice(upstream, now).is_some();
         assert_eq!(other_is_healthy, upstream.index() == 0);
     }
@@ -132,7 +132,7 @@
     let upstreams = world.fleet.registry.of(&world::name(0)).to_vec();
     let typical = time::Duration::from_millis(10);
     let now = world.now;
-    world.fleet.standing(upstreams[0]).apply_advice(SLOW, now);
+    world.fleet.health(upstreams[0]).apply_advice(SLOW, now);
     let mut counts = [0; 3];
     for _ in 0..100 {
         let chosen = world.fleet.choose(&world::name(0), &[], typical, now);
@@ -147,7 +147,7 @@
         declined: 0.0,
     };
     for upstream in &upstreams[1..] {
-        world.fleet.standing(*upstream).apply_advice(worse, now);
+        world.fleet.health(*upstream).apply_advice(worse, now);
     }
     let chosen = world.fleet.choose(&world::name(0), &[], typical, now);
     assert_eq!(chosen, Some(upstreams[0]));
@@ -157,14 +157,14 @@
 /// seconds, and a few calls of this VM override it.
 #[test]
 fn advice_decays_and_is_overridden_by_own_calls() {
-    let mut standing = forward::Health::default();
-    standing.apply_advice(SLOW, at(1000));
-    assert!(standing.advice(at(1000)).is_some());
-    assert_eq!(standing.advice(at(5000)), None);
+    let mut health = forward::Health::default();
+    health.apply_advice(SLOW, at(1000));
+    assert!(health.advice(at(1000)).is_some());
+    assert_eq!(health.advice(at(5000)), None);
     for call in 0..6 {
-        standing.replied(1.0, at(1000 + call), at(1010 + call));
+        health.replied(1.0, at(1000 + call), at(1010 + call));
     }
-    assert_eq!(standing.advice(at(1020)), None);
+    assert_eq!(health.advice(at(1020)), None);
 }
 
 quickcheck::quickcheck! {
--- a/crates/geraniumgauge/src/forward/tests/health.rs
+++ b/crates/geraniumgauge/src/forward/tests/health.rs
@@ -13,29 +13,29 @@
 /// afterwards would move its load to the others for seconds, again and again.
 #[test]
 fn one_pause_does_not_make_an_upstream_slow() {
-    let mut standing = forward::Health::default();
-    standing.late();
-    assert!(standing.is_late());
+    let mut health = forward::Health::default();
+    health.late();
+    assert!(health.is_late());
     for began in [1000, 1010, 1040] {
-        standing.replied(10.0, at(began), at(1120));
+        health.replied(10.0, at(began), at(1120));
     }
-    assert!(!standing.is_late());
-    assert!(standing.slowness(at(1120)) < 1.1);
+    assert!(!health.is_late());
+    assert!(health.slowness(at(1120)) < 1.1);
 }
 
 /// An upstream takes ten times its typical time for some seconds. Two slow
 /// replies in a row reveal it, and it is tried again after a while.
 #[test]
 fn slow_replies_in_a_row_make_a_slow_upstream_for_a_while() {
-    let mut standing = forward::Health::default();
-    standing.replied(10.0, at(1000), at(1110));
-    standing.replied(10.0, at(1111), at(1221));
-    assert!(standing.slowness(at(1221)) > 5.0);
-    assert!(standing.slowness(at(7000)) < 1.3);
-    standing.replied(1.0, at(7000), at(7011));
-    standing.replied(10.0, at(7100), at(7210));
+    let mut health = forward::Health::default();
+    health.replied(10.0, at(1000), at(1110));
+    health.replied(10.0, at(1111), at(1221));
+    assert!(health.slowness(at(1221)) > 5.0);
+    assert!(health.slowness(at(7000)) < 1.3);
+    health.replied(1.0, at(7000), at(7011));
+    health.replied(10.0, at(7100), at(7210));
     assert!(
-        standing.slowness(at(7211)) < 1.5,
+        health.slowness(at(7211)) < 1.5,
         "a single slow reply counts for little again"
     );
 }
@@ -45,16 +45,16 @@
 /// good.
 #[test]
 fn failed_connections_back_off_for_up_to_a_second() {
-    let mut standing = forward::Health::default();
+    let mut health = forward::Health::default();
     for round in 1..10 {
-        standing.unreachable(at(round * 10_000));
-        assert!(!standing.is_up(at(round * 10_000 + 50)));
-        assert!(standing.is_up(at(round * 10_000 + 1001)));
+        health.unreachable(at(round * 10_000));
+        assert!(!health.is_up(at(round * 10_000 + 50)));
+        assert!(health.is_up(at(round * 10_000 + 1001)));
     }
-    standing.replied(1.0, at(200_000), at(200_010));
-    standing.unreachable(at(200_020));
+    health.replied(1.0, at(200_000), at(200_010));
+    health.unreachable(at(200_020));
     assert!(
-        standing.is_up(at(200_121)),
+        health.is_up(at(200_121)),
         "the backoff starts again after a reply"
     );
 }
@@ -62,15 +62,15 @@
 #[test]
 fn queued_calls_and_warm_up_increase_the_expected_time() {
     let typical = time::Duration::from_millis(10);
-    let mut standing = forward::Health::default();
-    let idle = standing.expected_time(typical, 2, false, at(1));
+    let mut health = forward::Health::default();
+    let idle = health.expected_time(typical, 2, false, at(1));
     for _ in 0..4 {
-        standing.start();
+        health.start();
     }
-    assert!(standing.expected_time(typical, 2, false, at(1)) > idle.mul_f64(2.0));
+    assert!(health.expected_time(typical, 2, false, at(1)) > idle.mul_f64(2.0));
     assert!(
-        standing.expected_time(typical, 2, true, at(1))
-            > standing.expected_time(typical, 2, false, at(1))
+        health.expected_time(typical, 2, true, at(1))
+            > health.expected_time(typical, 2, false, at(1))
     );
 }
 
@@ -94,11 +94,11 @@
         let index = usize::from(chosen == handles[1]);
         sent[index] += 1;
         let now = world.now;
-        let standing = world.fleet.standing(chosen);
+        let health = world.fleet.health(chosen);
         if index == 0 && call % 5 < 2 {
-            standing.mark_full(time::Duration::from_millis(40), now);
+            health.mark_full(time::Duration::from_millis(40), now);
         } else {
-            standing.replied(1.0, now, now);
+            health.replied(1.0, now, now);
         }
     }
     assert!(sent[0] < sent[1] / 4, "{sent:?}");
@@ -116,7 +116,7 @@
             let now = world.now;
             world
                 .fleet
-                .standing(*handle)
+                .health(*handle)
                 .mark_full(time::Duration::from_millis(40), now);
         }
     }
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -59,7 +59,7 @@
     assert_eq!((extras[0].part, extras[0].why), (0, forward::Why::Hedge));
     for send in 0..SHARDS {
         let upstream = world.sends[send].upstream;
-        let late = world.fleet.standing(upstream).is_late();
+        let late = world.fleet.health(upstream).is_late();
         assert_eq!(late, send == 0, "call {send}");
     }
 }
@@ -80,7 +80,7 @@
         assert_eq!(world.silent.len(), SHARDS);
         for send in 0..SHARDS {
             let upstream = world.sends[send].upstream;
-            assert!(!world.fleet.standing(upstream).is_late());
+            assert!(!world.fleet.health(upstream).is_late());
         }
     }
 }
--- a/crates/geraniumgauge/src/forward/tests/job.rs
+++ b/crates/geraniumgauge/src/forward/tests/job.rs
@@ -91,7 +91,7 @@
     for service in 0..2 {
         let handle = world.fleet.registry.of(&world::name(service))[0];
         let now = world.now;
-        world.fleet.standing(handle).unreachable(now);
+        world.fleet.health(handle).unreachable(now);
     }
     world.start(world::shards(3, 60));
     let outcome = &world.outcome;
