--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -38,7 +38,7 @@
 pub use part::MissingReason;
 pub use relay::Relay;
 pub use relay::Relays;
-pub use suspects::Blame;
+pub use suspects::Suspects;
 
 use std::time;
 
--- a/crates/geraniumgauge/src/forward/suspects.rs
+++ b/crates/geraniumgauge/src/forward/suspects.rs
@@ -31,13 +31,13 @@
 
 /// Crashes that this VM and other VMs have seen.
 #[derive(Debug, Default)]
-pub struct Blame {
+pub struct Suspects {
     /// Lost connections that may turn out to be crashes.
     lost: collections::VecDeque<(clock::Moment, registry::Handle, ids::Fingerprint)>,
     incidents: collections::HashMap<ids::Fingerprint, Vec<clock::Moment>>,
 }
 
-impl Blame {
+impl Suspects {
     /// Records that the connection of a running request was lost.
     pub fn lost(
         &mut self,
--- a/crates/geraniumgauge/src/forward/tests/suspects.rs
+++ b/crates/geraniumgauge/src/forward/tests/suspects.rs
@@ -13,7 +13,7 @@
 /// it. It is refused everywhere after the second crash.
 #[test]
 fn a_request_that_crashed_upstreams_twice_is_refused() {
-    let mut blame = forward::Blame::default();
+    let mut blame = forward::Suspects::default();
     for (round, upstream) in [(1, 1), (2, 2)] {
         assert!(!blame.is_quarantined(BAD, at(round * 2000)));
         blame.lost(registry::Handle(upstream), BAD, at(round * 2000));
@@ -28,7 +28,7 @@
 /// search nor a request that only lost its connections becomes a suspect.
 #[test]
 fn failed_racks_and_lost_replies_make_no_suspects() {
-    let mut blame = forward::Blame::default();
+    let mut blame = forward::Suspects::default();
     for upstream in 0..5 {
         blame.lost(registry::Handle(upstream), BAD, at(1000));
     }
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_run_that_completes_clears_a_request() {
-    let mut blame = forward::Blame::default();
+    let mut blame = forward::Suspects::default();
     assert!(blame.blame(BAD, at(1000)));
     blame.clear(BAD);
     assert!(blame.blame(BAD, at(5000)));
