--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -137,8 +137,8 @@
     pub fn blame(&self, request: ids::Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        if state.fleet.blame.blame(request, now) {
-            let refused = state.fleet.blame.is_quarantined(request, now);
+        if state.fleet.suspects.blame(request, now) {
+            let refused = state.fleet.suspects.is_quarantined(request, now);
             log::warn!(fingerprint:% = request, refused = refused; "another VM blames a request");
         }
     }
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -161,9 +161,9 @@
 
     /// Blames the requests under which an upstream that is gone was lost.
     fn blame(&mut self, upstream: registry::Handle, now: clock::Moment) {
-        for request in self.fleet.blame.unreachable(upstream, now) {
+        for request in self.fleet.suspects.unreachable(upstream, now) {
             let id = &self.fleet.registry.get(upstream).entry.id;
-            let refused = self.fleet.blame.is_quarantined(request, now);
+            let refused = self.fleet.suspects.is_quarantined(request, now);
             log::warn!(
                 fingerprint:% = request, upstream = id.as_str(), refused = refused;
                 "upstream crashed under a request"
@@ -270,7 +270,7 @@
             log::info!(request = request, error = error; "connection ended under a call");
             if let Some(call) = self.calls.get(&id) {
                 let request = call.message.fingerprint();
-                self.fleet.blame.lost(call.upstream, request, now);
+                self.fleet.suspects.lost(call.upstream, request, now);
             }
             self.end(id, forward::Verdict::Lost, now);
         }
--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -163,7 +163,11 @@
 
     fn is_quarantined(&self, message: &call::Message, now: clock::Moment) -> bool {
         // Hashing each request only pays while any is blamed.
-        !self.fleet.blame.is_empty() && self.fleet.blame.is_quarantined(message.fingerprint(), now)
+        !self.fleet.suspects.is_empty()
+            && self
+                .fleet
+                .suspects
+                .is_quarantined(message.fingerprint(), now)
     }
 
     /// The outcome of a request, once it has one; it is over then.
@@ -246,8 +250,8 @@
             };
             let took = ended.at.since(call.began);
             let good = matches!(ended.verdict, forward::Verdict::Good(_));
-            if good && !self.fleet.blame.is_empty() {
-                self.fleet.blame.clear(call.message.fingerprint());
+            if good && !self.fleet.suspects.is_empty() {
+                self.fleet.suspects.clear(call.message.fingerprint());
             }
             self.count.ended(kind(&ended.verdict), took);
             if call.orphaned {
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -42,7 +42,7 @@
     /// Settings for running requests.
     pub policy: forward::Policy,
     /// Requests that are suspected of crashing upstreams.
-    pub blame: forward::Suspects,
+    pub suspects: forward::Suspects,
     /// Estimated delay between a timer's due time and the moment this process
     /// acts on it.
     pub lag: forward::Lag,
@@ -60,7 +60,7 @@
         Self {
             registry: registry::Registry::default(),
             policy,
-            blame: forward::Suspects::default(),
+            suspects: forward::Suspects::default(),
             lag: forward::Lag::p90(),
             own,
             health: Vec::new(),
