--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -137,7 +137,7 @@
     pub fn blame(&self, request: ids::Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        if state.fleet.suspects.blame(request, now) {
+        if state.fleet.suspects.report_crash(request, now) {
             let refused = state.fleet.suspects.is_quarantined(request, now);
             log::warn!(fingerprint:% = request, refused = refused; "another VM blames a request");
         }
--- a/crates/geraniumgauge/src/forward/suspects.rs
+++ b/crates/geraniumgauge/src/forward/suspects.rs
@@ -76,7 +76,7 @@
         self.lost.retain(|(_, of, _)| *of != upstream);
         let new = suspects
             .into_iter()
-            .filter(|(at, request)| self.blame(*request, *at));
+            .filter(|(at, request)| self.report_crash(*request, *at));
         let mut new: Vec<ids::Fingerprint> = new.map(|(_, request)| request).collect();
         new.dedup();
         new
@@ -84,7 +84,7 @@
 
     /// Records that a request crashed an upstream at `at`. Returns whether this
     /// is a new incident.
-    pub fn blame(&mut self, request: ids::Fingerprint, at: clock::Moment) -> bool {
+    pub fn report_crash(&mut self, request: ids::Fingerprint, at: clock::Moment) -> bool {
         self.incidents.retain(|_, crashes| {
             crashes
                 .iter()
