--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -270,7 +270,9 @@
             log::info!(request = request, error = error; "connection ended under a call");
             if let Some(call) = self.calls.get(&id) {
                 let request = call.message.fingerprint();
-                self.fleet.suspects.lost(call.upstream, request, now);
+                self.fleet
+                    .suspects
+                    .connection_lost(call.upstream, request, now);
             }
             self.end(id, forward::Verdict::Lost, now);
         }
--- a/crates/geraniumgauge/src/forward/suspects.rs
+++ b/crates/geraniumgauge/src/forward/suspects.rs
@@ -39,7 +39,7 @@
 
 impl Suspects {
     /// Records that the connection of a running request was lost.
-    pub fn lost(
+    pub fn connection_lost(
         &mut self,
         upstream: registry::Handle,
         request: ids::Fingerprint,
--- a/crates/geraniumgauge/src/forward/tests/suspects.rs
+++ b/crates/geraniumgauge/src/forward/tests/suspects.rs
@@ -16,7 +16,7 @@
     let mut suspects = forward::Suspects::default();
     for (round, upstream) in [(1, 1), (2, 2)] {
         assert!(!suspects.is_quarantined(BAD, at(round * 2000)));
-        suspects.lost(registry::Handle(upstream), BAD, at(round * 2000));
+        suspects.connection_lost(registry::Handle(upstream), BAD, at(round * 2000));
         let reported = suspects.unreachable(registry::Handle(upstream), at(round * 2000 + 300));
         assert_eq!(reported, vec![BAD]);
     }
@@ -30,14 +30,14 @@
 fn failed_racks_and_lost_replies_make_no_suspects() {
     let mut suspects = forward::Suspects::default();
     for upstream in 0..5 {
-        suspects.lost(registry::Handle(upstream), BAD, at(1000));
+        suspects.connection_lost(registry::Handle(upstream), BAD, at(1000));
     }
     for upstream in 0..5 {
         suspects.unreachable(registry::Handle(upstream), at(1200));
     }
     assert!(!suspects.is_quarantined(BAD, at(1300)));
     for round in 10..20 {
-        suspects.lost(registry::Handle(9), BAD, at(round * 1000));
+        suspects.connection_lost(registry::Handle(9), BAD, at(round * 1000));
     }
     assert!(!suspects.is_quarantined(BAD, at(20_000)));
     assert!(
