--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -26,7 +26,7 @@
 
 /// Shares of the fleet's allowance that a VM spends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Parts {
+pub struct Shares {
     /// Share for this VM's own calls.
     own: forward::Part,
     /// Share for this VM's own and other VMs' calls. Only large VMs have one.
@@ -46,7 +46,7 @@
     Small,
 }
 
-impl Parts {
+impl Shares {
     /// Returns the shares of one of `vms` VMs, `large` of which relay calls for
     /// the others.
     pub fn new(rank: Rank, vms: usize, large: usize) -> Self {
@@ -89,7 +89,7 @@
 /// Budgets for extra calls to each service.
 #[derive(Debug)]
 pub struct Allowance {
-    parts: Parts,
+    shares: Shares,
     own: Budgets,
     shared: Budgets,
 }
@@ -97,7 +97,7 @@
 impl Default for Allowance {
     fn default() -> Self {
         Self {
-            parts: Parts::new(Rank::Equal, 1, 0),
+            shares: Shares::new(Rank::Equal, 1, 0),
             own: Budgets::default(),
             shared: Budgets::default(),
         }
@@ -106,10 +106,10 @@
 
 impl Allowance {
     /// Sets the shares of this VM.
-    pub fn set_parts(&mut self, parts: Parts) {
-        if self.parts != parts {
-            log::info!(before:? = self.parts, parts:? = parts; "shares of the extra call allowance changed");
-            self.parts = parts;
+    pub fn set_parts(&mut self, shares: Shares) {
+        if self.shares != shares {
+            log::info!(before:? = self.shares, parts:? = shares; "shares of the extra call allowance changed");
+            self.shares = shares;
         }
     }
 
@@ -143,14 +143,14 @@
         policy: &forward::Policy,
         now: clock::Moment,
     ) -> Option<Payer> {
-        let part = self.parts.own;
+        let part = self.shares.own;
         let own = self
             .own
             .of(service, |budget| budget.take_extra(policy, part, now));
         if own || self.lend(service, policy, now) {
             return Some(Payer::Own);
         }
-        Some(Payer::Relay).filter(|_| self.parts.may_ask)
+        Some(Payer::Relay).filter(|_| self.shares.may_ask)
     }
 
     /// Removes an own extra call that was charged at `paid` but wasn't made. If
@@ -179,7 +179,7 @@
         policy: &forward::Policy,
         now: clock::Moment,
     ) -> bool {
-        let Some(part) = self.parts.lent else {
+        let Some(part) = self.shares.lent else {
             return false;
         };
         let started = clock::Moment::default();
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -119,7 +119,7 @@
     }
 
     /// Sets this VM's shares of the fleet's allowance for extra calls.
-    pub fn set_parts(&mut self, parts: forward::Parts) {
+    pub fn set_parts(&mut self, parts: forward::Shares) {
         self.allowance.set_parts(parts);
     }
 
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -19,9 +19,9 @@
 mod suspects;
 
 pub use allowance::Allowance;
-pub use allowance::Parts;
 pub use allowance::Payer;
 pub use allowance::Rank;
+pub use allowance::Shares;
 pub use budget::Budget;
 pub use budget::Part;
 pub use fleet::Fleet;
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -238,7 +238,7 @@
 
     /// Returns this VM's shares of the fleet's allowance for extra calls. There
     /// are `vms` VMs, which may be more than are known.
-    pub fn parts(&self, vms: usize) -> forward::Parts {
+    pub fn parts(&self, vms: usize) -> forward::Shares {
         let mut max_cores = self.max_cores();
         let own = max_cores.entry(&self.own).or_default();
         *own = own.max(self.cores);
@@ -258,7 +258,7 @@
             (true, _) => forward::Rank::Large,
             (false, _) => forward::Rank::Small,
         };
-        forward::Parts::new(rank, vms.max(self.peers.len() + 1), large)
+        forward::Shares::new(rank, vms.max(self.peers.len() + 1), large)
     }
 
     /// Returns the cores of the largest other VM in each data centre.
