--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -165,7 +165,7 @@
             let first = state.relays.makes_own_calls().is_none();
             state.relays.set(helpers);
             let parts = state.relays.parts(vms);
-            state.fleet.set_parts(parts);
+            state.fleet.set_shares(parts);
             if first {
                 state.warm_all();
             }
--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -106,7 +106,7 @@
 
 impl Allowance {
     /// Sets the shares of this VM.
-    pub fn set_parts(&mut self, shares: Shares) {
+    pub fn set_shares(&mut self, shares: Shares) {
         if self.shares != shares {
             log::info!(before:? = self.shares, parts:? = shares; "shares of the extra call allowance changed");
             self.shares = shares;
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -119,8 +119,8 @@
     }
 
     /// Sets this VM's shares of the fleet's allowance for extra calls.
-    pub fn set_parts(&mut self, parts: forward::Shares) {
-        self.allowance.set_parts(parts);
+    pub fn set_shares(&mut self, shares: forward::Shares) {
+        self.allowance.set_shares(shares);
     }
 
     /// Counts a request to `service`.
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -33,7 +33,7 @@
 impl Vm {
     fn start(rank: forward::Rank, now: clock::Moment) -> Self {
         let mut allowance = forward::Allowance::default();
-        allowance.set_parts(forward::Shares::new(rank, SMALL + LARGE, LARGE));
+        allowance.set_shares(forward::Shares::new(rank, SMALL + LARGE, LARGE));
         Self {
             allowance,
             rank,
@@ -202,7 +202,7 @@
 #[test]
 fn equal_vms_hold_even_shares() {
     let mut allowance = forward::Allowance::default();
-    allowance.set_parts(forward::Shares::new(forward::Rank::Equal, 4, 0));
+    allowance.set_shares(forward::Shares::new(forward::Rank::Equal, 4, 0));
     let now = clock::Moment::from_millis(30_000);
     let mut pay = || allowance.take_extra(&world::name(0), &policy(), now);
     let paid = (0..100)
