--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -164,8 +164,8 @@
             }
             let first = state.relays.makes_own_calls().is_none();
             state.relays.set(helpers);
-            let parts = state.relays.parts(vms);
-            state.fleet.set_shares(parts);
+            let shares = state.relays.shares(vms);
+            state.fleet.set_shares(shares);
             if first {
                 state.warm_all();
             }
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -238,7 +238,7 @@
 
     /// Returns this VM's shares of the fleet's allowance for extra calls. There
     /// are `vms` VMs, which may be more than are known.
-    pub fn parts(&self, vms: usize) -> forward::Shares {
+    pub fn shares(&self, vms: usize) -> forward::Shares {
         let mut max_cores = self.max_cores();
         let own = max_cores.entry(&self.own).or_default();
         *own = own.max(self.cores);
