--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -16,6 +16,7 @@
 use std::collections;
 
 use crate::forward;
+use crate::forward::budget;
 use crate::ids;
 use crate::time as clock;
 
@@ -28,9 +29,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shares {
     /// Share for this VM's own calls.
-    own: forward::Part,
+    own: budget::Share,
     /// Share for this VM's own and other VMs' calls. Only large VMs have one.
-    lent: Option<forward::Part>,
+    lent: Option<budget::Share>,
     /// Whether this VM may ask relays to charge extra calls to their budgets.
     may_ask: bool,
 }
@@ -50,7 +51,7 @@
     /// Returns the shares of one of `vms` VMs, `large` of which relay calls for
     /// the others.
     pub fn new(rank: Rank, vms: usize, large: usize) -> Self {
-        let even = forward::Part::of(vms);
+        let even = budget::Share::of(vms);
         if rank == Rank::Equal {
             return Self {
                 own: even,
@@ -58,11 +59,11 @@
                 may_ask: false,
             };
         }
-        let own = forward::Part {
+        let own = budget::Share {
             fixed: even.fixed * OWN_SHARE,
             share: OWN_SHARE,
         };
-        let lent = forward::Part {
+        let lent = budget::Share {
             fixed: (1.0 - OWN_SHARE) / large.max(1) as f64,
             share: 1.0 - OWN_SHARE,
         };
@@ -143,10 +144,10 @@
         policy: &forward::Policy,
         now: clock::Moment,
     ) -> Option<Payer> {
-        let part = self.shares.own;
+        let share = self.shares.own;
         let own = self
             .own
-            .of(service, |budget| budget.take_extra(policy, part, now));
+            .of(service, |budget| budget.take_extra(policy, share, now));
         if own || self.lend(service, policy, now) {
             return Some(Payer::Own);
         }
@@ -179,7 +180,7 @@
         policy: &forward::Policy,
         now: clock::Moment,
     ) -> bool {
-        let Some(part) = self.shares.lent else {
+        let Some(share) = self.shares.lent else {
             return false;
         };
         let started = clock::Moment::default();
@@ -187,7 +188,7 @@
             return false;
         }
         self.shared
-            .of(service, |budget| budget.take_extra(policy, part, now))
+            .of(service, |budget| budget.take_extra(policy, share, now))
     }
 }
 
--- a/crates/geraniumgauge/src/forward/budget.rs
+++ b/crates/geraniumgauge/src/forward/budget.rs
@@ -18,7 +18,7 @@
 
 /// Share of the fleet's allowance that one budget may spend.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct Share {
     /// Share of the calls that are allowed at any load.
     pub fixed: f64,
     /// Share of the calls that are allowed in proportion to the requests
@@ -26,7 +26,7 @@
     pub share: f64,
 }
 
-impl Part {
+impl Share {
     /// Returns the share of one of `vms` VMs among which the allowance is
     /// divided evenly.
     pub fn of(vms: usize) -> Self {
@@ -75,15 +75,15 @@
         self.requests[self.index(0)] += 1;
     }
 
-    /// Counts an extra call if it fits into `part` of the allowance. Returns
+    /// Counts an extra call if it fits into `share` of the allowance. Returns
     /// whether it does.
     pub fn take_extra(
         &mut self,
         policy: &forward::Policy,
-        part: forward::Part,
+        share: Share,
         now: clock::Moment,
     ) -> bool {
-        if !self.has_capacity(policy, part, now) {
+        if !self.has_capacity(policy, share, now) {
             return false;
         }
         self.extras[self.index(0)] += 1;
@@ -103,15 +103,10 @@
     }
 
     /// Returns whether an extra call may be made now.
-    fn has_capacity(
-        &mut self,
-        policy: &forward::Policy,
-        part: forward::Part,
-        now: clock::Moment,
-    ) -> bool {
+    fn has_capacity(&mut self, policy: &forward::Policy, share: Share, now: clock::Moment) -> bool {
         self.advance(policy.extra_window, now);
-        let fixed = policy.extra_calls * part.fixed;
-        let share = policy.extra_share.get() * part.share;
+        let fixed = policy.extra_calls * share.fixed;
+        let ratio = policy.extra_share.get() * share.share;
         let mut extras = 1;
         let mut within = 0;
         let mut before: u32 = (1..WINDOW_BUCKETS)
@@ -124,7 +119,7 @@
         for age in 0..=WINDOW_BUCKETS {
             extras += self.extras[self.index(age)];
             let both = f64::from(within + before);
-            let allowed = share * both / 2.0 + fixed;
+            let allowed = ratio * both / 2.0 + fixed;
             if f64::from(extras) > USABLE_SHARE * allowed {
                 return false;
             }
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -7,7 +7,7 @@
 //! the budgets for extra calls. This module performs no I/O.
 
 mod allowance;
-mod budget;
+pub mod budget;
 mod fleet;
 mod health;
 mod job;
@@ -23,7 +23,6 @@
 pub use allowance::Rank;
 pub use allowance::Shares;
 pub use budget::Budget;
-pub use budget::Part;
 pub use fleet::Fleet;
 pub use fleet::Made;
 pub use fleet::Own;
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -5,6 +5,7 @@
 
 use super::world;
 use crate::forward;
+use crate::forward::budget;
 use crate::ids;
 use crate::rate;
 use crate::time as clock;
@@ -186,15 +187,15 @@
 fn a_refunded_call_can_be_made_again_once() {
     let policy = policy();
     let mut budget = forward::Budget::default();
-    let part = forward::Part::of(4);
+    let share = budget::Share::of(4);
     let now = clock::Moment::from_millis(60_000);
-    while budget.take_extra(&policy, part, now) {}
+    while budget.take_extra(&policy, share, now) {}
     budget.refund(&policy, clock::Moment::from_millis(10_000), now);
-    assert!(!budget.take_extra(&policy, part, now));
+    assert!(!budget.take_extra(&policy, share, now));
     let later = now + time::Duration::from_millis(900);
     budget.refund(&policy, now, later);
-    assert!(budget.take_extra(&policy, part, later));
-    assert!(!budget.take_extra(&policy, part, later));
+    assert!(budget.take_extra(&policy, share, later));
+    assert!(!budget.take_extra(&policy, share, later));
 }
 
 /// All VMs of a fleet are equal. No VM relays calls for others, so each holds
--- a/crates/geraniumgauge/src/forward/tests/budget.rs
+++ b/crates/geraniumgauge/src/forward/tests/budget.rs
@@ -1,6 +1,7 @@
 use std::time;
 
 use crate::forward;
+use crate::forward::budget;
 use crate::rate;
 use crate::time as clock;
 
@@ -29,7 +30,7 @@
                 budget.count_request(&policy, now);
                 events.push((now, false));
             }
-            while budget.take_extra(&policy, forward::Part::of(VMS), now) {
+            while budget.take_extra(&policy, budget::Share::of(VMS), now) {
                 events.push((now, true));
             }
             now = now + time::Duration::from_millis(u64::from(delay_ms % 3000));
@@ -62,7 +63,7 @@
             budget.count_request(&policy, start);
             budget.count_request(&policy, later);
         }
-        while budget.take_extra(&policy, forward::Part::of(VMS), later) {
+        while budget.take_extra(&policy, budget::Share::of(VMS), later) {
             extras += 1;
         }
     }
@@ -83,7 +84,7 @@
     for millis in 0..60_000 {
         let now = clock::Moment::from_millis(millis);
         budget.count_request(&policy, now);
-        extras += u32::from(budget.take_extra(&policy, forward::Part::of(VMS), now));
+        extras += u32::from(budget.take_extra(&policy, budget::Share::of(VMS), now));
     }
     assert!(
         (8_000..=12_000).contains(&extras),
