--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -146,8 +146,8 @@
     }
 
     /// What is learned by of its upstream.
-    pub(super) fn made(&self) -> forward::Made {
-        forward::Made {
+    pub(super) fn made(&self) -> forward::StartedCall {
+        forward::StartedCall {
             upstream: self.upstream,
             began: self.began,
             usual: self.usual,
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -25,7 +25,7 @@
 
 /// A call that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Made {
+pub struct StartedCall {
     /// The upstream that was called.
     pub upstream: registry::Handle,
     /// When the call began.
@@ -240,7 +240,7 @@
     /// upstream.
     pub fn learn(
         &mut self,
-        made: &Made,
+        made: &StartedCall,
         verdict: &forward::Verdict,
         took: time::Duration,
         now: clock::Moment,
@@ -283,7 +283,7 @@
 
     /// Records the end of an abandoned call: `replied` is whether a reply came
     /// before the call was given up.
-    pub fn orphan_ended(&mut self, orphan: &Made, replied: bool, now: clock::Moment) {
+    pub fn orphan_ended(&mut self, orphan: &StartedCall, replied: bool, now: clock::Moment) {
         let ratio = forward::ratio(now.since(orphan.began), orphan.usual);
         let health = self.health(orphan.upstream);
         health.end();
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -194,7 +194,7 @@
         let Some(call) = part.remove_call(end.call) else {
             return;
         };
-        let made = forward::Made {
+        let made = forward::StartedCall {
             upstream: call.upstream,
             began: call.began,
             usual: self.latency.median(),
