--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -150,7 +150,7 @@
         forward::StartedCall {
             upstream: self.upstream,
             began: self.began,
-            usual: self.usual,
+            typical: self.usual,
         }
     }
 }
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -31,7 +31,7 @@
     /// When the call began.
     pub began: clock::Moment,
     /// The typical time of the route's calls.
-    pub usual: time::Duration,
+    pub typical: time::Duration,
 }
 
 /// The known upstreams, their health, and the budgets for extra calls.
@@ -249,7 +249,7 @@
         health.end();
         match verdict {
             forward::Verdict::Good(_) => {
-                health.replied(forward::ratio(took, made.usual), made.began, now);
+                health.replied(forward::ratio(took, made.typical), made.began, now);
             }
             forward::Verdict::Failure(_) | forward::Verdict::Lost => health.failed(now),
             forward::Verdict::NotRun => health.mark_full(forward::NO_CAPACITY_DELAY, now),
@@ -284,7 +284,7 @@
     /// Records the end of an abandoned call: `replied` is whether a reply came
     /// before the call was given up.
     pub fn orphan_ended(&mut self, orphan: &StartedCall, replied: bool, now: clock::Moment) {
-        let ratio = forward::ratio(now.since(orphan.began), orphan.usual);
+        let ratio = forward::ratio(now.since(orphan.began), orphan.typical);
         let health = self.health(orphan.upstream);
         health.end();
         if replied {
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -197,7 +197,7 @@
         let made = forward::StartedCall {
             upstream: call.upstream,
             began: call.began,
-            usual: self.latency.median(),
+            typical: self.latency.median(),
         };
         fleet.learn(&made, &end.verdict, end.took, now);
         match end.verdict {
