--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -18,7 +18,7 @@
 
 /// Properties of this VM that affect the choice of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalVm {
     /// The data centre that this VM runs in.
     pub data_centre: ids::DataCentre,
 }
@@ -46,7 +46,7 @@
     /// Estimated delay between a timer's due time and the moment this process
     /// acts on it.
     pub lag: forward::Lag,
-    own: Own,
+    own: LocalVm,
     health: Vec<forward::Health>,
     allowance: forward::Allowance,
     latencies: collections::HashMap<String, rc::Rc<forward::Latency>>,
@@ -56,7 +56,7 @@
 
 impl Fleet {
     /// Creates an empty fleet as seen from the VM `own`.
-    pub fn new(own: Own, policy: forward::Policy) -> Self {
+    pub fn new(own: LocalVm, policy: forward::Policy) -> Self {
         Self {
             registry: registry::Registry::default(),
             policy,
@@ -72,7 +72,7 @@
     }
 
     /// Returns the properties of this VM.
-    pub fn own(&self) -> &Own {
+    pub fn own(&self) -> &LocalVm {
         &self.own
     }
 
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -24,7 +24,7 @@
 pub use allowance::Shares;
 pub use budget::Budget;
 pub use fleet::Fleet;
-pub use fleet::Own;
+pub use fleet::LocalVm;
 pub use fleet::StartedCall;
 pub use health::Advice;
 pub use health::Health;
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -28,7 +28,7 @@
     /// Creates `services` services with `replicas` upstreams each and a budget
     /// that no test uses up.
     pub(super) fn new(services: usize, replicas: usize) -> Self {
-        let own = forward::Own {
+        let own = forward::LocalVm {
             data_centre: "a".parse().expect("a name"),
         };
         let policy = forward::Policy {
