--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -260,7 +260,8 @@
             }
             match call.owner {
                 call::Owner::Ask { ask, remote } => {
-                    self.fleet.learn(&call.made(), &ended.verdict, took, now);
+                    self.fleet
+                        .record_end(&call.made(), &ended.verdict, took, now);
                     self.ask_ended(ask, remote, ended.verdict, took, now);
                 }
                 call::Owner::Job { job, part } => {
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -238,7 +238,7 @@
 
     /// Records the result of a call that took `took` in the health of its
     /// upstream.
-    pub fn learn(
+    pub fn record_end(
         &mut self,
         made: &StartedCall,
         verdict: &forward::Verdict,
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -199,7 +199,7 @@
             began: call.began,
             typical: self.latency.median(),
         };
-        fleet.learn(&made, &end.verdict, end.took, now);
+        fleet.record_end(&made, &end.verdict, end.took, now);
         match end.verdict {
             forward::Verdict::Good(reply) => {
                 self.latency.add(end.took);
