--- a/crates/geraniumgauge/src/edge/state/orphans.rs
+++ b/crates/geraniumgauge/src/edge/state/orphans.rs
@@ -26,7 +26,7 @@
             verdict,
             forward::Verdict::Good(_) | forward::Verdict::Failure(_)
         );
-        self.fleet.orphan_ended(&call.made(), replied, now);
+        self.fleet.record_abandoned(&call.made(), replied, now);
     }
 
     /// Nobody waits for a call any more.
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -283,14 +283,14 @@
 
     /// Records the end of an abandoned call: `replied` is whether a reply came
     /// before the call was given up.
-    pub fn orphan_ended(&mut self, orphan: &StartedCall, replied: bool, now: clock::Moment) {
-        let ratio = forward::ratio(now.since(orphan.began), orphan.typical);
-        let health = self.health(orphan.upstream);
+    pub fn record_abandoned(&mut self, call: &StartedCall, replied: bool, now: clock::Moment) {
+        let ratio = forward::ratio(now.since(call.began), call.typical);
+        let health = self.health(call.upstream);
         health.end();
         if replied {
-            health.replied(ratio, orphan.began, now);
+            health.replied(ratio, call.began, now);
         } else {
-            health.abandoned(ratio, orphan.began, now);
+            health.abandoned(ratio, call.began, now);
         }
     }
 
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -267,7 +267,7 @@
     }
 
     /// Abandons all calls in progress. Report their ends to
-    /// [`forward::Fleet::orphan_ended`] from then on.
+    /// [`forward::Fleet::record_abandoned`] from then on.
     fn abandon(&mut self, actions: &mut Vec<forward::Action>) {
         for part in &mut self.parts {
             let calls = part.calls.drain(..);
