--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -183,7 +183,7 @@
     /// to; whether it may be made.
     fn is_paid(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
         if terms.first {
-            self.fleet.first_of_other(upstream, now);
+            self.fleet.count_relayed_request(upstream, now);
         }
         !terms.unpaid || self.fleet.lend(upstream, now)
     }
--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -126,7 +126,7 @@
     }
 
     /// Counts a request whose first call this VM makes for another VM.
-    pub fn first_of_other(
+    pub fn count_relayed_request(
         &mut self,
         service: &ids::Service,
         policy: &forward::Policy,
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -144,9 +144,10 @@
     }
 
     /// Counts a request of another VM whose first call this VM makes.
-    pub fn first_of_other(&mut self, upstream: registry::Handle, now: clock::Moment) {
+    pub fn count_relayed_request(&mut self, upstream: registry::Handle, now: clock::Moment) {
         let service = &self.registry.get(upstream).entry.service;
-        self.allowance.first_of_other(service, &self.policy, now);
+        self.allowance
+            .count_relayed_request(service, &self.policy, now);
     }
 
     /// Charges another VM's extra call to this VM's shared budget. Returns
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -84,7 +84,9 @@
         if let Some(relay) = relay {
             let relay = &mut self.vms[SMALL + relay % LARGE];
             let at = relay.clock(now);
-            relay.allowance.first_of_other(&self.service, &policy, at);
+            relay
+                .allowance
+                .count_relayed_request(&self.service, &policy, at);
         }
         self.requests.push(now);
     }
