--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -185,7 +185,7 @@
         if terms.first {
             self.fleet.count_relayed_request(upstream, now);
         }
-        !terms.unpaid || self.fleet.lend(upstream, now)
+        !terms.unpaid || self.fleet.take_extra_for_other(upstream, now)
     }
 
     /// Another VM doesn't wait for these calls any more.
--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -148,7 +148,7 @@
         let own = self
             .own
             .of(service, |budget| budget.take_extra(policy, share, now));
-        if own || self.lend(service, policy, now) {
+        if own || self.take_extra_for_other(service, policy, now) {
             return Some(Payer::Own);
         }
         Some(Payer::Relay).filter(|_| self.shares.may_ask)
@@ -174,7 +174,7 @@
     ///
     /// Returns `false` in the first window after a start: a VM that spent its
     /// share, crashed and restarted at once would spend it again.
-    pub fn lend(
+    pub fn take_extra_for_other(
         &mut self,
         service: &ids::Service,
         policy: &forward::Policy,
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -152,9 +152,10 @@
 
     /// Charges another VM's extra call to this VM's shared budget. Returns
     /// whether the budget allows the call.
-    pub fn lend(&mut self, upstream: registry::Handle, now: clock::Moment) -> bool {
+    pub fn take_extra_for_other(&mut self, upstream: registry::Handle, now: clock::Moment) -> bool {
         let service = &self.registry.get(upstream).entry.service;
-        self.allowance.lend(service, &self.policy, now)
+        self.allowance
+            .take_extra_for_other(service, &self.policy, now)
     }
 
     /// Returns whether any upstream of `service` can be tried.
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -103,7 +103,9 @@
             Some(forward::Payer::Relay) => {
                 let relay = &mut self.vms[SMALL + relay % LARGE];
                 let at = relay.clock(now);
-                relay.allowance.lend(&self.service, &policy, at)
+                relay
+                    .allowance
+                    .take_extra_for_other(&self.service, &policy, at)
             }
             None => false,
         };
