--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -75,7 +75,7 @@
                 data_centre: upstream.data_centre.clone(),
                 first: send.why == forward::Why::First,
                 payer: send.payer,
-                insist: send.insist,
+                insist: send.mandatory,
             };
             let paid = send.payer == forward::Payer::Own;
             if !place.first && paid && (!crowded || self.has_idle(send.upstream)) {
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -86,7 +86,7 @@
             upstream,
             why,
             payer,
-            insist: part.advised,
+            mandatory: part.advised,
         }));
     }
 
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -149,7 +149,7 @@
     /// The VM whose budget is charged if this is an extra call.
     pub payer: Payer,
     /// Set when a relay must make the call even if it would advise against it.
-    pub insist: bool,
+    pub mandatory: bool,
 }
 
 /// The end of a call.
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -36,7 +36,7 @@
     let (first, moved) = (world.sends[0], world.sends[2]);
     assert_eq!((moved.part, moved.why), (0, forward::Why::First));
     assert_ne!(moved.upstream, first.upstream);
-    assert!(moved.insist, "a part is moved only once");
+    assert!(moved.mandatory, "a part is moved only once");
     world.end(&mut job, 1, world::good(b'a'));
     world.end(&mut job, 2, world::good(b'b'));
     assert!(matches!(
@@ -63,7 +63,7 @@
     world.end(&mut job, 1, forward::Verdict::Advised(SLOW));
     let moved = world.sends[2];
     assert_eq!(moved.why, forward::Why::Hedge);
-    assert!(moved.insist);
+    assert!(moved.mandatory);
     assert_ne!(moved.upstream, world.sends[0].upstream);
     assert_ne!(moved.upstream, world.sends[1].upstream);
 }
@@ -77,7 +77,7 @@
     world.end(&mut job, 0, forward::Verdict::Advised(SLOW));
     assert_eq!(world.sends.len(), 2);
     assert_eq!(world.sends[0].upstream, world.sends[1].upstream);
-    assert!(world.sends[1].insist);
+    assert!(world.sends[1].mandatory);
 }
 
 /// An upstream can't be connected to, so no byte of a call was sent, and its
