--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -177,7 +177,9 @@
         }
         self.relays.asked(address, now);
         running.relayed.extend(sends.iter().map(|send| send.call));
-        running.job.handed(&sends, merge + self.relays.lateness());
+        running
+            .job
+            .delegated(&sends, merge + self.relays.lateness());
         for send in sends {
             self.count.call(send.why);
             self.tell_extra(&message, &send, now);
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -202,7 +202,7 @@
     /// which of them have no reply. Until then a part isn't late: its reply may
     /// be in a frame that is on its way, and hedging by this VM's clock alone
     /// would hedge all parts of a frame that is a few milliseconds late.
-    pub fn handed(&mut self, calls: &[forward::Send], report_after: time::Duration) {
+    pub fn delegated(&mut self, calls: &[forward::Send], report_after: time::Duration) {
         let latest = self.entry.route.aim.mul_f64(job::MAX_LATE_SHARE);
         let wait = report_after.min(latest).max(self.hedge_after);
         for send in calls {
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -16,7 +16,7 @@
     let mut world = world::World::new(SHARDS, 2);
     let mut job = world.start(world::shards(SHARDS, 50));
     let overdue = time::Duration::from_millis(overdue_ms);
-    job.handed(&world.sends.clone(), overdue);
+    job.delegated(&world.sends.clone(), overdue);
     (world, job)
 }
 
