--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -93,7 +93,7 @@
         let mut actions = Vec::new();
         running
             .job
-            .still_out(calls, &mut self.fleet, now, &mut actions);
+            .report_unanswered(calls, &mut self.fleet, now, &mut actions);
         // Its task waits for a later point in time.
         running.done.notify_one();
         self.act(id, actions, now);
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -222,7 +222,7 @@
 
     /// Handles a relay's report that these calls have no reply. Their parts are
     /// hedged at their regular hedge times.
-    pub fn still_out(
+    pub fn report_unanswered(
         &mut self,
         calls: &[ids::Attempt],
         fleet: &mut forward::Fleet,
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -51,7 +51,7 @@
     for send in 1..SHARDS {
         world.end(&mut job, send, world::good(b'g'));
     }
-    world.still_out(&mut job, 0);
+    world.report_unanswered(&mut job, 0);
     assert_eq!(extras(&world), [], "its upstream isn't late yet");
     world.at(&mut job, HEDGE_MS);
     let extras = extras(&world);
@@ -122,7 +122,7 @@
         }
         let reported: Vec<usize> = (0..SHARDS).filter(|part| is_unanswered(*part)).collect();
         for part in &reported {
-            world.still_out(&mut job, *part);
+            world.report_unanswered(&mut job, *part);
         }
         let at_once = world.sends.len() - before;
         early |= frame_ms < HEDGE_MS && at_once > 0;
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -93,10 +93,10 @@
     }
 
     /// A relay reports that call number `send` has no reply.
-    pub(super) fn still_out(&mut self, job: &mut forward::Job, send: usize) {
+    pub(super) fn report_unanswered(&mut self, job: &mut forward::Job, send: usize) {
         let calls = [self.sends[send].call];
         let mut actions = Vec::new();
-        job.still_out(&calls, &mut self.fleet, self.now, &mut actions);
+        job.report_unanswered(&calls, &mut self.fleet, self.now, &mut actions);
         self.take(actions);
     }
 
