--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -135,7 +135,7 @@
             return false;
         };
         if let Some(running) = self.running.get_mut(&job) {
-            running.job.replace(part, reply.clone());
+            running.job.replace_reply(part, reply.clone());
         }
         let upstream = call.upstream;
         self.calls.remove(&id);
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -309,7 +309,7 @@
     }
 
     /// Replaces the reply of a part that has one.
-    pub fn replace(&mut self, index: usize, reply: h1::Reply) {
+    pub fn replace_reply(&mut self, index: usize, reply: h1::Reply) {
         let part = self.parts.get_mut(index);
         if let Some(part) = part.filter(|part| part.is_done()) {
             part.state = part::State::Done(reply);
