--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -157,7 +157,7 @@
             has_body: message.has_body,
             wait_us: clock::micros(now.until(message.deadline)),
             merge_us: clock::micros(merge),
-            top: u32::try_from(running.job.top()).unwrap_or(u32::MAX),
+            top: u32::try_from(running.job.top_k()).unwrap_or(u32::MAX),
             calls: sends
                 .iter()
                 .map(|send| {
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -301,7 +301,7 @@
     }
 
     /// Returns the maximum number of records in an answer.
-    pub fn top(&self) -> usize {
+    pub fn top_k(&self) -> usize {
         match &self.entry.route.target {
             route::Target::One(_) => 0,
             route::Target::Shards(shards) => shards.top,
