--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -311,7 +311,7 @@
         self.count.call(send.why);
         let message = running.message.clone();
         let owner = call::Owner::of(job, &send);
-        let usual = running.job.times().median();
+        let usual = running.job.latency().median();
         self.tell_extra(&message, &send, now);
         let call = call::Call::new(owner, send.upstream, message, usual, now);
         self.calls.insert(send.call, call);
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -114,7 +114,7 @@
             return;
         };
         let message = running.message.clone();
-        let usual = running.job.times().median();
+        let usual = running.job.latency().median();
         for send in sends {
             let owner = call::Owner::of(job, &send);
             let call = call::Call::new(owner, send.upstream, message.clone(), usual, now);
@@ -136,7 +136,7 @@
             return Vec::new();
         };
         let message = running.message.clone();
-        let usual = running.job.times().median();
+        let usual = running.job.latency().median();
         let merge = running
             .job
             .hedge_after()
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -317,7 +317,7 @@
     }
 
     /// Returns the latency estimate of the route's calls.
-    pub fn times(&self) -> &rc::Rc<forward::Latency> {
+    pub fn latency(&self) -> &rc::Rc<forward::Latency> {
         &self.latency
     }
 
