--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -315,7 +315,7 @@
 
 /// Why parts have no reply, as `cause=count` in a row.
 fn lacks(job: &forward::Job) -> String {
-    let lacks = job.lacks().into_iter();
+    let lacks = job.missing_reasons().into_iter();
     let lacks: Vec<String> = lacks.map(|(why, count)| format!("{why}={count}")).collect();
     lacks.join(" ")
 }
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -282,7 +282,7 @@
     }
 
     /// Returns the number of parts without a reply by reason.
-    pub fn lacks(&self) -> collections::BTreeMap<forward::MissingReason, usize> {
+    pub fn missing_reasons(&self) -> collections::BTreeMap<forward::MissingReason, usize> {
         let mut counts = collections::BTreeMap::new();
         for reason in self.parts.iter().filter_map(part::Part::missing_reason) {
             *counts.entry(reason).or_default() += 1;
