--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -76,7 +76,7 @@
         };
         let due = began + time::Duration::from_micros(told.due_us);
         let late = now.since(due);
-        self.relays.came_late(late);
+        self.relays.record_lateness(late);
         self.count.frame_late(late);
     }
 
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -198,7 +198,7 @@
     }
 
     /// Records by how much a frame missed its due time.
-    pub fn came_late(&mut self, late: time::Duration) {
+    pub fn record_lateness(&mut self, late: time::Duration) {
         self.lateness.add(late);
     }
 
