--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -19,7 +19,7 @@
         told: frame::Told,
         now: clock::Moment,
     ) {
-        self.relays.told(address);
+        self.relays.answered(address);
         self.take_lateness(&told, now);
         let out: Vec<ids::Attempt> = told.out.iter().copied().map(ids::Attempt).collect();
         let good = told.ends.iter().filter(|end| end.how() == frame::How::Good);
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -209,7 +209,7 @@
     }
 
     /// Records that a VM answered.
-    pub fn told(&mut self, address: net::SocketAddr) {
+    pub fn answered(&mut self, address: net::SocketAddr) {
         if let Some(peer) = self.peer_mut(address) {
             peer.waiting_since = None;
             peer.silent = false;
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -79,7 +79,7 @@
     relays.asked(address(2), at(0));
     assert!(relays.choose(&other, 30, at(50)).is_some());
     assert_eq!(relays.choose(&other, 30, at(100)), None);
-    relays.told(address(2));
+    relays.answered(address(2));
     assert!(relays.choose(&other, 30, at(200)).is_some());
     relays.lost(address(2));
     assert_eq!(relays.choose(&other, 30, at(200)), None);
@@ -137,7 +137,7 @@
     }
     relays.silent(address(2));
     assert!(relays.choose(&data_centre, 90, at(0)).is_some());
-    relays.told(address(1));
+    relays.answered(address(1));
     for _ in 0..4 {
         assert_eq!(relays.choose(&data_centre, 90, at(0)), Some(address(1)));
     }
