--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -53,7 +53,7 @@
                 frame::How::Unpaid => forward::Verdict::Unpaid,
                 frame::How::Advised => forward::Verdict::Advised(end.advice()),
                 frame::How::Unknown => {
-                    self.relays.missed(address, now);
+                    self.relays.lacked_upstream(address, now);
                     self.call_directly(id, now);
                     continue;
                 }
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -300,7 +300,7 @@
     }
 
     /// Records that a VM didn't know an upstream that it was asked to call.
-    pub fn missed(&mut self, address: net::SocketAddr, now: clock::Moment) {
+    pub fn lacked_upstream(&mut self, address: net::SocketAddr, now: clock::Moment) {
         if let Some(peer) = self.peer_mut(address) {
             peer.send_addresses_until = now + SEND_ADDRESSES_WINDOW;
         }
