--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -148,7 +148,7 @@
         } else {
             time::Duration::ZERO
         };
-        let with_address = self.relays.lacks(address, now);
+        let with_address = self.relays.needs_addresses(address, now);
         let registry = &self.fleet.registry;
         let ask = frame::Ask {
             request: message.id.clone(),
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -308,7 +308,7 @@
 
     /// Returns whether upstream addresses must be sent to a VM because it
     /// recently didn't know an upstream.
-    pub fn lacks(&mut self, address: net::SocketAddr, now: clock::Moment) -> bool {
+    pub fn needs_addresses(&mut self, address: net::SocketAddr, now: clock::Moment) -> bool {
         self.peer_mut(address)
             .is_some_and(|peer| now < peer.send_addresses_until)
     }
