--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -66,7 +66,7 @@
             return sends;
         };
         let (_, all) = running.job.progress();
-        let crowded = self.relays.crowded(all);
+        let crowded = self.relays.exceeds_own_capacity(all);
         let mut own = Vec::new();
         let mut places: Vec<(Place, Vec<forward::Send>)> = Vec::new();
         for send in sends {
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -146,7 +146,7 @@
         all: usize,
         now: clock::Moment,
     ) -> Option<net::SocketAddr> {
-        if *data_centre == self.own && !self.crowded(all) {
+        if *data_centre == self.own && !self.exceeds_own_capacity(all) {
             return None;
         }
         self.next = self.next.wrapping_add(1);
@@ -314,7 +314,7 @@
     }
 
     /// Returns whether this VM would take too long to make a search's calls.
-    pub fn crowded(&self, calls: usize) -> bool {
+    pub fn exceeds_own_capacity(&self, calls: usize) -> bool {
         CALL_PROCESSOR_TIME.mul_f64(calls as f64 / self.cores.max(0.01)) > MAX_OWN_CALLS_TIME
     }
 
