--- a/crates/geraniumgauge/src/edge/state/told.rs
+++ b/crates/geraniumgauge/src/edge/state/told.rs
@@ -103,7 +103,7 @@
     /// The VM that was asked to make a call hasn't told of it in time.
     pub(super) fn helper_silent(&mut self, call: ids::Attempt) {
         if let Some(address) = self.calls.get(&call).and_then(|call| call.via) {
-            self.relays.silent(address);
+            self.relays.mark_silent(address);
         }
     }
 
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -191,7 +191,7 @@
     /// Records that a frame of a VM is overdue. Other relays are preferred
     /// until it answers, since each search that asks a frozen VM would wait for
     /// as long.
-    pub fn silent(&mut self, address: net::SocketAddr) {
+    pub fn mark_silent(&mut self, address: net::SocketAddr) {
         if let Some(peer) = self.peer_mut(address) {
             peer.silent = true;
         }
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -131,11 +131,11 @@
     let fleet = vec![vm(1, "b", 0.5), vm(2, "b", 0.5)];
     let mut relays = relays(0.12, fleet);
     let data_centre = "b".parse().expect("a name");
-    relays.silent(address(1));
+    relays.mark_silent(address(1));
     for _ in 0..4 {
         assert_eq!(relays.choose(&data_centre, 90, at(0)), Some(address(2)));
     }
-    relays.silent(address(2));
+    relays.mark_silent(address(2));
     assert!(relays.choose(&data_centre, 90, at(0)).is_some());
     relays.answered(address(1));
     for _ in 0..4 {
