--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -169,7 +169,7 @@
             if first {
                 state.warm_all();
             }
-            let wanted = state.relays.wanted();
+            let wanted = state.relays.relay_addresses();
             self.carry_out(state);
             wanted
         };
@@ -181,7 +181,11 @@
     }
 
     pub(super) fn wants_peer(&self, address: net::SocketAddr) -> bool {
-        self.state.borrow().relays.wanted().contains(&address)
+        self.state
+            .borrow()
+            .relays
+            .relay_addresses()
+            .contains(&address)
     }
 
     pub(super) fn forget_peer(&self, address: net::SocketAddr) {
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -133,9 +133,9 @@
 
     /// Returns the addresses of the VMs that may relay calls for this one. The
     /// VM keeps a connection to each of them.
-    pub fn wanted(&self) -> Vec<net::SocketAddr> {
-        let wanted = self.peers.iter().filter(|peer| peer.eligible);
-        wanted.map(|peer| peer.relay.address).collect()
+    pub fn relay_addresses(&self) -> Vec<net::SocketAddr> {
+        let eligible = self.peers.iter().filter(|peer| peer.eligible);
+        eligible.map(|peer| peer.relay.address).collect()
     }
 
     /// Returns the relay for calls to upstreams of `data_centre`, for a search
