--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -71,7 +71,7 @@
             .and_then(|table| table.service(&entry.service));
         let limit = known.map_or(1, |service| service.max_connections);
         let vms = self.fleet.vms();
-        pool::Pool::allowed(self.relays.connections(&entry.data_centre, limit, vms))
+        pool::Pool::allowed(self.relays.max_connections(&entry.data_centre, limit, vms))
     }
 
     /// The idle connection used last, unless the upstream may be closing it.
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -221,7 +221,7 @@
     /// the upstream's data centre make most of the calls to it, their own and
     /// those of VMs elsewhere. Among them, the larger VMs make the calls of the
     /// smaller ones.
-    pub fn connections(&self, data_centre: &ids::DataCentre, limit: u32, vms: usize) -> f64 {
+    pub fn max_connections(&self, data_centre: &ids::DataCentre, limit: u32, vms: usize) -> f64 {
         let limit = f64::from(limit);
         let knows_few = (self.peers.len() + 1) * MAX_VMS_PER_KNOWN < vms;
         if knows_few || self.has_larger_local() {
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -115,7 +115,7 @@
                 let mut relays = forward::Relays::new(own.data_centre.clone(), own.cores);
                 let others = all.iter().filter(|other| other.address != own.address);
                 relays.set(others.cloned().collect());
-                relays.connections(&upstream, limit, all.len())
+                relays.max_connections(&upstream, limit, all.len())
             })
             .sum();
         assert!(sum <= f64::from(limit), "{sum} of {limit}");
@@ -166,6 +166,6 @@
 fn a_vm_that_knows_few_others_opens_almost_no_connections() {
     let relays = relays(0.5, vec![vm(1, "a", 0.125)]);
     let near = "a".parse().expect("a name");
-    assert!(relays.connections(&near, 175, 2) > 50.0);
-    assert!(relays.connections(&near, 175, 10_000) < 0.01);
+    assert!(relays.max_connections(&near, 175, 2) > 50.0);
+    assert!(relays.max_connections(&near, 175, 10_000) < 0.01);
 }
