--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -267,7 +267,7 @@
         let due = ask.merge_after;
         for call in ask.pending.values() {
             if let Some(call) = self.calls.get(call) {
-                self.fleet.health(call.upstream).late();
+                self.fleet.health(call.upstream).mark_late();
             }
         }
         self.tell_merged(id, out, due);
--- a/crates/geraniumgauge/src/forward/health.rs
+++ b/crates/geraniumgauge/src/forward/health.rs
@@ -129,7 +129,7 @@
     }
 
     /// Records that a call is late and has no reply yet.
-    pub fn late(&mut self) {
+    pub fn mark_late(&mut self) {
         self.late = true;
     }
 
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -186,7 +186,7 @@
             let mut why = forward::Why::Hedge;
             for call in &part.calls {
                 match call.progress {
-                    part::Progress::Pending => fleet.health(call.upstream).late(),
+                    part::Progress::Pending => fleet.health(call.upstream).mark_late(),
                     // The upstream may have replied in time.
                     part::Progress::Delegated => {
                         why = forward::Why::Silent;
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -101,7 +101,7 @@
     let mut world = world::World::new(1, 2);
     let upstream = world.fleet.registry.of(&world::name(0))[0];
     assert_eq!(world.fleet.advice(upstream, world.now), None);
-    world.fleet.health(upstream).late();
+    world.fleet.health(upstream).mark_late();
     assert!(world.fleet.advice(upstream, world.now).is_some());
     let now = world.now;
     world.fleet.health(upstream).replied(1.0, now, now);
--- a/crates/geraniumgauge/src/forward/tests/health.rs
+++ b/crates/geraniumgauge/src/forward/tests/health.rs
@@ -14,7 +14,7 @@
 #[test]
 fn one_pause_does_not_make_an_upstream_slow() {
     let mut health = forward::Health::default();
-    health.late();
+    health.mark_late();
     assert!(health.is_late());
     for began in [1000, 1010, 1040] {
         health.replied(10.0, at(began), at(1120));
