--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -298,7 +298,7 @@
         if good.is_empty() && out.is_empty() {
             return;
         }
-        let records = forward::top(good.iter().map(|(_, body)| body.as_ref()), top);
+        let records = forward::top_records(good.iter().map(|(_, body)| body.as_ref()), top);
         let told = frame::Told {
             ends: good.into_iter().map(|(end, _)| end).collect(),
             records: records.into(),
--- a/crates/geraniumgauge/src/forward/merge.rs
+++ b/crates/geraniumgauge/src/forward/merge.rs
@@ -6,7 +6,7 @@
 
 /// Returns the `count` greatest records of all `bodies` in descending order.
 /// Records are compared byte by byte, and equal records all count.
-pub fn top<'b>(bodies: impl Iterator<Item = &'b [u8]>, count: usize) -> Vec<u8> {
+pub fn top_records<'b>(bodies: impl Iterator<Item = &'b [u8]>, count: usize) -> Vec<u8> {
     let mut records: Vec<u128> = Vec::new();
     for body in bodies {
         let (whole, _) = body.as_chunks::<RECORD_BYTES>();
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -33,7 +33,7 @@
 pub use lag::Lag;
 pub use latency::Latency;
 pub use merge::RECORD_BYTES;
-pub use merge::top;
+pub use merge::top_records;
 pub use part::MissingReason;
 pub use relay::Relay;
 pub use relay::Relays;
