--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -257,7 +257,7 @@
             request = id, route = job.route().name.as_str(), version:% = table.version(),
             status = answer.status, outcome = answer.outcome, reason = reason,
             parts_done = done, parts = all, upstreams = upstreams, missing = missing,
-            lacks = lacks(job), aim_ms = clock::millis(job.route().aim),
+            lacks = lacks(job), aim_ms = clock::millis(job.route().latency_target),
             took_ms = clock::millis(took);
             "answered"
         );
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -91,10 +91,10 @@
     /// change of the configuration.
     pub fn latency(&mut self, route: &route::Route) -> rc::Rc<forward::Latency> {
         if let Some(latency) = self.latencies.get(&route.name) {
-            latency.set_target(route.aim);
+            latency.set_target(route.latency_target);
             return latency.clone();
         }
-        let latency = rc::Rc::new(forward::Latency::new(route.aim));
+        let latency = rc::Rc::new(forward::Latency::new(route.latency_target));
         self.latencies.insert(route.name.clone(), latency.clone());
         latency
     }
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -203,7 +203,7 @@
     /// be in a frame that is on its way, and hedging by this VM's clock alone
     /// would hedge all parts of a frame that is a few milliseconds late.
     pub fn delegated(&mut self, calls: &[forward::Send], report_after: time::Duration) {
-        let latest = self.entry.route.aim.mul_f64(job::MAX_LATE_SHARE);
+        let latest = self.entry.route.latency_target.mul_f64(job::MAX_LATE_SHARE);
         let wait = report_after.min(latest).max(self.hedge_after);
         for send in calls {
             let Some(part) = self.parts.get_mut(send.part) else {
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -74,7 +74,7 @@
         // A short timeout reserves only a tenth of it for the way back.
         let margin = policy.deadline_margin.min(wait / 10);
         let target_margin = policy.answer_margin + fleet.lag.get();
-        let hedge_after = Self::late_after(route.aim, latency.median(), policy);
+        let hedge_after = Self::late_after(route.latency_target, latency.median(), policy);
         let services: Vec<ids::Service> = match &route.target {
             route::Target::One(split) => {
                 let index = request.entry.split.borrow_mut().next_index();
@@ -92,7 +92,7 @@
             open: 0,
             done: 0,
             began: request.began,
-            answer_at: request.began + route.aim.saturating_sub(target_margin),
+            answer_at: request.began + route.latency_target.saturating_sub(target_margin),
             deadline: request.began + wait.saturating_sub(margin),
             hedge_after,
             next_hedge: None,
@@ -104,14 +104,14 @@
     /// Returns the time after which a call is late: the policy's share of the
     /// latency target, but not while most of the route's calls still run.
     fn late_after(
-        aim: time::Duration,
+        target: time::Duration,
         median: time::Duration,
         policy: &forward::Policy,
     ) -> time::Duration {
-        let share = aim.mul_f64(policy.hedge_share.get());
+        let share = target.mul_f64(policy.hedge_share.get());
         share
             .max(median.mul_f64(LATE_RATIO))
-            .min(aim.mul_f64(MAX_LATE_SHARE))
+            .min(target.mul_f64(MAX_LATE_SHARE))
     }
 
     /// Returns the route of the request.
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -22,7 +22,7 @@
 }
 
 /// Latency target of the route in these tests.
-pub(super) const AIM: time::Duration = time::Duration::from_millis(100);
+pub(super) const LATENCY_TARGET: time::Duration = time::Duration::from_millis(100);
 
 impl World {
     /// Creates `services` services with `replicas` upstreams each and a budget
@@ -154,7 +154,7 @@
         repeat,
         attempts: 2,
         timeout: time::Duration::from_millis(600),
-        aim: AIM,
+        latency_target: LATENCY_TARGET,
         priority: 0,
         target: route::Target::One(vec![route::Weighted {
             service: name(0),
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -107,7 +107,7 @@
     /// Maximum time until the final answer.
     pub timeout: time::Duration,
     /// Time within which an answer is worth the most.
-    pub aim: time::Duration,
+    pub latency_target: time::Duration,
     /// Priority of the route. 0 comes first.
     pub priority: u32,
     /// The services that the requests go to.
--- a/crates/geraniumgauge/src/route/tests.rs
+++ b/crates/geraniumgauge/src/route/tests.rs
@@ -10,7 +10,7 @@
         repeat: Repeat::Idempotent,
         attempts: 2,
         timeout: time::Duration::from_millis(600),
-        aim: time::Duration::from_millis(100),
+        latency_target: time::Duration::from_millis(100),
         priority: 0,
         target: Target::One(Vec::new()),
     }
