--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -328,7 +328,7 @@
     fn min_coverage(&self) -> f64 {
         match &self.entry.route.target {
             route::Target::One(_) => 1.0,
-            route::Target::Shards(shards) => shards.least.get(),
+            route::Target::Shards(shards) => shards.min_coverage.get(),
         }
     }
 
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -87,7 +87,7 @@
     /// Maximum number of records in an answer.
     pub top: usize,
     /// Minimum share of the shards that an answer must cover.
-    pub least: rate::Share,
+    pub min_coverage: rate::Share,
 }
 
 /// Maps requests by host and path to upstreams.
