--- a/crates/geraniumgauge/src/forward/job/finish.rs
+++ b/crates/geraniumgauge/src/forward/job/finish.rs
@@ -57,7 +57,7 @@
             .clone()
             .filter_map(|reply| reply.signature.clone())
             .collect();
-        let records = forward::top_records(done.map(|reply| reply.body.as_ref()), shards.top);
+        let records = forward::top_records(done.map(|reply| reply.body.as_ref()), shards.top_k);
         let merged = forward::Merged {
             signatures,
             missing: self.parts.len() - self.done,
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -304,7 +304,7 @@
     pub fn top_k(&self) -> usize {
         match &self.entry.route.target {
             route::Target::One(_) => 0,
-            route::Target::Shards(shards) => shards.top,
+            route::Target::Shards(shards) => shards.top_k,
         }
     }
 
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -138,7 +138,7 @@
     route::Route {
         target: route::Target::Shards(route::Shards {
             services: (0..services).map(name).collect(),
-            top: 3,
+            top_k: 3,
             min_coverage: rate::Share::percent(min_coverage),
         }),
         ..single(route::Repeat::Idempotent)
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -85,7 +85,7 @@
     /// One service per shard.
     pub services: Vec<ids::Service>,
     /// Maximum number of records in an answer.
-    pub top: usize,
+    pub top_k: usize,
     /// Minimum share of the shards that an answer must cover.
     pub min_coverage: rate::Share,
 }
