--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -23,7 +23,7 @@
 const FIRST_LIMITS: route::Limits = route::Limits {
     head: rate::Bytes(16 << 10),
     body: rate::Bytes(256 << 10),
-    head_time: time::Duration::from_secs(3),
+    head_timeout: time::Duration::from_secs(3),
     idle: time::Duration::from_secs(15),
 };
 /// Room for a usual request.
@@ -118,7 +118,7 @@
             let in_head = !self.buffer.is_empty() && !self.codec.in_body();
             let now = tokio::time::Instant::now();
             let until = if in_head {
-                *began.get_or_insert(now) + limits.head_time
+                *began.get_or_insert(now) + limits.head_timeout
             } else {
                 now + limits.idle
             };
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -46,7 +46,7 @@
     /// Maximum size of a request's body.
     pub body: rate::Bytes,
     /// Maximum time from the first byte of a head to its last.
-    pub head_time: time::Duration,
+    pub head_timeout: time::Duration,
     /// Maximum time without a byte between requests or within a body.
     pub idle: time::Duration,
 }
--- a/crates/geraniumgauge/src/route/tests.rs
+++ b/crates/geraniumgauge/src/route/tests.rs
@@ -24,7 +24,7 @@
         limits: Limits {
             head: rate::Bytes(1),
             body: rate::Bytes(1),
-            head_time: time::Duration::ZERO,
+            head_timeout: time::Duration::ZERO,
             idle: time::Duration::ZERO,
         },
     })
