--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -24,7 +24,7 @@
     head: rate::Bytes(16 << 10),
     body: rate::Bytes(256 << 10),
     head_timeout: time::Duration::from_secs(3),
-    idle: time::Duration::from_secs(15),
+    idle_timeout: time::Duration::from_secs(15),
 };
 /// Room for a usual request.
 const BUFFER: usize = 2048;
@@ -120,7 +120,7 @@
             let until = if in_head {
                 *began.get_or_insert(now) + limits.head_timeout
             } else {
-                now + limits.idle
+                now + limits.idle_timeout
             };
             let idle = !in_head && !self.codec.in_body();
             match self.read(until, idle).await {
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -48,7 +48,7 @@
     /// Maximum time from the first byte of a head to its last.
     pub head_timeout: time::Duration,
     /// Maximum time without a byte between requests or within a body.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 /// Whether a request may run more than once.
--- a/crates/geraniumgauge/src/route/tests.rs
+++ b/crates/geraniumgauge/src/route/tests.rs
@@ -25,7 +25,7 @@
             head: rate::Bytes(1),
             body: rate::Bytes(1),
             head_timeout: time::Duration::ZERO,
-            idle: time::Duration::ZERO,
+            idle_timeout: time::Duration::ZERO,
         },
     })
 }
