--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum size of a request's head.
-    pub head: rate::Bytes,
+    pub max_head: rate::Bytes,
     /// Maximum size of a request's body.
     pub body: rate::Bytes,
     /// Maximum time from the first byte of a head to its last.
--- a/crates/geraniumgauge/src/route/tests.rs
+++ b/crates/geraniumgauge/src/route/tests.rs
@@ -22,7 +22,7 @@
         routes,
         services: Default::default(),
         limits: Limits {
-            head: rate::Bytes(1),
+            max_head: rate::Bytes(1),
             body: rate::Bytes(1),
             head_timeout: time::Duration::ZERO,
             idle_timeout: time::Duration::ZERO,
