--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -22,7 +22,7 @@
 /// Limits until the first configuration says what they are.
 const FIRST_LIMITS: route::Limits = route::Limits {
     max_head: rate::Bytes(16 << 10),
-    body: rate::Bytes(256 << 10),
+    max_body: rate::Bytes(256 << 10),
     head_timeout: time::Duration::from_secs(3),
     idle_timeout: time::Duration::from_secs(15),
 };
@@ -64,7 +64,7 @@
     pub(super) fn new(engine: edge::Engine, stream: tokio::net::TcpStream) -> Self {
         let limits = FIRST_LIMITS;
         Self {
-            codec: h1::RequestCodec::new(*engine.names(), limits.max_head, limits.body),
+            codec: h1::RequestCodec::new(*engine.names(), limits.max_head, limits.max_body),
             engine,
             stream,
             buffer: bytes::BytesMut::new(),
@@ -104,7 +104,7 @@
             .engine
             .table()
             .map_or(FIRST_LIMITS, |table| table.limits());
-        self.codec.limit(limits.max_head, limits.body);
+        self.codec.limit(limits.max_head, limits.max_body);
         let mut began = None;
         loop {
             match self.codec.decode(&mut self.buffer) {
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -44,7 +44,7 @@
     /// Maximum size of a request's head.
     pub max_head: rate::Bytes,
     /// Maximum size of a request's body.
-    pub body: rate::Bytes,
+    pub max_body: rate::Bytes,
     /// Maximum time from the first byte of a head to its last.
     pub head_timeout: time::Duration,
     /// Maximum time without a byte between requests or within a body.
--- a/crates/geraniumgauge/src/route/tests.rs
+++ b/crates/geraniumgauge/src/route/tests.rs
@@ -23,7 +23,7 @@
         services: Default::default(),
         limits: Limits {
             max_head: rate::Bytes(1),
-            body: rate::Bytes(1),
+            max_body: rate::Bytes(1),
             head_timeout: time::Duration::ZERO,
             idle_timeout: time::Duration::ZERO,
         },
