--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -10,8 +10,8 @@
 use crate::route;
 use crate::time as clock;
 
-/// Cost added for an upstream that reported no capacity or has a late call. It
-/// exceeds the cost of any other upstream that can be tried.
+/// Cost added for an upstream that reported no capacity or has a late call, so
+/// that any other upstream that can be tried is preferred.
 const AVOID_PENALTY: time::Duration = time::Duration::from_secs(1);
 /// Cost added for an upstream whose registration vanished recently.
 const LAST_RESORT_PENALTY: time::Duration = time::Duration::from_secs(10);
@@ -242,16 +242,16 @@
     /// upstream.
     pub fn record_end(
         &mut self,
-        made: &StartedCall,
+        call: &StartedCall,
         verdict: &forward::Verdict,
         took: time::Duration,
         now: clock::Moment,
     ) {
-        let health = self.health(made.upstream);
+        let health = self.health(call.upstream);
         health.end();
         match verdict {
             forward::Verdict::Good(_) => {
-                health.replied(forward::ratio(took, made.typical), made.began, now);
+                health.replied(forward::ratio(took, call.typical), call.began, now);
             }
             forward::Verdict::Failure(_) | forward::Verdict::Lost => health.failed(now),
             forward::Verdict::NotRun => health.mark_full(forward::NO_CAPACITY_DELAY, now),
--- a/crates/geraniumgauge/src/forward/job/finish.rs
+++ b/crates/geraniumgauge/src/forward/job/finish.rs
@@ -27,7 +27,7 @@
     }
 
     pub(super) fn expire(&mut self, actions: &mut Vec<forward::Action>) {
-        if self.is_sharded() && self.is_sufficient() {
+        if self.is_sharded() && self.has_min_coverage() {
             self.finish_merged(actions);
         } else {
             let reason = forward::Reason::Timeout;
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -194,12 +194,12 @@
         let Some(call) = part.remove_call(end.call) else {
             return;
         };
-        let made = forward::StartedCall {
+        let started = forward::StartedCall {
             upstream: call.upstream,
             began: call.began,
             typical: self.latency.median(),
         };
-        fleet.record_end(&made, &end.verdict, end.took, now);
+        fleet.record_end(&started, &end.verdict, end.took, now);
         match end.verdict {
             forward::Verdict::Good(reply) => {
                 self.latency.add(end.took);
@@ -247,7 +247,7 @@
             return self.expire(actions);
         }
         if self.is_sharded() && now >= self.answer_at {
-            if self.is_sufficient() {
+            if self.has_min_coverage() {
                 return self.finish_merged(actions);
             }
             // From here on, only a complete answer or the deadline ends the
@@ -337,7 +337,7 @@
         count > 0 && count as f64 >= self.min_coverage() * self.parts.len() as f64
     }
 
-    fn is_sufficient(&self) -> bool {
+    fn has_min_coverage(&self) -> bool {
         self.suffices(self.done)
     }
 }
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -70,7 +70,7 @@
 }
 
 impl Peer {
-    fn answers(&self, now: clock::Moment) -> bool {
+    fn is_responsive(&self, now: clock::Moment) -> bool {
         let silent = self
             .waiting_since
             .is_some_and(|since| now.since(since) >= ANSWER_TIMEOUT);
@@ -81,7 +81,7 @@
 /// The other VMs as potential relays.
 #[derive(Debug)]
 pub struct Relays {
-    own: ids::DataCentre,
+    own_data_centre: ids::DataCentre,
     cores: f64,
     peers: Vec<Peer>,
     next: usize,
@@ -91,10 +91,10 @@
 }
 
 impl Relays {
-    /// Creates an empty set for a VM with `cores` cores in data centre `own`.
-    pub fn new(own: ids::DataCentre, cores: f64) -> Self {
+    /// Creates an empty set for a VM with `cores` cores in `own_data_centre`.
+    pub fn new(own_data_centre: ids::DataCentre, cores: f64) -> Self {
         Self {
-            own,
+            own_data_centre,
             cores,
             peers: Vec::new(),
             next: 0,
@@ -146,13 +146,13 @@
         all: usize,
         now: clock::Moment,
     ) -> Option<net::SocketAddr> {
-        if *data_centre == self.own && !self.exceeds_own_capacity(all) {
+        if *data_centre == self.own_data_centre && !self.exceeds_own_capacity(all) {
             return None;
         }
         self.next = self.next.wrapping_add(1);
         let mut candidates: Vec<&Peer> = self
             .in_data_centre(data_centre)
-            .filter(|peer| peer.eligible && peer.answers(now))
+            .filter(|peer| peer.eligible && peer.is_responsive(now))
             .collect();
         // A silent relay may just have sent a frame late, which is still better
         // than making many calls on a small VM.
@@ -228,9 +228,9 @@
             return SMALL_VM_CONNECTION_SHARE * limit / vms.max(1) as f64;
         }
         let smaller = |peer: &&Peer| peer.relay.cores * MIN_LARGER_RATIO <= self.cores;
-        let local = |peer: &&Peer| peer.relay.data_centre == self.own;
+        let local = |peer: &&Peer| peer.relay.data_centre == self.own_data_centre;
         let sharing = self.peers.iter().filter(|peer| !smaller(peer));
-        if *data_centre == self.own {
+        if *data_centre == self.own_data_centre {
             return LOCAL_CONNECTION_SHARE * limit / (sharing.filter(local).count() + 1) as f64;
         }
         REMOTE_CONNECTION_SHARE * limit / (sharing.count() + 1) as f64
@@ -240,7 +240,7 @@
     /// are `vms` VMs, which may be more than are known.
     pub fn shares(&self, vms: usize) -> forward::Shares {
         let mut max_cores = self.max_cores();
-        let own = max_cores.entry(&self.own).or_default();
+        let own = max_cores.entry(&self.own_data_centre).or_default();
         *own = own.max(self.cores);
         let all_cores = self.peers.iter().map(|peer| peer.relay.cores);
         let smallest = all_cores.fold(self.cores, f64::min);
@@ -251,7 +251,7 @@
         };
         let others = self.peers.iter().map(|peer| &peer.relay);
         let large = others.filter(|relay| is_large(&relay.data_centre, relay.cores));
-        let own_is_large = is_large(&self.own, self.cores);
+        let own_is_large = is_large(&self.own_data_centre, self.cores);
         let large = large.count() + usize::from(own_is_large);
         let rank = match (own_is_large, large) {
             (_, 0) => forward::Rank::Equal,
@@ -280,7 +280,7 @@
     /// Returns whether a larger VM of this data centre relays calls when there
     /// are many.
     fn has_larger_local(&self) -> bool {
-        let mut local = self.in_data_centre(&self.own);
+        let mut local = self.in_data_centre(&self.own_data_centre);
         local.any(|peer| peer.relay.cores >= MIN_LARGER_RATIO * self.cores)
     }
 
@@ -322,7 +322,7 @@
     /// cores of the largest other VMs.
     fn eligible(&self, relay: &Relay, max_cores: &MaxCores<'_>) -> bool {
         let is_large = relay.cores >= MIN_RELAY_CORES_SHARE * max_cores[&relay.data_centre];
-        let is_local = relay.data_centre == self.own;
+        let is_local = relay.data_centre == self.own_data_centre;
         is_large && (!is_local || relay.cores >= MIN_LARGER_RATIO * self.cores)
     }
 }
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -58,7 +58,7 @@
     // Enough for one extra call but not for two.
     world.fleet.policy.extra_calls = 2.0;
     let mut job = world.start(world::shards(1, 50));
-    world.at(&mut job, 40);
+    world.advance_to(&mut job, 40);
     assert_eq!(world.sends[1].why, forward::Why::Hedge);
     world.end(&mut job, 1, forward::Verdict::Advised(SLOW));
     let moved = world.sends[2];
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -32,7 +32,7 @@
 fn parts_of_a_frame_that_is_late_are_not_hedged() {
     for late_by in [1, 5] {
         let (mut world, mut job) = delegated(OVERDUE_MS);
-        world.at(&mut job, HEDGE_MS + late_by);
+        world.advance_to(&mut job, HEDGE_MS + late_by);
         for send in 0..SHARDS {
             world.end(&mut job, send, world::good(b'g'));
         }
@@ -47,13 +47,13 @@
 #[test]
 fn only_the_part_that_a_frame_reports_without_reply_is_hedged() {
     let (mut world, mut job) = delegated(OVERDUE_MS);
-    world.at(&mut job, HEDGE_MS - 3);
+    world.advance_to(&mut job, HEDGE_MS - 3);
     for send in 1..SHARDS {
         world.end(&mut job, send, world::good(b'g'));
     }
     world.report_unanswered(&mut job, 0);
     assert_eq!(extras(&world), [], "its upstream isn't late yet");
-    world.at(&mut job, HEDGE_MS);
+    world.advance_to(&mut job, HEDGE_MS);
     let extras = extras(&world);
     assert_eq!(extras.len(), 1);
     assert_eq!((extras[0].part, extras[0].why), (0, forward::Why::Hedge));
@@ -71,9 +71,9 @@
 fn all_parts_of_a_silent_relay_are_called_elsewhere_once_and_in_time() {
     for (overdue, hedged) in [(OVERDUE_MS, OVERDUE_MS), (1000, 60)] {
         let (mut world, mut job) = delegated(overdue);
-        world.at(&mut job, hedged - 1);
+        world.advance_to(&mut job, hedged - 1);
         assert_eq!(extras(&world), []);
-        world.at(&mut job, hedged);
+        world.advance_to(&mut job, hedged);
         let extras = extras(&world);
         assert_eq!(extras.len(), SHARDS);
         assert!(extras.iter().all(|send| send.why == forward::Why::Silent));
@@ -110,7 +110,7 @@
         let is_unanswered = |part: usize| unanswered.get(part).copied().unwrap_or(false);
         let mut early = false;
         for ms in 0..=frame_ms {
-            world.at(&mut job, ms);
+            world.advance_to(&mut job, ms);
             early |= ms < OVERDUE_MS && world.sends.len() > SHARDS;
         }
         let before = world.sends.len();
@@ -126,7 +126,7 @@
         }
         let at_once = world.sends.len() - before;
         early |= frame_ms < HEDGE_MS && at_once > 0;
-        world.at(&mut job, frame_ms.max(OVERDUE_MS));
+        world.advance_to(&mut job, frame_ms.max(OVERDUE_MS));
         let hedged = |part: &usize| extras(&world).iter().filter(|send| send.part == *part).count() == 1;
         !early && reported.iter().all(hedged)
     }
--- a/crates/geraniumgauge/src/forward/tests/job.rs
+++ b/crates/geraniumgauge/src/forward/tests/job.rs
@@ -15,7 +15,7 @@
     let mut world = world::World::new(3, 2);
     let mut job = world.start(world::shards(3, 50));
     assert_eq!(world.sends.len(), 3);
-    world.at(&mut job, 5);
+    world.advance_to(&mut job, 5);
     for (send, letter) in [(0, b'a'), (1, b'c'), (2, b'b')] {
         assert!(world.outcome.is_none());
         world.end(&mut job, send, world::good(letter));
@@ -33,9 +33,9 @@
 fn a_late_part_is_hedged_elsewhere_and_the_late_call_abandoned() {
     let mut world = world::World::new(2, 2);
     let mut job = world.start(world::shards(2, 50));
-    world.at(&mut job, 5);
+    world.advance_to(&mut job, 5);
     world.end(&mut job, 0, world::good(b'a'));
-    world.at(&mut job, 40);
+    world.advance_to(&mut job, 40);
     assert_eq!(world.sends.len(), 3);
     let (first, hedge) = (world.sends[1], world.sends[2]);
     assert_eq!((hedge.why, hedge.part), (forward::Why::Hedge, 1));
@@ -54,7 +54,7 @@
         let mut job = world.start(world::shards(3, min_coverage));
         world.end(&mut job, 0, world::good(b'a'));
         world.end(&mut job, 1, world::good(b'b'));
-        world.at(&mut job, 95);
+        world.advance_to(&mut job, 95);
         assert_eq!(merged(&world), expected, "{min_coverage}");
     }
 }
@@ -64,7 +64,7 @@
     let mut world = world::World::new(3, 2);
     let mut job = world.start(world::shards(3, 80));
     world.end(&mut job, 0, world::good(b'a'));
-    world.at(&mut job, 600);
+    world.advance_to(&mut job, 600);
     let outcome = &world.outcome;
     assert!(
         matches!(
@@ -115,7 +115,7 @@
     for verdict in [forward::Verdict::Lost, world::failure()] {
         let mut world = world::World::new(1, 3);
         let mut job = world.start(world::single(route::Repeat::Once));
-        world.at(&mut job, 50);
+        world.advance_to(&mut job, 50);
         assert_eq!(world.sends.len(), 1, "it is never hedged");
         world.end(&mut job, 0, verdict);
         assert_eq!(world.sends.len(), 1);
@@ -166,7 +166,7 @@
                 break;
             }
             let since = world.now.since(job.began()).as_millis() as u64;
-            world.at(&mut job, since + u64::from(delay_ms % 40));
+            world.advance_to(&mut job, since + u64::from(delay_ms % 40));
             ended.resize(world.sends.len(), None);
             let open: Vec<usize> = (0..ended.len())
                 .filter(|index| ended[*index].is_none())
@@ -184,7 +184,7 @@
             ended[index] = Some(ran);
             world.end(&mut job, index, verdict);
         }
-        world.at(&mut job, 600);
+        world.advance_to(&mut job, 600);
         ended.resize(world.sends.len(), None);
         let may_have_run = |index: &usize| ended[*index].unwrap_or(true);
         let max_runs = if once { 1 } else { 2 };
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -25,8 +25,8 @@
 pub(super) const LATENCY_TARGET: time::Duration = time::Duration::from_millis(100);
 
 impl World {
-    /// Creates `services` services with `replicas` upstreams each and a budget
-    /// that no test uses up.
+    /// Creates `services` services with `replicas` upstreams each and an ample
+    /// budget for extra calls.
     pub(super) fn new(services: usize, replicas: usize) -> Self {
         let own = forward::LocalVm {
             data_centre: "a".parse().expect("a name"),
@@ -81,7 +81,7 @@
     }
 
     /// Advances the time to `millis` after the job's start.
-    pub(super) fn at(&mut self, job: &mut forward::Job, millis: u64) {
+    pub(super) fn advance_to(&mut self, job: &mut forward::Job, millis: u64) {
         let until = job.began() + time::Duration::from_millis(millis);
         while self.outcome.is_none() && job.wake_at() <= until && job.wake_at() > self.now {
             self.now = job.wake_at();
