--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -147,11 +147,11 @@
     }
 
     /// Returns what the upstream's health is updated from.
-    pub(super) fn made(&self) -> forward::Made {
-        forward::Made {
+    pub(super) fn made(&self) -> forward::StartedCall {
+        forward::StartedCall {
             upstream: self.upstream,
             began: self.began,
-            usual: self.typical,
+            typical: self.typical,
         }
     }
 }
--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -21,10 +21,10 @@
 
 /// Limits until the first configuration is applied.
 const INITIAL_LIMITS: route::Limits = route::Limits {
-    head: rate::Bytes(16 << 10),
-    body: rate::Bytes(256 << 10),
-    head_time: time::Duration::from_secs(3),
-    idle: time::Duration::from_secs(15),
+    max_head: rate::Bytes(16 << 10),
+    max_body: rate::Bytes(256 << 10),
+    head_timeout: time::Duration::from_secs(3),
+    idle_timeout: time::Duration::from_secs(15),
 };
 /// Buffer space for each read, enough for a typical request.
 const READ_BUFFER_SIZE: usize = 2048;
@@ -65,7 +65,7 @@
     pub(super) fn new(engine: edge::Engine, stream: tokio::net::TcpStream) -> Self {
         let limits = INITIAL_LIMITS;
         Self {
-            codec: h1::RequestCodec::new(*engine.names(), limits.head, limits.body),
+            codec: h1::RequestCodec::new(*engine.names(), limits.max_head, limits.max_body),
             engine,
             stream,
             buffer: bytes::BytesMut::new(),
@@ -105,7 +105,7 @@
             .engine
             .table()
             .map_or(INITIAL_LIMITS, |table| table.limits());
-        self.codec.limit(limits.head, limits.body);
+        self.codec.limit(limits.max_head, limits.max_body);
         let mut began = None;
         loop {
             match self.codec.decode(&mut self.buffer) {
@@ -119,9 +119,9 @@
             let reading_head = !self.buffer.is_empty() && !self.codec.in_body();
             let now = tokio::time::Instant::now();
             let until = if reading_head {
-                *began.get_or_insert(now) + limits.head_time
+                *began.get_or_insert(now) + limits.head_timeout
             } else {
-                now + limits.idle
+                now + limits.idle_timeout
             };
             let idle = !reading_head && !self.codec.in_body();
             match self.read(until, idle).await {
@@ -263,7 +263,7 @@
             request = id, route = job.route().name.as_str(), version:% = table.version(),
             status = answer.status, outcome = answer.outcome, reason = reason,
             parts_done = done, parts = all, upstreams = upstreams, missing = missing,
-            lacks = lacks(job), aim_ms = clock::millis(job.route().aim),
+            lacks = lacks(job), aim_ms = clock::millis(job.route().latency_target),
             took_ms = clock::millis(took);
             "answered"
         );
@@ -325,7 +325,7 @@
 
 /// Formats the reasons why parts have no reply, as space-separated `cause=count`.
 fn lacks(job: &forward::Job) -> String {
-    let lacks = job.lacks().into_iter();
+    let lacks = job.missing_reasons().into_iter();
     let lacks: Vec<String> = lacks.map(|(why, count)| format!("{why}={count}")).collect();
     lacks.join(" ")
 }
--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -138,8 +138,8 @@
     pub fn add_crash_suspect(&self, request: ids::Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        if state.fleet.blame.blame(request, now) {
-            let refused = state.fleet.blame.is_quarantined(request, now);
+        if state.fleet.suspects.report_crash(request, now) {
+            let refused = state.fleet.suspects.is_quarantined(request, now);
             log::warn!(
                 fingerprint:% = request, refused = refused;
                 "crash suspect reported by another VM"
@@ -157,7 +157,7 @@
 
     /// Sets how many VMs may be alive, if known, and which other VMs are known. Connects
     /// to those that suit as relays.
-    pub fn set_fleet(&self, vms: Option<usize>, relays: Vec<forward::Helper>) {
+    pub fn set_fleet(&self, vms: Option<usize>, relays: Vec<forward::Relay>) {
         let needed = {
             let mut state = self.state.borrow_mut();
             let before = state.fleet.vms();
@@ -168,12 +168,12 @@
             }
             let first_update = state.relays.makes_own_calls().is_none();
             state.relays.set(relays);
-            let parts = state.relays.parts(vms);
-            state.fleet.set_parts(parts);
+            let parts = state.relays.shares(vms);
+            state.fleet.set_shares(parts);
             if first_update {
                 state.preconnect_all();
             }
-            let needed = state.relays.wanted();
+            let needed = state.relays.relay_addresses();
             self.run_effects(state);
             needed
         };
@@ -186,7 +186,11 @@
 
     /// Returns whether a connection to the relay at `address` is still needed.
     pub(super) fn needs_peer(&self, address: net::SocketAddr) -> bool {
-        self.state.borrow().relays.wanted().contains(&address)
+        self.state
+            .borrow()
+            .relays
+            .relay_addresses()
+            .contains(&address)
     }
 
     /// Notes that no task keeps a connection to `address` open any more.
--- a/crates/geraniumgauge/src/edge/state/abandoned.rs
+++ b/crates/geraniumgauge/src/edge/state/abandoned.rs
@@ -26,7 +26,7 @@
             verdict,
             forward::Verdict::Good(_) | forward::Verdict::Failure(_)
         );
-        self.fleet.orphan_ended(&call.made(), replied, now);
+        self.fleet.record_abandoned(&call.made(), replied, now);
     }
 
     /// Marks a call as abandoned; ends it at once if it wasn't sent yet.
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -74,7 +74,7 @@
             .and_then(|table| table.service(&entry.service));
         let limit = service.map_or(1, |service| service.max_connections);
         let vms = self.fleet.vms();
-        pool::Pool::allowed(self.relays.connections(&entry.data_centre, limit, vms))
+        pool::Pool::allowed(self.relays.max_connections(&entry.data_centre, limit, vms))
     }
 
     /// Takes the most recently used idle connection. Closes those that the upstream
@@ -156,7 +156,7 @@
             upstream = entry.id.as_str(), service = entry.service.as_str(), error = error;
             "can't connect to upstream"
         );
-        self.fleet.standing(connection.upstream).unreachable(now);
+        self.fleet.health(connection.upstream).unreachable(now);
         self.report_crash_suspects(connection.upstream, now);
         let pool = self.pool(connection.upstream);
         pool.links -= 1;
@@ -168,9 +168,9 @@
     /// Records and reports as crash suspects the requests during which an upstream that
     /// is now unreachable closed its connections.
     fn report_crash_suspects(&mut self, upstream: registry::Handle, now: clock::Moment) {
-        for request in self.fleet.blame.unreachable(upstream, now) {
+        for request in self.fleet.suspects.unreachable(upstream, now) {
             let id = &self.fleet.registry.get(upstream).entry.id;
-            let refused = self.fleet.blame.is_quarantined(request, now);
+            let refused = self.fleet.suspects.is_quarantined(request, now);
             log::warn!(
                 fingerprint:% = request, upstream = id.as_str(), refused = refused;
                 "upstream crashed while running a request"
@@ -281,7 +281,9 @@
             log::info!(request = request, error = error; "connection ended during a call");
             if let Some(call) = self.calls.get(&id) {
                 let request = call.message.fingerprint();
-                self.fleet.blame.lost(call.upstream, request, now);
+                self.fleet
+                    .suspects
+                    .connection_lost(call.upstream, request, now);
             }
             self.end(id, forward::Verdict::Lost, now);
         }
--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -168,7 +168,11 @@
 
     fn is_quarantined(&self, message: &call::Message, now: clock::Moment) -> bool {
         // Skips hashing the request while there are no crash suspects.
-        !self.fleet.blame.is_empty() && self.fleet.blame.is_quarantined(message.fingerprint(), now)
+        !self.fleet.suspects.is_empty()
+            && self
+                .fleet
+                .suspects
+                .is_quarantined(message.fingerprint(), now)
     }
 
     /// Removes a request that has an outcome and returns both; `None` while it is
@@ -255,8 +259,8 @@
             };
             let took = ended.at.since(call.began);
             let good = matches!(ended.verdict, forward::Verdict::Good(_));
-            if good && !self.fleet.blame.is_empty() {
-                self.fleet.blame.clear(call.message.fingerprint());
+            if good && !self.fleet.suspects.is_empty() {
+                self.fleet.suspects.clear(call.message.fingerprint());
             }
             self.instruments.ended(verdict_name(&ended.verdict), took);
             if call.abandoned {
@@ -265,7 +269,8 @@
             }
             match call.owner {
                 call::Owner::Batch { batch, remote } => {
-                    self.fleet.learn(&call.made(), &ended.verdict, took, now);
+                    self.fleet
+                        .record_end(&call.made(), &ended.verdict, took, now);
                     self.batch_call_ended(batch, remote, ended.verdict, took, now);
                 }
                 call::Owner::Job { job, part } => {
@@ -316,7 +321,7 @@
         self.instruments.call(send.why);
         let message = running.message.clone();
         let owner = call::Owner::of(job, &send);
-        let typical = running.job.times().median();
+        let typical = running.job.latency().median();
         self.log_extra_call(&message, &send, now);
         let call = call::Call::new(owner, send.upstream, message, typical, now);
         self.calls.insert(send.call, call);
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -67,7 +67,7 @@
             return sends;
         };
         let (_, all) = running.job.progress();
-        let crowded = self.relays.crowded(all);
+        let crowded = self.relays.exceeds_own_capacity(all);
         let mut own = Vec::new();
         let mut groups: Vec<(Group, Vec<forward::Send>)> = Vec::new();
         for send in sends {
@@ -76,7 +76,7 @@
                 data_centre: upstream.data_centre.clone(),
                 first: send.why == forward::Why::First,
                 payer: send.payer,
-                mandatory: send.insist,
+                mandatory: send.mandatory,
             };
             let paid = send.payer == forward::Payer::Own;
             if !group.first && paid && (!crowded || self.has_idle(send.upstream)) {
@@ -103,7 +103,7 @@
             };
             match group.payer {
                 forward::Payer::Own => own.extend(remaining),
-                forward::Payer::Helper => self.end_unpaid(job, remaining, now),
+                forward::Payer::Relay => self.end_unpaid(job, remaining, now),
             }
         }
         own
@@ -115,7 +115,7 @@
             return;
         };
         let message = running.message.clone();
-        let typical = running.job.times().median();
+        let typical = running.job.latency().median();
         for send in sends {
             let owner = call::Owner::of(job, &send);
             let call = call::Call::new(owner, send.upstream, message.clone(), typical, now);
@@ -138,7 +138,7 @@
             return Vec::new();
         };
         let message = running.message.clone();
-        let typical = running.job.times().median();
+        let typical = running.job.latency().median();
         let merge_after = running
             .job
             .hedge_after()
@@ -150,7 +150,7 @@
         } else {
             time::Duration::ZERO
         };
-        let with_address = self.relays.lacks(address, now);
+        let with_address = self.relays.needs_addresses(address, now);
         let registry = &self.fleet.registry;
         let batch = frame::Batch {
             request_id: message.id.clone(),
@@ -159,7 +159,7 @@
             has_body: message.has_body,
             timeout_us: clock::micros(now.until(message.deadline)),
             merge_after_us: clock::micros(merge_after),
-            top_k: u32::try_from(running.job.top()).unwrap_or(u32::MAX),
+            top_k: u32::try_from(running.job.top_k()).unwrap_or(u32::MAX),
             calls: sends
                 .iter()
                 .map(|send| {
@@ -168,7 +168,7 @@
                 })
                 .collect(),
             first: group.first,
-            charge_relay: group.payer == forward::Payer::Helper,
+            charge_relay: group.payer == forward::Payer::Relay,
             typical_us: clock::micros(typical),
             mandatory: group.mandatory,
         };
@@ -181,7 +181,7 @@
         running.relayed.extend(sends.iter().map(|send| send.call));
         running
             .job
-            .handed(&sends, merge_after + self.relays.lateness());
+            .delegated(&sends, merge_after + self.relays.lateness());
         for send in sends {
             self.instruments.call(send.why);
             self.log_extra_call(&message, &send, now);
--- a/crates/geraniumgauge/src/edge/state/report.rs
+++ b/crates/geraniumgauge/src/edge/state/report.rs
@@ -19,7 +19,7 @@
         report: frame::Report,
         now: clock::Moment,
     ) {
-        self.relays.told(address);
+        self.relays.answered(address);
         self.record_lateness(&report, now);
         let pending: Vec<ids::Attempt> = report.pending.iter().copied().map(ids::Attempt).collect();
         let good = report
@@ -57,7 +57,7 @@
                 frame::How::Unpaid => forward::Verdict::Unpaid,
                 frame::How::Advised => forward::Verdict::Advised(end.advice()),
                 frame::How::Unknown => {
-                    self.relays.missed(address, now);
+                    self.relays.lacked_upstream(address, now);
                     self.call_directly(id, now);
                     continue;
                 }
@@ -80,7 +80,7 @@
         };
         let due = began + time::Duration::from_micros(report.due_us);
         let late = now.since(due);
-        self.relays.came_late(late);
+        self.relays.record_lateness(late);
         self.instruments.frame_late(late);
     }
 
@@ -97,7 +97,7 @@
         let mut actions = Vec::new();
         running
             .job
-            .still_out(calls, &mut self.fleet, now, &mut actions);
+            .report_unanswered(calls, &mut self.fleet, now, &mut actions);
         // The job may now wake earlier than its task's timer is set for.
         running.done.notify_one();
         self.apply(id, actions, now);
@@ -107,7 +107,7 @@
     /// Records that the relay of a call hasn't reported on it in time.
     pub(super) fn relay_silent(&mut self, call: ids::Attempt) {
         if let Some(address) = self.calls.get(&call).and_then(|call| call.via) {
-            self.relays.silent(address);
+            self.relays.mark_silent(address);
         }
     }
 
@@ -143,11 +143,11 @@
             return false;
         };
         if let Some(running) = self.running.get_mut(&job) {
-            running.job.replace(part, reply.clone());
+            running.job.replace_reply(part, reply.clone());
         }
         let upstream = call.upstream;
         self.calls.remove(&id);
-        self.fleet.standing(upstream).end();
+        self.fleet.health(upstream).end();
         true
     }
 }
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -186,7 +186,7 @@
             batch.pending.insert(requested.id, id);
         }
         self.peers.calls_made += 1;
-        self.fleet.standing(upstream).start();
+        self.fleet.health(upstream).start();
         let owner = call::Owner::Batch {
             batch,
             remote: requested.id,
@@ -202,9 +202,9 @@
     /// paid for: by the requester, or from this VM's allowance.
     fn is_paid(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
         if terms.first {
-            self.fleet.first_of_other(upstream, now);
+            self.fleet.count_relayed_request(upstream, now);
         }
-        !terms.charge_relay || self.fleet.lend(upstream, now)
+        !terms.charge_relay || self.fleet.take_extra_for_other(upstream, now)
     }
 
     /// Abandons calls whose results a requester no longer wants.
@@ -301,7 +301,7 @@
         let due_after = batch.merge_after;
         for call in batch.pending.values() {
             if let Some(call) = self.calls.get(call) {
-                self.fleet.standing(call.upstream).late();
+                self.fleet.health(call.upstream).mark_late();
             }
         }
         self.report_merged(id, pending, due_after);
@@ -334,7 +334,7 @@
         if replies.is_empty() && pending.is_empty() {
             return;
         }
-        let records = forward::top(replies.iter().map(|(_, body)| body.as_ref()), top_k);
+        let records = forward::top_records(replies.iter().map(|(_, body)| body.as_ref()), top_k);
         let report = frame::Report {
             ends: replies.into_iter().map(|(end, _)| end).collect(),
             records: records.into(),
