--- a/crates/geraniumgauge/src/home/instruments.rs
+++ b/crates/geraniumgauge/src/home/instruments.rs
@@ -6,7 +6,7 @@
 use super::state;
 use crate::mesh::message;
 
-/// The instruments; labels are from small fixed sets.
+/// OpenTelemetry instruments; label values come from small fixed sets.
 #[derive(Debug, Clone)]
 pub(super) struct Instruments {
     answers: metrics::Counter<u64>,
@@ -22,7 +22,7 @@
     upstreams: metrics::Gauge<u64>,
 }
 
-/// Sums over this VM's upstreams.
+/// Totals over all upstreams that this VM has workers for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Sums {
     pub(super) upstreams: u64,
@@ -79,8 +79,9 @@
         self.opened.add(1, &[]);
     }
 
-    pub(super) fn closed(&self, why: state::Why) {
-        self.closed.add(1, &[KeyValue::new("why", why.to_string())]);
+    pub(super) fn closed(&self, reason: state::CloseReason) {
+        self.closed
+            .add(1, &[KeyValue::new("why", reason.to_string())]);
     }
 
     pub(super) fn sums(&self, sums: Sums) {
--- a/crates/geraniumgauge/src/home/mod.rs
+++ b/crates/geraniumgauge/src/home/mod.rs
@@ -1,9 +1,9 @@
 //! Homes: the VMs that hold the connections to an upstream.
 //!
-//! Only its homes talk to an upstream, so that its slots are neither overrun
-//! nor idle and its connection limit holds without any agreement between VMs.
-//! [`placement`] says which VMs these are, [`state`] decides what is sent when,
-//! and [`Service`] carries that out.
+//! Only an upstream's homes call it. They keep its slots in use without exceeding
+//! them, and stay within its connection limit, without any agreement between VMs.
+//! [`placement`] computes which VMs are the homes, [`state`] decides which calls are
+//! sent when, and [`Service`] carries out these decisions.
 
 mod instruments;
 mod outbox;
--- a/crates/geraniumgauge/src/home/outbox.rs
+++ b/crates/geraniumgauge/src/home/outbox.rs
@@ -1,5 +1,4 @@
-//! Replies on their way to entries, several in one frame where they are ready
-//! together.
+//! Sends replies to their coordinators, several in one frame where possible.
 
 use std::collections;
 use std::mem;
@@ -16,42 +15,42 @@
 use crate::timer;
 use crate::upstream;
 
-/// Replies are gathered into frames of at most about this many bytes.
-const FRAME_BYTES: usize = 128 * 1024;
-/// How long to wait where a link's queue is full.
-const FULL_PAUSE: time::Duration = time::Duration::from_millis(2);
+/// Target size of a frame of replies; a single larger reply gets its own frame.
+const TARGET_FRAME_BYTES: usize = 128 * 1024;
+/// Delay before another attempt when a mesh link's queue is full.
+const FULL_QUEUE_DELAY: time::Duration = time::Duration::from_millis(2);
 
-/// Answers that wait for the next frame. They are sent by a task of their own:
-/// a frame to this VM itself is delivered at once, and its receiver may call
-/// back into the state that has just answered.
+/// Queue of answers to send. A separate task sends them: a frame to this VM itself is
+/// delivered at once, and its receiver may call back into the state that has just
+/// answered.
 pub(super) struct Outbox {
-    post: sync::Arc<dyn mesh::Sender>,
+    sender: sync::Arc<dyn mesh::Sender>,
     timer: timer::Service,
     waiting: sync::Mutex<Waiting>,
-    filled: tokio::sync::Notify,
+    changed: tokio::sync::Notify,
 }
 
 #[derive(Default)]
 struct Waiting {
     replies: collections::BTreeMap<ids::Vm, collections::VecDeque<message::Reply>>,
     records: Vec<(ids::Vm, message::RecordReply)>,
-    /// The sender has taken replies that are not yet sent.
+    /// Set while the sending task holds replies that it has not sent yet.
     sending: bool,
 }
 
 impl Outbox {
-    pub(super) fn new(post: sync::Arc<dyn mesh::Sender>, timer: timer::Service) -> Self {
+    pub(super) fn new(sender: sync::Arc<dyn mesh::Sender>, timer: timer::Service) -> Self {
         Self {
-            post,
+            sender,
             timer,
             waiting: sync::Mutex::default(),
-            filled: tokio::sync::Notify::new(),
+            changed: tokio::sync::Notify::new(),
         }
     }
 
     pub(super) fn push(&self, answer: state::Answer) {
         let mut waiting = self.lock();
-        let to = answer.job.id.entry.clone();
+        let to = answer.job.id.coordinator.clone();
         if answer.job.is_record() {
             waiting.records.push((to, record_reply(answer)));
         } else {
@@ -59,7 +58,7 @@
             replies.push_back(search_reply(answer));
         }
         drop(waiting);
-        self.filled.notify_one();
+        self.changed.notify_one();
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -73,11 +72,11 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Sends what waits, until the timer service is stopped.
+    /// Sends queued answers until the timer service is stopped.
     pub(super) async fn run(self: sync::Arc<Self>) {
         loop {
             tokio::select! {
-                () = self.filled.notified() => {}
+                () = self.changed.notified() => {}
                 () = self.timer.stop().cancelled() => return,
             }
             let (batches, records) = {
@@ -107,35 +106,36 @@
         }
     }
 
+    /// Sends the reply to a record. Returns `None` if it is dropped.
     async fn send_record(&self, vm: &ids::Vm, reply: message::RecordReply) -> Option<()> {
         loop {
             let body = message::Body::RecordReply(reply.clone());
-            match self.post.send(vm, body) {
+            match self.sender.send(vm, body) {
                 Ok(()) => return Some(()),
                 Err(mesh::Error::Full { .. }) => {
-                    self.timer.pause(FULL_PAUSE).await.then_some(())?;
+                    self.timer.pause(FULL_QUEUE_DELAY).await.then_some(())?;
                 }
                 Err(error) => {
-                    log::warn!("a record's reply is dropped: {error}");
+                    log::warn!("dropping the reply to a record: {error}");
                     return None;
                 }
             }
         }
     }
 
-    /// `None` where the VM can't be sent to any more.
+    /// Sends one frame. Returns `None` if nothing more can be sent to the VM.
     async fn send_frame(&self, vm: &ids::Vm, replies: Vec<message::Reply>) -> Option<()> {
         let mut frame = message::Replies { replies };
         loop {
             let body = message::Body::Replies(frame.clone());
-            match self.post.send(vm, body) {
+            match self.sender.send(vm, body) {
                 Ok(()) => return Some(()),
                 Err(mesh::Error::Full { .. }) => {
-                    self.timer.pause(FULL_PAUSE).await.then_some(())?;
+                    self.timer.pause(FULL_QUEUE_DELAY).await.then_some(())?;
                 }
-                Err(mesh::Error::Large { .. }) => strip(&mut frame)?,
+                Err(mesh::Error::Large { .. }) => drop_largest_body(&mut frame)?,
                 Err(error) => {
-                    log::debug!("replies are dropped: {error}");
+                    log::debug!("dropping replies: {error}");
                     return None;
                 }
             }
@@ -143,9 +143,9 @@
     }
 }
 
-/// Turns hits that don't fit a frame into failures, so that their entry hears
-/// of them at once. `None` where nothing is left to strip.
-fn strip(frame: &mut message::Replies) -> Option<()> {
+/// Clears the largest body in a frame that is too large and marks its reply as failed,
+/// so that the coordinator learns of it at once. Returns `None` if no body is left.
+fn drop_largest_body(frame: &mut message::Replies) -> Option<()> {
     let large = frame
         .replies
         .iter_mut()
@@ -196,7 +196,7 @@
     let mut bytes = 0;
     while let Some(next) = replies.front() {
         bytes += next.encoded_len();
-        if !frame.is_empty() && bytes > FRAME_BYTES {
+        if !frame.is_empty() && bytes > TARGET_FRAME_BYTES {
             break;
         }
         frame.extend(replies.pop_front());
--- a/crates/geraniumgauge/src/home/placement.rs
+++ b/crates/geraniumgauge/src/home/placement.rs
@@ -1,9 +1,10 @@
-//! Which VMs are the homes of an upstream.
+//! Assignment of upstreams to their home VMs.
 //!
 //! A pure function of the membership view: VMs with the same view agree. The
-//! upstreams of a service in one data centre are spread over
-//! [`NEIGHBOURHOODS`] and placed by neighbourhood, so a wide query reaches
-//! many upstreams through few homes, while no VM is home to a whole service.
+//! upstreams of a service in one data centre are hashed into
+//! [`GROUPS_PER_DATA_CENTRE`] groups, and all upstreams of a group have the same
+//! homes. A wide query thus reaches many upstreams through few homes, and no VM is
+//! home to a whole service.
 
 use std::collections;
 use std::sync;
@@ -13,76 +14,75 @@
 use crate::member;
 use crate::rendezvous;
 
-/// Groups into which a service's upstreams in one data centre are spread; each
-/// group has its own homes. Bounds the frames of a wide query to this many for
-/// each data centre.
-pub const NEIGHBOURHOODS: u64 = 8;
+/// Number of groups into which a service's upstreams in one data centre are hashed.
+/// Bounds the frames that a wide query sends to each data centre.
+pub const GROUPS_PER_DATA_CENTRE: u64 = 8;
 
-/// The two homes of one upstream.
+/// The primary and the standby home of one upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Homes {
-    /// Knows the upstream's slots; every call goes here first.
+    /// Holds the upstream's slots; every call goes here first.
     pub primary: ids::Vm,
-    /// Keeps a warm connection, for hedges and for when the primary is
-    /// suspect; `None` where there is one VM only.
+    /// Keeps a warm connection, for hedges and for when the primary is suspect;
+    /// `None` if there is only one VM.
     pub standby: Option<ids::Vm>,
 }
 
-/// What a VM is to an upstream.
+/// Role of a VM for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// Holds the upstream's slots.
     Primary,
-    /// Holds one warm connection and a small allowance.
+    /// Holds one warm connection and a small share of the slots.
     Standby,
-    /// Would be the standby if one of the two went. It serves calls of VMs
-    /// that already see it as a home, within a small allowance.
-    Next,
-    /// One of many that call the upstream without knowing of each other; only
-    /// of [`Cache::direct`].
+    /// Would become the standby if the primary or the standby left. Serves calls of
+    /// VMs whose view already has it as a home, within a small share of the slots.
+    Reserve,
+    /// One of many VMs that call the upstream without coordination; only returned by
+    /// [`Cache::direct`].
     Direct,
 }
 
-/// What `vm` is to `upstream` by `view`; `None` where it is no home of it.
+/// Returns the role of `vm` for `upstream` in `view`; `None` if it has none.
 pub fn role(
     view: &member::View,
     upstream: &layout::Upstream,
     service: &ids::Service,
     vm: &ids::Vm,
 ) -> Option<Role> {
-    let own = view.assignable().find(|member| member.vm == *vm)?;
-    let duty = duty(upstream, service);
-    let rank = |member: &member::Member| rank(member, &upstream.data_centre, &duty);
-    let own = (rank(own), vm);
+    let member = view.assignable().find(|member| member.vm == *vm)?;
+    let group_key = group_key(upstream, service);
+    let rank = |member: &member::Member| rank(member, &upstream.data_centre, &group_key);
+    let own = (rank(member), vm);
     let ahead = view
         .assignable()
         .filter(|member| (rank(member), &member.vm) > own);
     match ahead.take(3).count() {
         0 => Some(Role::Primary),
         1 => Some(Role::Standby),
-        2 => Some(Role::Next),
+        2 => Some(Role::Reserve),
         _ => None,
     }
 }
 
-fn rank(member: &member::Member, data_centre: &ids::DataCentre, duty: &str) -> (bool, u64) {
+fn rank(member: &member::Member, data_centre: &ids::DataCentre, group_key: &str) -> (bool, u64) {
     let near = member.data_centre == *data_centre;
-    (near, rendezvous::weight(duty, &member.vm))
+    (near, rendezvous::weight(group_key, &member.vm))
 }
 
 impl Homes {
-    /// The homes of `upstream` by `view`: VMs of its own data centre first,
-    /// then by rendezvous weight. Members that are leaving are no homes. A view
-    /// without any holder gives this VM itself.
+    /// Returns the homes of `upstream` in `view`: VMs of its own data centre first,
+    /// then by rendezvous weight. Members that are leaving are skipped. If no member
+    /// is left, the primary is this VM itself.
     pub fn of(view: &member::View, upstream: &layout::Upstream, service: &ids::Service) -> Self {
-        Self::of_group(view, &upstream.data_centre, &duty(upstream, service))
+        Self::of_group(view, &upstream.data_centre, &group_key(upstream, service))
     }
 
-    fn of_group(view: &member::View, data_centre: &ids::DataCentre, duty: &str) -> Self {
+    fn of_group(view: &member::View, data_centre: &ids::DataCentre, group_key: &str) -> Self {
         let mut first = None;
         let mut second = None;
         for member in view.assignable() {
-            let ranked = Some((rank(member, data_centre, duty), &member.vm));
+            let ranked = Some((rank(member, data_centre, group_key), &member.vm));
             if ranked > first {
                 second = first;
                 first = ranked;
@@ -97,45 +97,45 @@
     }
 }
 
-fn neighbourhood(upstream: &ids::Upstream) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(upstream.as_str().as_bytes()) % NEIGHBOURHOODS
+fn group_number(upstream: &ids::Upstream) -> u64 {
+    xxhash_rust::xxh3::xxh3_64(upstream.as_str().as_bytes()) % GROUPS_PER_DATA_CENTRE
 }
 
-fn duty(upstream: &layout::Upstream, service: &ids::Service) -> String {
+fn group_key(upstream: &layout::Upstream, service: &ids::Service) -> String {
     let data_centre = &upstream.data_centre;
-    let group = neighbourhood(&upstream.id);
+    let group = group_number(&upstream.id);
     format!("home/{service}/{data_centre}/{group}")
 }
 
-/// Remembers the homes of one view. A query of 240 shards over 2,200 VMs would
-/// otherwise hash half a million names. Clones share what is remembered.
+/// Caches the homes and roles of one view; clones share the cache. Without it, a query
+/// of 240 shards over 2,200 VMs would hash half a million names.
 #[derive(Debug, Clone, Default)]
 pub struct Cache {
-    known: sync::Arc<sync::Mutex<Known>>,
+    cached: sync::Arc<sync::Mutex<Cached>>,
     direct: bool,
 }
 
 #[derive(Debug, Default)]
-struct Known {
-    /// Kept alive, so that its address names this view only.
+struct Cached {
+    /// Held so that its address can't be reused by another view.
     view: Option<member::SharedView>,
-    homes: collections::HashMap<Place, Homes>,
-    roles: collections::HashMap<Place, Option<Role>>,
+    homes: collections::HashMap<Group, Homes>,
+    roles: collections::HashMap<Group, Option<Role>>,
 }
 
-/// Upstreams of a place have the same homes.
-type Place = (ids::Service, ids::DataCentre, u64);
+/// Service, data centre and group number; its upstreams have the same homes.
+type Group = (ids::Service, ids::DataCentre, u64);
 
-fn place(upstream: &layout::Upstream, service: &ids::Service) -> Place {
-    let group = neighbourhood(&upstream.id);
+fn group(upstream: &layout::Upstream, service: &ids::Service) -> Group {
+    let group = group_number(&upstream.id);
     (service.clone(), upstream.data_centre.clone(), group)
 }
 
-impl Known {
-    /// Forgets what it knows of another view.
-    fn follow(&mut self, view: &member::SharedView) {
-        let seen = self.view.as_ref();
-        if seen.is_some_and(|seen| sync::Arc::ptr_eq(seen, view)) {
+impl Cached {
+    /// Clears the cache if it belongs to another view.
+    fn set_view(&mut self, view: &member::SharedView) {
+        let current = self.view.as_ref();
+        if current.is_some_and(|current| sync::Arc::ptr_eq(current, view)) {
             return;
         }
         self.view = Some(view.clone());
@@ -145,9 +145,9 @@
 }
 
 impl Cache {
-    /// A cache by which every VM is the one home of every upstream: it calls
-    /// them itself and shares no knowledge of their slots with the others. Only
-    /// a baseline to measure homes against.
+    /// Creates a cache in which every VM is the only home of every upstream: it calls
+    /// them itself and doesn't know what other VMs send them. Used only as a baseline
+    /// to compare homes against.
     pub fn direct() -> Self {
         Self {
             direct: true,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// As [`Homes::of`].
+    /// Returns the same as [`Homes::of`].
     pub fn of(
         &self,
         view: &member::SharedView,
@@ -168,14 +168,14 @@
                 standby: None,
             };
         }
-        let mut known = self.known(view);
-        let homes = known.homes.entry(place(upstream, service));
+        let mut cached = self.cached(view);
+        let homes = cached.homes.entry(group(upstream, service));
         homes
             .or_insert_with(|| Homes::of(view, upstream, service))
             .clone()
     }
 
-    /// As [`role`], for one and the same `vm`.
+    /// Returns the same as [`role`]. `vm` must be the same in all calls.
     pub fn role(
         &self,
         view: &member::SharedView,
@@ -186,16 +186,16 @@
         if self.direct {
             return Some(Role::Direct);
         }
-        let mut known = self.known(view);
-        let known = known.roles.entry(place(upstream, service));
-        *known.or_insert_with(|| role(view, upstream, service, vm))
+        let mut cached = self.cached(view);
+        let cached = cached.roles.entry(group(upstream, service));
+        *cached.or_insert_with(|| role(view, upstream, service, vm))
     }
 
-    fn known(&self, view: &member::SharedView) -> sync::MutexGuard<'_, Known> {
-        let known = self.known.lock();
-        let mut known = known.unwrap_or_else(sync::PoisonError::into_inner);
-        known.follow(view);
-        known
+    fn cached(&self, view: &member::SharedView) -> sync::MutexGuard<'_, Cached> {
+        let cached = self.cached.lock();
+        let mut cached = cached.unwrap_or_else(sync::PoisonError::into_inner);
+        cached.set_view(view);
+        cached
     }
 }
 
--- a/crates/geraniumgauge/src/home/service.rs
+++ b/crates/geraniumgauge/src/home/service.rs
@@ -1,4 +1,4 @@
-//! The homes of one VM: takes calls from entries, follows view and layouts.
+//! The homes of one VM: takes calls from coordinators, follows view and layouts.
 
 use std::collections;
 use std::sync;
@@ -22,23 +22,23 @@
 use crate::time::Clock;
 use crate::timer;
 
-/// How often documents and layouts are looked at for changes.
-const FOLLOW_EVERY: time::Duration = time::Duration::from_millis(500);
-/// How often a stopping VM looks whether its calls have ended.
-const DRAIN_EVERY: time::Duration = time::Duration::from_millis(10);
+/// Interval at which documents and layouts are checked for changes.
+const RECONCILE_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Interval at which a stopping VM checks whether its calls have ended.
+const DRAIN_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// Who this VM is.
+/// Identity and mode of this VM.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// The VM's name.
     pub vm: ids::Vm,
-    /// Where it runs.
+    /// The data centre that the VM runs in.
     pub data_centre: ids::DataCentre,
-    /// Every VM calls every upstream itself: a baseline for measurements.
+    /// Set in the baseline for measurements, where every VM calls all upstreams itself.
     pub direct: bool,
 }
 
-/// The homes of this VM; clones share them.
+/// All homes on this VM; clones share them.
 #[derive(Clone)]
 pub struct Service {
     inner: sync::Arc<Inner>,
@@ -51,27 +51,27 @@
     catalog: document::Catalog,
     view: watch::Receiver<member::SharedView>,
     placement: placement::Cache,
-    means: sync::Arc<worker::Means>,
+    context: sync::Arc<worker::Context>,
     workers: sync::RwLock<Workers>,
-    /// Workers of upstreams that have moved to another address, until idle.
+    /// Workers of upstreams whose layout entry has changed, kept until they are idle.
     retired: sync::Mutex<Vec<sync::Arc<worker::Worker>>>,
     leaving: atomic::AtomicBool,
 }
 
 impl Service {
-    /// Starts the homes of the VM `config` names.
+    /// Starts the homes of the VM that `config` names.
     pub fn start(
         config: Config,
         catalog: document::Catalog,
         view: watch::Receiver<member::SharedView>,
-        post: sync::Arc<dyn mesh::Sender>,
+        sender: sync::Arc<dyn mesh::Sender>,
         clock: Clock,
         timer: timer::Service,
         meter: &metrics::Meter,
     ) -> Self {
-        let outbox = sync::Arc::new(outbox::Outbox::new(post, timer.clone()));
+        let outbox = sync::Arc::new(outbox::Outbox::new(sender, timer.clone()));
         tokio::spawn(sync::Arc::clone(&outbox).run());
-        let means = worker::Means {
+        let context = worker::Context {
             clock,
             timer,
             outbox,
@@ -87,31 +87,31 @@
             catalog,
             view,
             placement,
-            means: sync::Arc::new(means),
+            context: sync::Arc::new(context),
             workers: sync::RwLock::default(),
             retired: sync::Mutex::default(),
             leaving: atomic::AtomicBool::new(false),
         });
-        tokio::spawn(follow(sync::Arc::clone(&inner)));
+        tokio::spawn(run(sync::Arc::clone(&inner)));
         Self { inner }
     }
 
-    /// Shard calls of one query; each gets one reply.
+    /// Takes the shard calls of one query; each gets one reply.
     pub fn batch(&self, from: &ids::Vm, mut batch: message::Batch) {
         let calls = std::mem::take(&mut batch.calls);
         let service = batch.service.parse().ok();
-        let now = self.inner.means.clock.now();
+        let now = self.inner.context.clock.now();
         let deadline = now + time::Duration::from_micros(batch.time_left_us);
         let batch = sync::Arc::new(batch);
         for call in calls {
             let kind = call.kind();
             let (Ok(upstream), Ok(shard)) = (call.upstream.parse(), call.shard.parse()) else {
-                log::warn!("a call from {from} names no upstream or shard; dropped");
+                log::warn!("dropping a call from {from}: invalid upstream or shard name");
                 continue;
             };
             let job = state::Job {
                 id: state::Id {
-                    entry: from.clone(),
+                    coordinator: from.clone(),
                     attempt: call.attempt,
                 },
                 upstream,
@@ -127,17 +127,17 @@
         }
     }
 
-    /// A record to be sent once; gets one reply.
+    /// Takes a record, which is sent at most once; it gets one reply.
     pub fn record(&self, from: &ids::Vm, record: message::Record) {
         let (Ok(upstream), Ok(shard)) = (record.upstream.parse(), record.shard.parse()) else {
-            log::warn!("a record from {from} names no upstream or shard; dropped");
+            log::warn!("dropping a record from {from}: invalid upstream or shard name");
             return;
         };
         let service = record.service.parse().ok();
-        let now = self.inner.means.clock.now();
+        let now = self.inner.context.clock.now();
         let job = state::Job {
             id: state::Id {
-                entry: from.clone(),
+                coordinator: from.clone(),
                 attempt: record.attempt,
             },
             upstream,
@@ -156,28 +156,28 @@
         self.inner.call(service.as_ref(), job);
     }
 
-    /// Calls that are no longer wanted.
+    /// Cancels calls of `from` that are no longer wanted.
     pub fn cancel(&self, from: &ids::Vm, cancel: message::Cancel) {
         for attempt in cancel.attempts {
             let id = state::Id {
-                entry: from.clone(),
+                coordinator: from.clone(),
                 attempt,
             };
-            if let Some(worker) = self.inner.means.calls.get(&id) {
+            if let Some(worker) = self.inner.context.calls.get(&id) {
                 worker.handle(state::Event::Cancel(id));
             }
         }
     }
 
-    /// The link to `vm` is gone; its calls can't be answered.
+    /// Drops the calls of `vm` after the mesh link to it was lost.
     pub fn lost(&self, vm: &ids::Vm) {
-        self.inner.means.calls.forget(vm);
+        self.inner.context.calls.forget(vm);
         for worker in self.inner.all() {
-            worker.handle(state::Event::EntryLost(vm.clone()));
+            worker.handle(state::Event::CoordinatorLost(vm.clone()));
         }
     }
 
-    /// Stops taking calls; calls that run go on.
+    /// Refuses new and waiting calls from now on; running calls go on.
     pub fn leave(&self) {
         self.inner.leaving.store(true, atomic::Ordering::SeqCst);
         for worker in self.inner.all() {
@@ -185,13 +185,13 @@
         }
     }
 
-    /// Waits until every call that runs has ended and every answer is sent.
+    /// Waits until every running call has ended and every answer is sent.
     pub async fn drained(&self) {
         let mut ticks = self
             .inner
-            .means
+            .context
             .timer
-            .every(DRAIN_EVERY, time::Duration::ZERO);
+            .every(DRAIN_CHECK_INTERVAL, time::Duration::ZERO);
         while !self.inner.is_idle() {
             if ticks.tick().await.is_none() {
                 return;
@@ -219,6 +219,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
+    /// Returns all workers, including retired ones.
     fn all(&self) -> Vec<sync::Arc<worker::Worker>> {
         let present: Vec<_> = self.read().values().cloned().collect();
         let retired = self.retired().clone();
@@ -227,21 +228,21 @@
 
     fn is_idle(&self) -> bool {
         let idle = |worker: &sync::Arc<worker::Worker>| worker.read(state::State::is_idle);
-        self.all().iter().all(idle) && self.means.outbox.is_empty()
+        self.all().iter().all(idle) && self.context.outbox.is_empty()
     }
 
     fn call(&self, service: Option<&ids::Service>, job: state::Job) {
         let known = self.read().get(&job.upstream).cloned();
         let worker = match known {
             Some(worker) => Ok(worker),
-            None => self.find(service, &job.upstream),
+            None => self.start_worker(service, &job.upstream),
         };
         match worker {
             Ok(worker) => {
-                self.means.calls.insert(job.id.clone(), &worker);
+                self.context.calls.insert(job.id.clone(), &worker);
                 worker.handle(state::Event::Call(job));
             }
-            Err(outcome) => self.means.outbox.push(state::Answer {
+            Err(outcome) => self.context.outbox.push(state::Answer {
                 job,
                 outcome,
                 reply: None,
@@ -252,8 +253,9 @@
         }
     }
 
-    /// The worker of an upstream that none was known for.
-    fn find(
+    /// Starts the worker of an upstream that has none. Returns the outcome to answer
+    /// with if this VM is no home of the upstream or doesn't know it.
+    fn start_worker(
         &self,
         service: Option<&ids::Service>,
         upstream: &ids::Upstream,
@@ -264,7 +266,7 @@
         let upstream = upstream.ok_or(message::Outcome::Unreachable)?;
         let role = self.role(service, upstream);
         role.ok_or(message::Outcome::NotHome)?;
-        Ok(self.worker(upstream, role))
+        Ok(self.worker_or_start(upstream, role))
     }
 
     fn role(&self, service: &ids::Service, upstream: &layout::Upstream) -> Option<placement::Role> {
@@ -273,8 +275,8 @@
             .role(&view, upstream, service, &self.config.vm)
     }
 
-    /// The upstream's worker, which is started where there is none.
-    fn worker(
+    /// Returns the upstream's worker, which is started if there is none.
+    fn worker_or_start(
         &self,
         upstream: &layout::Upstream,
         role: Option<placement::Role>,
@@ -283,10 +285,10 @@
         if let Some(worker) = workers.get(&upstream.id) {
             return sync::Arc::clone(worker);
         }
-        let now = self.means.clock.now();
+        let now = self.context.clock.now();
         let state = state::State::new(upstream.clone(), role, now);
-        let means = sync::Arc::clone(&self.means);
-        let worker = worker::Worker::start(state, means);
+        let context = sync::Arc::clone(&self.context);
+        let worker = worker::Worker::start(state, context);
         workers.insert(upstream.id.clone(), sync::Arc::clone(&worker));
         drop(workers);
         if self.leaving.load(atomic::Ordering::SeqCst) {
@@ -295,43 +297,43 @@
         worker
     }
 
-    /// Brings the workers in line with view and layouts.
+    /// Brings all workers in line with the current view and layouts.
     fn reconcile(&self) {
         let mut listed = collections::HashSet::new();
         for (service, in_force) in self.catalog.all() {
             for upstream in &in_force.layout.upstreams {
                 listed.insert(upstream.id.clone());
-                self.align(&service, upstream);
+                self.reconcile_upstream(&service, upstream);
             }
         }
-        let gone: Vec<_> = self
+        let unlisted: Vec<_> = self
             .read()
             .iter()
             .filter(|(id, _)| !listed.contains(*id))
             .map(|(_, worker)| sync::Arc::clone(worker))
             .collect();
-        for worker in gone {
+        for worker in unlisted {
             worker.handle(state::Event::Listed(false));
         }
-        self.drop_finished();
-        self.measure();
+        self.remove_finished();
+        self.record_sums();
     }
 
-    fn align(&self, service: &ids::Service, upstream: &layout::Upstream) {
+    fn reconcile_upstream(&self, service: &ids::Service, upstream: &layout::Upstream) {
         let role = self.role(service, upstream);
         let present = self.read().get(&upstream.id).cloned();
         match present {
             Some(worker) if worker.read(|state| state.upstream() != upstream) => {
                 self.retire(&upstream.id);
-                self.worker(upstream, role);
+                self.worker_or_start(upstream, role);
             }
             Some(worker) if worker.read(|state| state.role() != role || !state.is_listed()) => {
                 worker.handle(state::Event::Listed(true));
                 worker.handle(state::Event::Role(role));
             }
             Some(_) => {}
-            None if role.is_some_and(|role| role != placement::Role::Next) => {
-                let worker = self.worker(upstream, role);
+            None if role.is_some_and(|role| role != placement::Role::Reserve) => {
+                let worker = self.worker_or_start(upstream, role);
                 worker.handle(state::Event::Tick);
             }
             None => {}
@@ -346,14 +348,14 @@
         self.retired().push(worker);
     }
 
-    fn drop_finished(&self) {
-        let now = self.means.clock.now();
-        let kept = |worker: &worker::Worker| !worker.read(|state| state.is_over(now));
+    fn remove_finished(&self) {
+        let now = self.context.clock.now();
+        let kept = |worker: &worker::Worker| !worker.read(|state| state.is_finished(now));
         self.write().retain(|_, worker| kept(worker));
         self.retired().retain(|worker| kept(worker));
     }
 
-    fn measure(&self) {
+    fn record_sums(&self) {
         let mut sums = instruments::Sums::default();
         for worker in self.all() {
             worker.read(|state| {
@@ -363,13 +365,18 @@
                 sums.connections += state.connections() as u64;
             });
         }
-        self.means.instruments.sums(sums);
+        self.context.instruments.sums(sums);
     }
 }
 
-async fn follow(inner: sync::Arc<Inner>) {
+/// Calls [`Inner::reconcile`] at each interval and at each change of the view, until
+/// the timer stops.
+async fn run(inner: sync::Arc<Inner>) {
     let mut view = inner.view.clone();
-    let mut ticks = inner.means.timer.every(FOLLOW_EVERY, time::Duration::ZERO);
+    let mut ticks = inner
+        .context
+        .timer
+        .every(RECONCILE_INTERVAL, time::Duration::ZERO);
     loop {
         tokio::select! {
             tick = ticks.tick() => if tick.is_none() { return },
--- a/crates/geraniumgauge/src/home/state/dispatch.rs
+++ b/crates/geraniumgauge/src/home/state/dispatch.rs
@@ -1,65 +1,69 @@
-//! Which waiting calls are sent, and which are refused as too late.
+//! Chooses which waiting calls are sent and which are refused as too late.
 
 use std::time;
 
 use super::Action;
 use super::State;
+use super::availability;
+use super::connections;
 use super::job;
-use super::lines;
-use super::standing;
 use crate::mesh::message;
 use crate::time::Moment;
 
-/// A hedge or retry goes on a connection that has answered within the slow
-/// time and within this time, else on a new one: what held the first attempt up
-/// may hold it up as well, and that was sent about the slow time ago.
-const PROVEN: time::Duration = time::Duration::from_millis(50);
-/// How long no call is sent beside suspects after the upstream has shed one.
-const BESIDE_PAUSE: time::Duration = time::Duration::from_millis(100);
+/// A hedge or retry uses a connection only if its last reply is at most this old, or
+/// as old as the p95 latency if that is shorter; otherwise a new connection. The
+/// first attempt was sent about one p95 latency ago, and what delays it may delay
+/// every connection that has carried no reply since.
+const MAX_REPLY_AGE: time::Duration = time::Duration::from_millis(50);
+/// How long no call is sent beyond the limit after the upstream shed such a call.
+const OVERCOMMIT_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// Calls beyond the limit, beside suspects that hold it. A silent connection
-/// may hold a slot in our count while the upstream is free.
+/// Limits the calls that are sent beyond the limit while suspects take it up. A call
+/// on a silent connection counts against the limit although the upstream may have
+/// ended it.
 ///
-/// Sent one at a time at first; each that succeeds shows that the upstream has
-/// room, one that is shed shows that the suspects do run there.
+/// One such call runs at first. Each that succeeds shows that the upstream has
+/// capacity and allows one more. One that is shed shows that the suspects do run at
+/// the upstream, and sets the maximum back to one.
 #[derive(Debug)]
-pub(super) struct Beside {
-    room: usize,
-    from: Moment,
+pub(super) struct Overcommit {
+    max_calls: usize,
+    /// When the next such call may be sent.
+    allowed_from: Moment,
 }
 
-impl Default for Beside {
+impl Default for Overcommit {
     fn default() -> Self {
         Self {
-            room: 1,
-            from: Moment::default(),
+            max_calls: 1,
+            allowed_from: Moment::default(),
         }
     }
 }
 
-impl Beside {
+impl Overcommit {
     pub(super) fn succeeded(&mut self) {
-        self.room = self.room.saturating_add(1);
+        self.max_calls = self.max_calls.saturating_add(1);
     }
 
     pub(super) fn shed(&mut self, now: Moment) {
-        self.room = 1;
-        self.from = now + BESIDE_PAUSE;
+        self.max_calls = 1;
+        self.allowed_from = now + OVERCOMMIT_DELAY;
     }
 
-    pub(super) fn from(&self) -> Moment {
-        self.from
+    pub(super) fn allowed_from(&self) -> Moment {
+        self.allowed_from
     }
 }
 
-/// Where the next call may run.
-enum Room {
-    Within,
-    Beside,
+/// Capacity that the next call would use.
+enum Capacity {
+    WithinLimit,
+    OverLimit,
 }
 
 impl State {
-    /// Why no call may be sent at all.
+    /// Returns why no call may be sent at all, if so.
     fn refusal(&self, now: Moment) -> Option<message::Outcome> {
         if self.leaving {
             return Some(message::Outcome::Stopping);
@@ -70,16 +74,16 @@
         if self.is_unlisted(now) {
             return Some(message::Outcome::Draining);
         }
-        match self.standing.stand() {
-            standing::Stand::Draining => Some(message::Outcome::Draining),
-            standing::Stand::Down => Some(message::Outcome::Unreachable),
-            standing::Stand::Open | standing::Stand::Doubtful => None,
+        match self.availability.current() {
+            availability::Availability::Draining => Some(message::Outcome::Draining),
+            availability::Availability::Down => Some(message::Outcome::Unreachable),
+            availability::Availability::Open | availability::Availability::Unconfirmed => None,
         }
     }
 
-    /// Refuses what can't be sent or would come too late. At once, so that the
-    /// entry still has the time to go elsewhere.
-    pub(super) fn settle_waiting(&mut self, now: Moment) {
+    /// Refuses calls that can't be sent or would end too late. They are refused at
+    /// once, so that their coordinator has time to try elsewhere.
+    pub(super) fn refuse_unservable(&mut self, now: Moment) {
         if let Some(outcome) = self.refusal(now) {
             for job in self.queue.drain() {
                 self.refuse(job, outcome, now);
@@ -89,131 +93,158 @@
         if self.queue.len() == 0 {
             return;
         }
-        let room = self.free_calls(now);
+        let free = self.free_calls(now);
         let calls = self.calls(now).max(1);
-        let (mean, median) = (self.times.mean(), self.times.median());
-        let slow = self.times.slow().unwrap_or_default();
-        let start = self.limit.paused_until().max(now);
-        let unfit = |position: usize, deadline: Moment| {
-            let waits = wait(position, room, calls, mean);
-            // A call that must wait for others gives way unless it is sure to
-            // be in time; one that can run now may try.
-            let runs = if waits.is_zero() { median } else { slow };
-            start + waits + runs > deadline || deadline <= now
+        let (mean, median) = (self.latency.mean(), self.latency.median());
+        let slow = self.latency.slow().unwrap_or_default();
+        let start = self.limit.backoff_until().max(now);
+        let too_late = |position: usize, deadline: Moment| {
+            let wait_time = wait(position, free, calls, mean);
+            // A call that must wait is refused unless even a slow run (p95) ends in time;
+            // one that can run now needs only the median.
+            let run_time = if wait_time.is_zero() { median } else { slow };
+            start + wait_time + run_time > deadline || deadline <= now
         };
-        for job in self.queue.refuse(unfit) {
+        for job in self.queue.remove_late(too_late) {
             self.refuse(job, message::Outcome::Late, now);
         }
     }
 
-    /// Time that a call at `position` of the queue waits.
-    pub(super) fn wait_of(&self, position: usize, now: Moment) -> time::Duration {
+    /// Returns the estimated wait of a call at `position` of the queue.
+    pub(super) fn wait_at(&self, position: usize, now: Moment) -> time::Duration {
         let calls = self.calls(now).max(1);
-        wait(position, self.free_calls(now), calls, self.times.mean())
+        wait(position, self.free_calls(now), calls, self.latency.mean())
     }
 
-    /// Calls that may run at once now.
+    /// Returns the maximum number of calls that may run at once now.
     pub(super) fn calls(&self, now: Moment) -> u32 {
         let calls = self.share(now).calls.min(self.limit.calls());
-        match self.standing.stand() {
-            standing::Stand::Doubtful => calls.min(1),
+        match self.availability.current() {
+            availability::Availability::Unconfirmed => calls.min(1),
             _ => calls,
         }
     }
 
     fn free_calls(&self, now: Moment) -> u32 {
-        let busy = self.lines.busy().filter(|(_, busy)| !busy.beside).count();
+        let running = self
+            .connections
+            .busy()
+            .filter(|(_, call)| !call.over_limit)
+            .count();
         self.calls(now)
-            .saturating_sub(u32::try_from(busy).unwrap_or(u32::MAX))
+            .saturating_sub(u32::try_from(running).unwrap_or(u32::MAX))
     }
 
-    /// Sends waiting calls while there is room.
+    /// Sends waiting calls while there is capacity.
     pub(super) fn dispatch(&mut self, now: Moment) {
-        while self.limit.paused_until() <= now {
+        while self.limit.backoff_until() <= now {
             let Some(head) = self.queue.head() else {
                 return;
             };
-            let Some(room) = self.room(head, now) else {
+            let Some(capacity) = self.capacity(head, now) else {
                 return;
             };
             let since = self.answered_since(head, now);
-            let Some((link, fresh)) = self.connection(since, now) else {
+            let Some((connection_id, fresh)) = self.choose_connection(since, now) else {
                 return;
             };
             let Some(job) = self.queue.take_head() else {
                 return;
             };
-            self.send(job, link, fresh, matches!(room, Room::Beside), now);
+            self.send(
+                job,
+                connection_id,
+                fresh,
+                matches!(capacity, Capacity::OverLimit),
+                now,
+            );
         }
     }
 
-    fn room(&self, head: &job::Job, now: Moment) -> Option<Room> {
-        let mut busy = self.lines.busy();
+    /// Returns the capacity that `head` would use; `None` if it can't be sent now.
+    fn capacity(&self, head: &job::Job, now: Moment) -> Option<Capacity> {
+        let mut calls = self.connections.busy();
         if head.is_trial() {
-            // Nothing else may run where a trial runs: a crash would take it
-            // along and blame it.
-            return busy.next().is_none().then_some(Room::Within);
+            // A trial runs alone: if it crashed the upstream, other calls would be lost
+            // with it and reported as crash suspects.
+            return calls.next().is_none().then_some(Capacity::WithinLimit);
         }
-        if busy.any(|(_, busy)| busy.job.is_trial()) {
+        if calls.any(|(_, call)| call.job.is_trial()) {
             return None;
         }
         if self.free_calls(now) > 0 {
-            return Some(Room::Within);
+            return Some(Capacity::WithinLimit);
         }
         let suspects = self
-            .lines
+            .connections
+            .busy()
+            .filter(|(_, call)| call.suspect && !call.over_limit);
+        let over_limit = self
+            .connections
             .busy()
-            .filter(|(_, busy)| busy.suspect && !busy.beside);
-        let besides = self.lines.busy().filter(|(_, busy)| busy.beside).count();
-        let most = suspects.count().min(self.beside.room);
-        (besides < most && self.beside.from <= now).then_some(Room::Beside)
+            .filter(|(_, call)| call.over_limit)
+            .count();
+        let max = suspects.count().min(self.overcommit.max_calls);
+        (over_limit < max && self.overcommit.allowed_from <= now).then_some(Capacity::OverLimit)
     }
 
-    /// Since when a connection must have answered to carry `job`.
+    /// Returns the earliest time of a last reply with which a connection may carry
+    /// `job`.
     fn answered_since(&self, job: &job::Job, now: Moment) -> Moment {
-        let suspected = self.lines.suspected_since().unwrap_or_default();
+        let suspected = self.connections.suspected_since().unwrap_or_default();
         match job.kind {
             message::Kind::Hedge | message::Kind::Retry => {
-                let within = self.times.slow().unwrap_or(PROVEN).min(PROVEN);
-                let proven = Moment(now.0.saturating_sub(crate::time::micros(within)));
-                suspected.max(proven)
+                let max_age = self
+                    .latency
+                    .slow()
+                    .unwrap_or(MAX_REPLY_AGE)
+                    .min(MAX_REPLY_AGE);
+                let earliest = Moment(now.0.saturating_sub(crate::time::micros(max_age)));
+                suspected.max(earliest)
             }
             _ => suspected,
         }
     }
 
-    /// An idle connection that has answered since `since`, or a new one.
-    fn connection(&mut self, since: Moment, now: Moment) -> Option<(lines::Link, bool)> {
-        if let Some(link) = self.lines.idle(since) {
-            return Some((link, false));
+    /// Returns an idle connection with a reply at `since` or later, else a new one.
+    fn choose_connection(&mut self, since: Moment, now: Moment) -> Option<(connections::Id, bool)> {
+        if let Some(connection_id) = self.connections.idle(since) {
+            return Some((connection_id, false));
         }
-        let most = self.share(now).call_connections() as usize;
-        if self.lines.len() >= most {
-            let stalest = self.lines.stalest()?;
-            self.close(stalest, super::Why::Replaced);
+        let max = self.share(now).call_connections() as usize;
+        if self.connections.len() >= max {
+            let stalest = self.connections.stalest()?;
+            self.close(stalest, super::CloseReason::Replaced);
         }
-        (self.lines.len() < most).then(|| {
-            let link = self.lines.open(lines::Phase::Idle, now);
-            (link, true)
+        (self.connections.len() < max).then(|| {
+            let connection_id = self.connections.open(connections::Phase::Idle, now);
+            (connection_id, true)
         })
     }
 
-    fn send(&mut self, job: job::Job, link: lines::Link, fresh: bool, beside: bool, now: Moment) {
-        let Some(line) = self.lines.get_mut(link) else {
+    fn send(
+        &mut self,
+        job: job::Job,
+        connection_id: connections::Id,
+        fresh: bool,
+        over_limit: bool,
+        now: Moment,
+    ) {
+        let Some(connection) = self.connections.get_mut(connection_id) else {
             return;
         };
-        line.phase = lines::Phase::Busy(lines::Busy {
+        connection.phase = connections::Phase::Busy(connections::Call {
             job: job.clone(),
             sent: now,
             fresh,
-            answering: false,
+            reply_started: false,
             suspect: false,
-            beside,
-            given_up: None,
+            over_limit,
+            abandoned_until: None,
         });
         let time_left = now.until(job.deadline);
         self.actions.push(Action::Send {
-            link,
+            connection_id,
             fresh,
             job,
             time_left,
@@ -221,10 +252,11 @@
     }
 }
 
-/// Time that a call at `position` waits, with `room` calls free of `calls`.
-fn wait(position: usize, room: u32, calls: u32, mean: time::Duration) -> time::Duration {
+/// Returns the estimated wait of a call at queue position `position`, when `calls`
+/// may run at once and `free` more can start now.
+fn wait(position: usize, free: u32, calls: u32, mean: time::Duration) -> time::Duration {
     let position = u32::try_from(position).unwrap_or(u32::MAX);
-    let Some(behind) = position.checked_sub(room) else {
+    let Some(behind) = position.checked_sub(free) else {
         return time::Duration::ZERO;
     };
     mean.saturating_mul(behind.saturating_add(1)) / calls
--- a/crates/geraniumgauge/src/home/state/job.rs
+++ b/crates/geraniumgauge/src/home/state/job.rs
@@ -1,4 +1,4 @@
-//! Calls as a home holds them.
+//! Calls as their home holds them.
 
 use std::sync;
 use std::time;
@@ -8,30 +8,30 @@
 use crate::time::Moment;
 use crate::upstream;
 
-/// Names a call: each VM numbers its own attempts.
+/// Identifies a call: each coordinator numbers its own attempts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// The VM that asks.
-    pub entry: ids::Vm,
-    /// Its number for the call.
+    /// The VM that made the call.
+    pub coordinator: ids::Vm,
+    /// The coordinator's number of the attempt.
     pub attempt: u64,
 }
 
-/// What a call asks of the upstream.
+/// The operation that a call requests from the upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Work {
-    /// A search of one shard, for a query that asks others as well.
+    /// A search of one shard, part of a query over several shards.
     Search {
-        /// What all calls of the query share.
+        /// The data that all calls of the query share.
         batch: sync::Arc<message::Batch>,
-        /// The shard.
+        /// The shard to search.
         shard: ids::Shard,
     },
-    /// A record, to be sent once.
+    /// A record, which is sent at most once.
     Record {
-        /// The record.
+        /// The record to send.
         record: sync::Arc<message::Record>,
-        /// The shard.
+        /// The shard that takes the record.
         shard: ids::Shard,
     },
 }
@@ -39,34 +39,34 @@
 /// A call that waits or runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Its name.
+    /// Identifies the call.
     pub id: Id,
     /// The upstream to call.
     pub upstream: ids::Upstream,
-    /// Why it is made.
+    /// Whether it is a first attempt, a hedge, a retry or an isolated trial.
     pub kind: message::Kind,
-    /// When its answer is of no more use.
+    /// When the answer becomes useless.
     pub deadline: Moment,
-    /// When it reached this home.
+    /// When the call reached this home.
     pub arrived: Moment,
-    /// What it asks.
+    /// The operation to run.
     pub work: Work,
 }
 
 impl Job {
-    /// Whether it may run once only.
+    /// Returns true if the call is a record, which may be sent only once.
     pub fn is_record(&self) -> bool {
         matches!(self.work, Work::Record { .. })
     }
 
-    /// Whether it must run alone.
+    /// Returns true if the call is an isolated trial, alone on its upstream.
     pub fn is_trial(&self) -> bool {
         self.kind == message::Kind::Trial
     }
 
-    /// Its name at the upstream.
+    /// Returns the call's identifier at the upstream.
     pub fn upstream_id(&self) -> String {
-        upstream::call_id(self.request(), &self.id.entry, self.id.attempt)
+        upstream::call_id(self.request(), &self.id.coordinator, self.id.attempt)
     }
 
     fn request(&self) -> &str {
@@ -76,39 +76,39 @@
         }
     }
 
-    /// Which calls stay where not all can be served: the higher. The same for
-    /// all calls of a request, wherever they wait. A hedge goes first: another
-    /// call of its shard is under way.
+    /// Returns the call's rank under overload: calls of lower rank are refused first.
+    /// All calls of a request rank the same at every home, except hedges: these are
+    /// refused first, because another call for their shard is under way.
     pub fn rank(&self) -> Rank {
         Rank {
             needed: self.kind != message::Kind::Hedge,
-            draw: xxhash_rust::xxh3::xxh3_64(self.request().as_bytes()),
+            hash: xxhash_rust::xxh3::xxh3_64(self.request().as_bytes()),
         }
     }
 }
 
-/// Rank of a request among those that compete for an upstream.
+/// Rank of a call among those that compete for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// No other call does the same.
+    /// Set unless the call is a hedge.
     needed: bool,
-    /// As good as random, but equal wherever it is drawn.
-    draw: u64,
+    /// Hash of the request's identifier: a random order that all homes agree on.
+    hash: u64,
 }
 
-/// What became of a call, for the VM that asked.
+/// The result of a call, for its coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The call.
+    /// The call that ended.
     pub job: Job,
-    /// What happened.
+    /// How the call ended.
     pub outcome: message::Outcome,
-    /// The upstream's reply, where there is one.
+    /// The upstream's reply, if there is one.
     pub reply: Option<upstream::Reply>,
-    /// Time it waited here.
+    /// Time the call waited at this home.
     pub queued: time::Duration,
-    /// Time the upstream took; zero where it was not sent.
+    /// Time since the call was sent; zero if it was not sent.
     pub ran: time::Duration,
-    /// How long until another try may fit; zero where not known.
+    /// Delay after which a retry may succeed; zero if not known.
     pub retry_after: time::Duration,
 }
--- a/crates/geraniumgauge/src/home/state/limit.rs
+++ b/crates/geraniumgauge/src/home/state/limit.rs
@@ -1,34 +1,35 @@
-//! How many calls may run at once: at most the slots, fewer where the upstream
-//! shows that it can't take them.
+//! Adaptive concurrency limit: at most the upstream's slots, fewer while the
+//! upstream refuses or fails calls.
 
 use std::time;
 
 use crate::time::Moment;
 
-/// What a success adds to the limit.
-const GROWTH: f64 = 0.125;
-/// What is left of the limit after the upstream refused or failed a call.
-const CUT: f64 = 0.7;
-/// First pause after a refusal at a limit of one call; doubled each time.
-const PAUSE: time::Duration = time::Duration::from_millis(5);
-/// Doublings of the pause at most.
-const DOUBLINGS: u32 = 6;
+/// Added to the limit on each success.
+const INCREASE: f64 = 0.125;
+/// The limit is multiplied by this when the upstream refuses or fails a call.
+const DECREASE_FACTOR: f64 = 0.7;
+/// First delay after a failure at a limit of one call; doubled each time.
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(5);
+/// Maximum number of times the delay is doubled.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// Weight of one call in the share of sheds.
-const WEIGHT: f64 = 1.0 / 16.0;
-/// How long an upstream that sheds everything is best left alone.
-const LEAVE: time::Duration = time::Duration::from_secs(2);
+/// Weight of one call in the moving share of calls that were refused or failed.
+const FAILED_SHARE_WEIGHT: f64 = 1.0 / 16.0;
+/// Suggested retry delay for an upstream that sheds every call.
+const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(2);
 
-/// Additive increase, multiplicative decrease, between one call and the slots.
+/// Concurrency limit between one call and the number of slots, with additive
+/// increase and multiplicative decrease.
 #[derive(Debug)]
 pub(super) struct Limit {
     slots: u32,
     limit: f64,
-    refusals: u32,
-    paused_until: Moment,
-    cut_at: Moment,
-    /// Share of the last calls that were shed.
-    shed: f64,
+    backoffs: u32,
+    backoff_until: Moment,
+    decreased_at: Moment,
+    /// Moving share of recent calls that were refused or failed.
+    failed_share: f64,
 }
 
 impl Limit {
@@ -36,55 +37,55 @@
         Self {
             slots,
             limit: f64::from(slots),
-            refusals: 0,
-            paused_until: Moment::default(),
-            cut_at: Moment::default(),
-            shed: 0.0,
+            backoffs: 0,
+            backoff_until: Moment::default(),
+            decreased_at: Moment::default(),
+            failed_share: 0.0,
         }
     }
 
-    /// Calls that may run now, before pauses: at least one.
+    /// Returns how many calls may run at once, at least one; ignores the backoff.
     pub(super) fn calls(&self) -> u32 {
-        // Truncation is meant: a limit of 1.9 lets one call run.
+        // Truncation is intended: a limit of 1.9 lets one call run.
         (self.limit as u32).clamp(1, self.slots)
     }
 
-    /// When the present pause ends.
-    pub(super) fn paused_until(&self) -> Moment {
-        self.paused_until
+    /// Returns when the current backoff ends; no call is sent before.
+    pub(super) fn backoff_until(&self) -> Moment {
+        self.backoff_until
     }
 
-    /// How long calls had better go elsewhere after a shed. One shed says
-    /// little; of an upstream that keeps shedding, each call that comes back
-    /// costs its entry a retry from a small budget.
-    pub(super) fn leave_alone(&self) -> time::Duration {
-        LEAVE.mul_f64(self.shed)
+    /// Returns how long callers should avoid this upstream after a shed call. A single
+    /// shed has little weight. If the upstream keeps shedding, each call sent to it
+    /// costs the coordinator a retry from a small budget.
+    pub(super) fn retry_after(&self) -> time::Duration {
+        MAX_RETRY_AFTER.mul_f64(self.failed_share)
     }
 
     pub(super) fn succeeded(&mut self) {
-        self.refusals = 0;
-        self.shed -= self.shed * WEIGHT;
-        self.limit = (self.limit + GROWTH).min(f64::from(self.slots));
+        self.backoffs = 0;
+        self.failed_share -= self.failed_share * FAILED_SHARE_WEIGHT;
+        self.limit = (self.limit + INCREASE).min(f64::from(self.slots));
     }
 
-    /// The upstream refused a call or failed it. Calls sent before the last
-    /// cut tell of the old limit and don't cut again.
+    /// The upstream refused or failed a call. Calls sent before the last decrease ran
+    /// under the old limit and don't decrease it again.
     pub(super) fn failed(&mut self, sent: Moment, now: Moment) {
-        self.shed += (1.0 - self.shed) * WEIGHT;
-        if sent < self.cut_at {
+        self.failed_share += (1.0 - self.failed_share) * FAILED_SHARE_WEIGHT;
+        if sent < self.decreased_at {
             return;
         }
-        self.cut_at = now;
+        self.decreased_at = now;
         if self.limit < 2.0 {
-            let pause = PAUSE * 2_u32.pow(self.refusals.min(DOUBLINGS));
-            self.refusals += 1;
-            self.paused_until = now + pause;
+            let backoff = INITIAL_BACKOFF * 2_u32.pow(self.backoffs.min(MAX_BACKOFF_DOUBLINGS));
+            self.backoffs += 1;
+            self.backoff_until = now + backoff;
         }
-        self.limit = (self.limit * CUT).max(1.0);
+        self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
     }
 
-    /// The upstream has just started: it is loaded step by step.
-    pub(super) fn cold(&mut self) {
+    /// The upstream has just started: the limit starts at one and grows from there.
+    pub(super) fn slow_start(&mut self) {
         self.limit = 1.0;
     }
 }
--- a/crates/geraniumgauge/src/home/state/mod.rs
+++ b/crates/geraniumgauge/src/home/state/mod.rs
@@ -1,25 +1,25 @@
-//! What a home decides about one upstream, without any I/O.
+//! Scheduling of calls for one upstream at one of its homes, without any I/O.
 //!
-//! One [`State`] holds the upstream's queue, connections and limit. Each event
-//! is followed by the same round: what has fallen due is settled, connections
-//! are kept in order, and waiting calls are sent while there is room.
+//! One [`State`] holds the upstream's queue, connections and limit. After each
+//! event it checks running calls, refuses waiting calls that can't be served,
+//! sends waiting calls while there is capacity, and maintains the connections.
 
+mod availability;
+mod connections;
 mod dispatch;
 mod job;
+mod latency;
 mod limit;
-mod lines;
+mod maintenance;
 mod queue;
 mod running;
 mod share;
-mod standing;
-mod times;
-mod upkeep;
 
+pub use connections::Id as ConnectionId;
 pub use job::Answer;
 pub use job::Id;
 pub use job::Job;
 pub use job::Work;
-pub use lines::Link;
 pub use share::Share;
 
 use std::time;
@@ -31,181 +31,192 @@
 use crate::time::Moment;
 use crate::upstream;
 
-/// How long a VM that is no home any more still serves calls, from other VMs
-/// whose view is behind. Longer than a view takes to spread.
+/// How long a VM still serves calls after it stopped being a home: other VMs may
+/// still see it as one. Longer than a view takes to spread.
 pub const MOVE_GRACE: time::Duration = time::Duration::from_secs(2);
-/// How long calls for an upstream that its layout no longer lists are still
-/// sent: queries under way have pinned the older layout.
+/// How long calls are still sent to an upstream after a layout no longer lists it:
+/// queries under way have pinned the older layout.
 pub const UNLISTED_GRACE: time::Duration = time::Duration::from_secs(1);
-/// Calls that wait at most.
+/// Maximum number of waiting calls.
 pub const QUEUE_LIMIT: usize = 4096;
 
-/// What happens to a home's upstream.
+/// An event that [`State::handle`] processes.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A call came in.
+    /// A call has arrived.
     Call(Job),
     /// A call is no longer wanted.
     Cancel(Id),
-    /// The link to a VM is gone: its calls can't be answered.
-    EntryLost(ids::Vm),
-    /// A reply has begun.
-    Heard(Link),
+    /// The mesh link to a VM is lost, so its calls can no longer be answered.
+    CoordinatorLost(ids::Vm),
+    /// The first byte of a reply has arrived.
+    ReplyStarted(ConnectionId),
     /// A call has ended.
     Finished {
-        /// The connection that carried it.
-        link: Link,
-        /// How it ended.
+        /// The connection that carried the call.
+        connection_id: ConnectionId,
+        /// The reply, or how the call failed.
         reply: upstream::Reply,
     },
-    /// The upstream was asked to stop the call on this connection.
+    /// A request to cancel the call on a connection has ended.
     Cancelled {
-        /// The connection.
-        link: Link,
-        /// Whether it could be asked.
-        asked: bool,
+        /// The connection that carries the call.
+        connection_id: ConnectionId,
+        /// Set when the upstream answered the request.
+        answered: bool,
     },
-    /// A connection was asked for a report.
-    Proved {
-        /// The connection.
-        link: Link,
-        /// What it answered.
+    /// A health check of a call connection has ended.
+    Checked {
+        /// The connection that was checked.
+        connection_id: ConnectionId,
+        /// The upstream's health report, or why there is none.
         report: Report,
     },
-    /// The control connection was asked for a report.
+    /// A probe over the control connection has ended.
     Probed {
-        /// When it was asked.
+        /// When the probe was sent.
         began: Moment,
-        /// What it answered.
+        /// The upstream's health report, or why there is none.
         report: Report,
     },
-    /// What this VM is to the upstream has changed.
+    /// This VM's role for the upstream has changed.
     Role(Option<placement::Role>),
-    /// Whether the newest layout lists the upstream.
+    /// The newest layout lists the upstream (true) or no longer does (false).
     Listed(bool),
     /// This VM is stopping.
     Leave,
-    /// Time has passed.
+    /// A timer fired; due work is done after every event.
     Tick,
 }
 
-/// The upstream's answer to a request for a report.
+/// The result of a request for a health report: `None` if the upstream answered with
+/// something else.
 pub type Report = Result<Option<upstream::Health>, upstream::Unanswered>;
 
-/// What is to be done.
+/// An action that the caller of [`State::handle`] carries out.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Send a call on a connection.
+    /// Sends a call on a connection.
     Send {
-        /// The connection; not opened yet where `fresh`.
-        link: Link,
-        /// Whether it is a new one.
+        /// The connection to use.
+        connection_id: ConnectionId,
+        /// Set when the connection has still to be opened.
         fresh: bool,
-        /// The call.
+        /// The call to send.
         job: Job,
-        /// The time it has left.
+        /// Time left until the call's deadline.
         time_left: time::Duration,
     },
-    /// Ask for a report on a call connection.
-    Prove {
-        /// The connection; not opened yet where `fresh`.
-        link: Link,
-        /// Whether it is a new one.
+    /// Requests a health report on a call connection.
+    Check {
+        /// The connection to use.
+        connection_id: ConnectionId,
+        /// Set when the connection has still to be opened.
         fresh: bool,
     },
-    /// Ask for a report on the control connection.
+    /// Requests a health report on the control connection.
     Probe,
-    /// Ask the upstream, over the control connection, to stop a call.
-    CancelAt {
+    /// Asks the upstream to stop a call, over the control connection.
+    Cancel {
         /// The connection that carries the call.
-        link: Link,
-        /// The call's name at the upstream.
-        id: String,
+        connection_id: ConnectionId,
+        /// The call's identifier at the upstream.
+        call_id: String,
     },
-    /// Close a connection.
+    /// Closes a connection.
     Close {
-        /// The connection.
-        link: Link,
-        /// Why.
-        why: Why,
+        /// The connection to close.
+        connection_id: ConnectionId,
+        /// Why it is closed.
+        reason: CloseReason,
     },
-    /// Tell the entry what became of a call.
+    /// Sends the result of a call to its coordinator.
     Answer(Answer),
 }
 
-/// Why a connection is closed.
+/// Why a connection is closed; shown as a metric label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(derive_more::Display)]
-pub enum Why {
-    /// It isn't needed.
+pub enum CloseReason {
+    /// It is no longer needed.
     #[display("idle")]
     Idle,
-    /// It broke, or carried a reply to something else.
+    /// It failed, or carried a reply that belongs to another call.
     #[display("broken")]
     Broken,
-    /// It stays silent.
+    /// The upstream did not answer on it in time.
     #[display("silent")]
     Silent,
-    /// Another takes its place.
+    /// It is closed to make way for another connection.
     #[display("replaced")]
     Replaced,
 }
 
-/// One upstream at one home.
+/// One upstream as seen by one of its homes.
 #[derive(Debug)]
 pub struct State {
     upstream: layout::Upstream,
     role: Option<placement::Role>,
-    /// When this VM stopped being a home; `None` where it never was one.
-    moved: Option<Moment>,
-    unlisted: Option<Moment>,
+    /// When this VM stopped being a home; `None` if it never did.
+    role_lost_at: Option<Moment>,
+    /// When the newest layout stopped listing the upstream; `None` while listed.
+    unlisted_since: Option<Moment>,
     leaving: bool,
     queue: queue::Queue,
-    lines: lines::Lines,
+    connections: connections::Pool,
     limit: limit::Limit,
-    times: times::Times,
-    standing: standing::Standing,
-    probe: upkeep::Probe,
-    beside: dispatch::Beside,
-    /// The latest moment at which something was sent that has been answered.
-    proof: Moment,
+    latency: latency::Latency,
+    availability: availability::Tracker,
+    probe: maintenance::Probe,
+    overcommit: dispatch::Overcommit,
+    /// Send time of the latest call or health request that has been answered.
+    latest_answered_send: Moment,
     actions: Vec<Action>,
 }
 
 impl State {
-    /// A home of `upstream` in `role`; it has no connection yet.
+    /// Creates the state for a home in `role`, without any connection.
     pub fn new(upstream: layout::Upstream, role: Option<placement::Role>, now: Moment) -> Self {
         Self {
             limit: limit::Limit::new(upstream.slots),
             upstream,
             role,
-            moved: None,
-            unlisted: None,
+            role_lost_at: None,
+            unlisted_since: None,
             leaving: false,
             queue: queue::Queue::default(),
-            lines: lines::Lines::default(),
-            times: times::Times::new(),
-            standing: standing::Standing::new(now),
-            probe: upkeep::Probe::new(now),
-            beside: dispatch::Beside::default(),
-            proof: Moment::default(),
+            connections: connections::Pool::default(),
+            latency: latency::Latency::new(),
+            availability: availability::Tracker::new(now),
+            probe: maintenance::Probe::new(now),
+            overcommit: dispatch::Overcommit::default(),
+            latest_answered_send: Moment::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes one event.
+    /// Processes one event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Moment) -> Vec<Action> {
         match event {
             Event::Call(job) => self.call(job, now),
             Event::Cancel(id) => self.cancel(&id, now),
-            Event::EntryLost(vm) => self.entry_lost(&vm, now),
-            Event::Heard(link) => self.heard(link),
-            Event::Finished { link, reply } => self.finished(link, reply, now),
-            Event::Cancelled { link, asked } => self.cancelled(link, asked, now),
-            Event::Proved { link, report } => self.proved(link, report, now),
+            Event::CoordinatorLost(vm) => self.coordinator_lost(&vm, now),
+            Event::ReplyStarted(connection_id) => self.reply_started(connection_id),
+            Event::Finished {
+                connection_id,
+                reply,
+            } => self.finished(connection_id, reply, now),
+            Event::Cancelled {
+                connection_id,
+                answered,
+            } => self.cancelled(connection_id, answered, now),
+            Event::Checked {
+                connection_id,
+                report,
+            } => self.checked(connection_id, report, now),
             Event::Probed { began, report } => self.probed(began, report, now),
-            Event::Role(role) => self.take_role(role, now),
-            Event::Listed(listed) => self.listed(listed, now),
+            Event::Role(role) => self.set_role(role, now),
+            Event::Listed(listed) => self.set_listed(listed, now),
             Event::Leave => self.leaving = true,
             Event::Tick => {}
         }
@@ -213,74 +224,79 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether nothing waits or runs.
+    /// Returns true if no call waits or runs.
     pub fn is_idle(&self) -> bool {
         self.queue.len() == 0 && self.running() == 0
     }
 
-    /// Calls whose answer is open.
+    /// Returns the number of running calls that are not yet answered.
     pub fn running(&self) -> usize {
-        let busy = self.lines.busy();
-        busy.filter(|(_, busy)| busy.given_up.is_none()).count()
+        let calls = self.connections.busy();
+        calls
+            .filter(|(_, call)| call.abandoned_until.is_none())
+            .count()
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Connections held for calls.
+    /// Returns the number of call connections.
     pub fn connections(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
-    /// The upstream, as this home was told of it.
+    /// Returns the upstream's layout entry that this state was created with.
     pub fn upstream(&self) -> &layout::Upstream {
         &self.upstream
     }
 
-    /// What this VM is to the upstream.
+    /// Returns this VM's role for the upstream.
     pub fn role(&self) -> Option<placement::Role> {
         self.role
     }
 
-    /// Whether the newest layout lists the upstream.
+    /// Returns true if the newest layout lists the upstream.
     pub fn is_listed(&self) -> bool {
-        self.unlisted.is_none()
+        self.unlisted_since.is_none()
     }
 
-    /// Whether this VM holds nothing of the upstream and is no home of it.
-    pub fn is_over(&self, now: Moment) -> bool {
-        let served = self.is_idle() && self.lines.len() == 0;
-        served && (self.share(now).connections == 0 || self.is_unlisted(now))
+    /// Returns true if this state can be dropped: no calls, no connections, and this
+    /// VM is no longer a home of the upstream or no layout lists it.
+    pub fn is_finished(&self, now: Moment) -> bool {
+        let is_empty = self.is_idle() && self.connections.len() == 0;
+        is_empty && (self.share(now).connections == 0 || self.is_unlisted(now))
     }
 
-    /// The means this home may use now.
+    /// Returns the connections and calls that this home may use now.
     pub fn share(&self, now: Moment) -> Share {
-        let staying = self.moved.is_some_and(|moved| now < moved + MOVE_GRACE);
+        let in_grace = self
+            .role_lost_at
+            .is_some_and(|since| now < since + MOVE_GRACE);
         let role = match self.role {
-            None if staying => Some(placement::Role::Next),
+            None if in_grace => Some(placement::Role::Reserve),
             role => role,
         };
         Share::of(&self.upstream, role)
     }
 
     fn is_unlisted(&self, now: Moment) -> bool {
-        self.unlisted
+        self.unlisted_since
             .is_some_and(|since| since + UNLISTED_GRACE <= now)
     }
 
-    /// One round, after each event.
+    /// Does all work that is due; called after each event.
     fn advance(&mut self, now: Moment) {
-        self.standing.tick(now);
-        self.settle_running(now);
-        self.settle_waiting(now);
+        self.availability.tick(now);
+        self.check_running(now);
+        self.refuse_unservable(now);
         self.dispatch(now);
-        self.keep_connections(now);
+        self.maintain_connections(now);
     }
 
     fn call(&mut self, job: Job, now: Moment) {
-        if self.queue.contains(&job.id) || self.lines.carrying(&job.id).is_some() {
+        if self.queue.contains(&job.id) || self.connections.carrying(&job.id).is_some() {
             return;
         }
         if self.queue.len() >= QUEUE_LIMIT {
@@ -293,41 +309,43 @@
         if let Some(job) = self.queue.remove(id) {
             return self.refuse(job, message::Outcome::Cancelled, now);
         }
-        let Some(link) = self.lines.carrying(id) else {
+        let Some(connection_id) = self.connections.carrying(id) else {
             return;
         };
-        let Some(busy) = self.lines.busy_mut(link) else {
+        let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
-        // A record that was sent can't be called back: its effect may stand.
-        if busy.job.is_record() {
+        // A record that was sent can't be undone: it may take effect.
+        if call.job.is_record() {
             return;
         }
-        let answer = busy.answer(message::Outcome::Cancelled, None, now);
+        let answer = call.answer(message::Outcome::Cancelled, None, now);
         self.actions.push(Action::Answer(answer));
-        self.give_up(link, now);
+        self.abandon(connection_id, now);
     }
 
-    fn entry_lost(&mut self, vm: &ids::Vm, now: Moment) {
-        self.queue.remove_entry(vm);
-        let of_entry = self.lines.busy().filter(|(_, busy)| {
-            busy.job.id.entry == *vm && !busy.job.is_record() && busy.given_up.is_none()
+    fn coordinator_lost(&mut self, vm: &ids::Vm, now: Moment) {
+        self.queue.remove_coordinator(vm);
+        let of_coordinator = self.connections.busy().filter(|(_, call)| {
+            call.job.id.coordinator == *vm
+                && !call.job.is_record()
+                && call.abandoned_until.is_none()
         });
-        let links: Vec<_> = of_entry.map(|(link, _)| link).collect();
-        for link in links {
-            self.give_up(link, now);
+        let connection_ids: Vec<_> = of_coordinator.map(|(id, _)| id).collect();
+        for connection_id in connection_ids {
+            self.abandon(connection_id, now);
         }
     }
 
-    fn take_role(&mut self, role: Option<placement::Role>, now: Moment) {
+    fn set_role(&mut self, role: Option<placement::Role>, now: Moment) {
         if role.is_none() && self.role.is_some() {
-            self.moved = Some(now);
+            self.role_lost_at = Some(now);
         }
         self.role = role;
     }
 
-    fn listed(&mut self, listed: bool, now: Moment) {
-        self.unlisted = match (listed, self.unlisted) {
+    fn set_listed(&mut self, listed: bool, now: Moment) {
+        self.unlisted_since = match (listed, self.unlisted_since) {
             (true, _) => None,
             (false, since) => since.or(Some(now)),
         };
@@ -337,7 +355,7 @@
     fn refuse(&mut self, job: Job, outcome: message::Outcome, now: Moment) {
         let queued = now.since(job.arrived);
         let retry_after = match outcome {
-            message::Outcome::Late => self.wait_of(self.queue.len(), now),
+            message::Outcome::Late => self.wait_at(self.queue.len(), now),
             _ => time::Duration::ZERO,
         };
         self.actions.push(Action::Answer(Answer {
--- a/crates/geraniumgauge/src/home/state/queue.rs
+++ b/crates/geraniumgauge/src/home/state/queue.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for a slot, the most urgent first.
+//! Calls that wait for a slot, the earliest deadline first.
 
 use std::cmp;
 use std::collections;
@@ -7,14 +7,15 @@
 use crate::ids;
 use crate::time::Moment;
 
-type Place = (Moment, u64);
+/// Deadline of a call and its number by arrival.
+type Key = (Moment, u64);
 
-/// A queue ordered by deadline, then by arrival. A lone trial goes first.
+/// A queue ordered by deadline, then by arrival. Isolated trials go first.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    jobs: collections::BTreeMap<Place, job::Job>,
-    places: collections::HashMap<job::Id, Place>,
-    trials: collections::BTreeSet<Place>,
+    jobs: collections::BTreeMap<Key, job::Job>,
+    keys: collections::HashMap<job::Id, Key>,
+    trials: collections::BTreeSet<Key>,
     arrivals: u64,
 }
 
@@ -24,22 +25,22 @@
     }
 
     pub(super) fn contains(&self, id: &job::Id) -> bool {
-        self.places.contains_key(id)
+        self.keys.contains_key(id)
     }
 
     pub(super) fn insert(&mut self, job: job::Job) {
         self.arrivals += 1;
-        let place = (job.deadline, self.arrivals);
+        let key = (job.deadline, self.arrivals);
         if job.is_trial() {
-            self.trials.insert(place);
+            self.trials.insert(key);
         }
-        self.places.insert(job.id.clone(), place);
-        self.jobs.insert(place, job);
+        self.keys.insert(job.id.clone(), key);
+        self.jobs.insert(key, job);
     }
 
-    /// The call to run next.
+    /// Returns the next call to run.
     pub(super) fn head(&self) -> Option<&job::Job> {
-        let trial = self.trials.first().and_then(|place| self.jobs.get(place));
+        let trial = self.trials.first().and_then(|key| self.jobs.get(key));
         trial.or_else(|| self.jobs.values().next())
     }
 
@@ -49,50 +50,53 @@
     }
 
     pub(super) fn remove(&mut self, id: &job::Id) -> Option<job::Job> {
-        let place = self.places.remove(id)?;
-        self.trials.remove(&place);
-        self.jobs.remove(&place)
+        let key = self.keys.remove(id)?;
+        self.trials.remove(&key);
+        self.jobs.remove(&key)
     }
 
-    /// The earliest deadline.
-    pub(super) fn earliest(&self) -> Option<Moment> {
+    /// Returns the earliest deadline of all waiting calls.
+    pub(super) fn earliest_deadline(&self) -> Option<Moment> {
         self.jobs.keys().next().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes out every call.
+    /// Removes and returns every call.
     pub(super) fn drain(&mut self) -> Vec<job::Job> {
-        self.places.clear();
+        self.keys.clear();
         self.trials.clear();
         std::mem::take(&mut self.jobs).into_values().collect()
     }
 
-    /// Takes out as few calls as it takes for all others to fit, where `unfit`
-    /// tells by position and deadline whether a call comes too late.
+    /// Removes and returns as few calls as possible so that all others meet their
+    /// deadlines. `too_late` decides by queue position and deadline.
     ///
-    /// Any call ahead of one that comes too late could make room for it. The
-    /// one of lowest rank goes, and a query has the same rank at every home.
-    /// If each home dropped its latest call instead, each would drop others: at
+    /// Removing any call ahead of a late one could let the late one fit. The call of
+    /// lowest rank is removed, and a query has the same rank at every home. If each
+    /// home removed its latest call instead, homes would refuse different queries: at
     /// twice the capacity, nearly every query over 8 shards would lose one.
-    pub(super) fn refuse(&mut self, unfit: impl Fn(usize, Moment) -> bool) -> Vec<job::Job> {
-        let late = |(position, job): (usize, &job::Job)| unfit(position, job.deadline);
-        if !self.jobs.values().enumerate().any(late) {
+    pub(super) fn remove_late(
+        &mut self,
+        too_late: impl Fn(usize, Moment) -> bool,
+    ) -> Vec<job::Job> {
+        let is_late = |(position, job): (usize, &job::Job)| too_late(position, job.deadline);
+        if !self.jobs.values().enumerate().any(is_late) {
             return Vec::new();
         }
         let mut kept = collections::BinaryHeap::new();
         let mut refused = Vec::new();
         for job in self.jobs.values() {
             kept.push(cmp::Reverse((job.rank(), &job.id)));
-            if unfit(kept.len() - 1, job.deadline) {
+            if too_late(kept.len() - 1, job.deadline) {
                 refused.extend(kept.pop().map(|cmp::Reverse((_, id))| id.clone()));
             }
         }
         refused.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Takes out the calls of one VM.
-    pub(super) fn remove_entry(&mut self, entry: &ids::Vm) -> Vec<job::Job> {
-        let of_entry = self.places.keys().filter(|id| id.entry == *entry);
-        let ids: Vec<_> = of_entry.cloned().collect();
+    /// Removes and returns the calls of one coordinator.
+    pub(super) fn remove_coordinator(&mut self, coordinator: &ids::Vm) -> Vec<job::Job> {
+        let of_coordinator = self.keys.keys().filter(|id| id.coordinator == *coordinator);
+        let ids: Vec<_> = of_coordinator.cloned().collect();
         ids.iter().filter_map(|id| self.remove(id)).collect()
     }
 }
--- a/crates/geraniumgauge/src/home/state/running.rs
+++ b/crates/geraniumgauge/src/home/state/running.rs
@@ -1,225 +1,247 @@
-//! Calls that run: their end, their deadline, and connections that stay silent.
+//! Running calls: replies, deadlines, cancellation and silent connections.
 
 use std::time;
 
 use super::Action;
+use super::CloseReason;
 use super::State;
-use super::Why;
+use super::connections;
 use super::job;
-use super::lines;
 use crate::home::placement;
 use crate::mesh::message;
 use crate::time::Moment;
 use crate::upstream;
 
-/// A call is suspect after this many times the time that few calls exceed.
+/// A call without a reply is suspect after this multiple of the p95 latency.
 const SUSPECT_FACTOR: u32 = 2;
-/// A suspect is cut after this many times that again.
-const CUT_FACTOR: u32 = 2;
-/// Least time until a call is suspect.
-const SUSPECT_LEAST: time::Duration = time::Duration::from_millis(10);
-/// Time until a call is suspect, while healthy times aren't known.
-const SUSPECT_UNKNOWN: time::Duration = time::Duration::from_millis(200);
-/// How long the upstream may take to end a call that it was asked to stop.
-const CANCEL_GRACE: time::Duration = time::Duration::from_millis(300);
-/// The same, once it has answered that request.
-const CANCELLED_GRACE: time::Duration = time::Duration::from_millis(50);
-/// How long past its deadline a record's result is waited for: it settles
-/// whether the record was run.
+/// A suspect call may be ended after this multiple of the time until it is suspect.
+const SILENCE_FACTOR: u32 = 2;
+/// Minimum time until a call is suspect.
+const MIN_SUSPECT_DELAY: time::Duration = time::Duration::from_millis(10);
+/// Time until a call is suspect while the upstream's latency isn't known yet.
+const DEFAULT_SUSPECT_DELAY: time::Duration = time::Duration::from_millis(200);
+/// How long the upstream may take to end a call after it was asked to stop it.
+const CANCEL_TIMEOUT: time::Duration = time::Duration::from_millis(300);
+/// How long it may take once it has answered that request.
+const CANCEL_ANSWERED_TIMEOUT: time::Duration = time::Duration::from_millis(50);
+/// How long past its deadline a record's result is awaited, as it shows whether the
+/// record was run.
 pub(super) const RECORD_GRACE: time::Duration = time::Duration::from_secs(5);
 
 impl State {
-    /// When a call without a byte of reply becomes suspect.
-    pub(super) fn suspect_after(&self) -> time::Duration {
-        let slow = self.times.slow().map(|slow| slow * SUSPECT_FACTOR);
-        slow.unwrap_or(SUSPECT_UNKNOWN).max(SUSPECT_LEAST)
+    /// Returns the time after which a call without any reply is suspect.
+    pub(super) fn suspect_delay(&self) -> time::Duration {
+        let slow = self.latency.slow().map(|slow| slow * SUSPECT_FACTOR);
+        slow.unwrap_or(DEFAULT_SUSPECT_DELAY).max(MIN_SUSPECT_DELAY)
     }
 
-    /// When a suspect may be cut. The baseline that calls upstreams directly
-    /// waits for the deadline, as a plain client does.
-    pub(super) fn cut_after(&self) -> time::Duration {
+    /// Returns the time after which a suspect call may be ended. In the direct baseline
+    /// calls run until their deadline, as with a plain client.
+    pub(super) fn silence_timeout(&self) -> time::Duration {
         match self.role() {
             Some(placement::Role::Direct) => time::Duration::MAX,
-            _ => self.suspect_after() * CUT_FACTOR,
+            _ => self.suspect_delay() * SILENCE_FACTOR,
         }
     }
 
-    pub(super) fn heard(&mut self, link: lines::Link) {
-        if let Some(busy) = self.lines.busy_mut(link) {
-            busy.answering = true;
-            busy.suspect = false;
+    pub(super) fn reply_started(&mut self, connection_id: connections::Id) {
+        if let Some(call) = self.connections.busy_mut(connection_id) {
+            call.reply_started = true;
+            call.suspect = false;
         }
     }
 
-    /// Looks after every running call.
-    pub(super) fn settle_running(&mut self, now: Moment) {
-        let links: Vec<_> = self.lines.busy().map(|(link, _)| link).collect();
-        for link in links {
-            self.settle(link, now);
+    /// Checks every running call.
+    pub(super) fn check_running(&mut self, now: Moment) {
+        let connection_ids: Vec<_> = self.connections.busy().map(|(id, _)| id).collect();
+        for connection_id in connection_ids {
+            self.check_call(connection_id, now);
         }
     }
 
-    fn settle(&mut self, link: lines::Link, now: Moment) {
-        let (suspect_after, cut_after) = (self.suspect_after(), self.cut_after());
-        let down = self.standing.is_down();
-        let proof = self.proof;
-        let Some(busy) = self.lines.busy_mut(link) else {
+    fn check_call(&mut self, connection_id: connections::Id, now: Moment) {
+        let (suspect_delay, silence_timeout) = (self.suspect_delay(), self.silence_timeout());
+        let down = self.availability.is_down();
+        let latest_answered_send = self.latest_answered_send;
+        let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
-        if let Some(until) = busy.given_up {
+        if let Some(until) = call.abandoned_until {
             if until <= now {
-                self.close(link, Why::Silent);
+                self.close(connection_id, CloseReason::Silent);
             }
             return;
         }
-        if !busy.answering && busy.age(now) >= suspect_after {
-            busy.suspect = true;
+        if !call.reply_started && call.age(now) >= suspect_delay {
+            call.suspect = true;
         }
-        if busy.job.is_record() {
-            return self.settle_record(link, now);
+        if call.job.is_record() {
+            return self.check_record(connection_id, now);
         }
-        if busy.job.deadline <= now {
-            return self.end(link, message::Outcome::Deadline, now);
+        if call.job.deadline <= now {
+            return self.answer_and_abandon(connection_id, message::Outcome::Deadline, now);
         }
-        // Cut only where the upstream is known to answer others, or to answer
-        // nobody: a call that is merely slow keeps its chance.
-        let dead = down || (busy.age(now) >= cut_after && proof > busy.sent);
-        if busy.suspect && dead {
-            let age = busy.age(now);
-            // Counted as longer than seen. Without it an upstream that slows
-            // down as a whole would have every call cut and none counted.
-            self.times.record(age * 2);
-            self.end(link, message::Outcome::Silent, now);
+        // Ended only if the upstream has answered something sent later, or is down: a
+        // call that is merely slow goes on.
+        let silent = down || (call.age(now) >= silence_timeout && latest_answered_send > call.sent);
+        if call.suspect && silent {
+            let age = call.age(now);
+            // Recorded at twice its age. Otherwise, when the whole upstream slows down,
+            // every call would be ended and none would raise the latency estimate.
+            self.latency.record(age * 2);
+            self.answer_and_abandon(connection_id, message::Outcome::Silent, now);
         }
     }
 
-    fn settle_record(&mut self, link: lines::Link, now: Moment) {
-        let Some(busy) = self.lines.busy_mut(link) else {
+    fn check_record(&mut self, connection_id: connections::Id, now: Moment) {
+        let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
-        if busy.job.deadline + RECORD_GRACE <= now {
-            let answer = busy.answer(message::Outcome::Silent, None, now);
+        if call.job.deadline + RECORD_GRACE <= now {
+            let answer = call.answer(message::Outcome::Silent, None, now);
             self.actions.push(Action::Answer(answer));
-            self.close(link, Why::Silent);
+            self.close(connection_id, CloseReason::Silent);
         }
     }
 
-    /// Answers a running search and stops it.
-    fn end(&mut self, link: lines::Link, outcome: message::Outcome, now: Moment) {
-        let Some(busy) = self.lines.busy_mut(link) else {
+    /// Answers a running search and abandons it.
+    fn answer_and_abandon(
+        &mut self,
+        connection_id: connections::Id,
+        outcome: message::Outcome,
+        now: Moment,
+    ) {
+        let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
-        let answer = busy.answer(outcome, None, now);
+        let answer = call.answer(outcome, None, now);
         self.actions.push(Action::Answer(answer));
-        self.give_up(link, now);
+        self.abandon(connection_id, now);
     }
 
-    /// Stops a running search whose answer is given. Its slot stays taken
-    /// until the upstream has let go of it.
-    pub(super) fn give_up(&mut self, link: lines::Link, now: Moment) {
-        let controlled = self.share(now).has_control();
-        let Some(busy) = self.lines.busy_mut(link) else {
+    /// Stops a running search that has been answered. It holds its slot until the
+    /// upstream has ended it.
+    pub(super) fn abandon(&mut self, connection_id: connections::Id, now: Moment) {
+        let has_control = self.share(now).has_control();
+        let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
-        if !controlled {
-            return self.close(link, Why::Replaced);
+        if !has_control {
+            return self.close(connection_id, CloseReason::Replaced);
         }
-        busy.given_up = Some(now + CANCEL_GRACE);
-        let id = busy.job.upstream_id();
-        self.actions.push(Action::CancelAt { link, id });
+        call.abandoned_until = Some(now + CANCEL_TIMEOUT);
+        let call_id = call.job.upstream_id();
+        self.actions.push(Action::Cancel {
+            connection_id,
+            call_id,
+        });
     }
 
-    pub(super) fn cancelled(&mut self, link: lines::Link, asked: bool, now: Moment) {
-        let Some(busy) = self.lines.busy_mut(link) else {
+    pub(super) fn cancelled(
+        &mut self,
+        connection_id: connections::Id,
+        answered: bool,
+        now: Moment,
+    ) {
+        let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
-        let grace = if asked {
-            CANCELLED_GRACE
+        let grace = if answered {
+            CANCEL_ANSWERED_TIMEOUT
         } else {
             time::Duration::ZERO
         };
-        busy.given_up = busy.given_up.map(|until| until.min(now + grace));
+        call.abandoned_until = call.abandoned_until.map(|until| until.min(now + grace));
     }
 
-    pub(super) fn close(&mut self, link: lines::Link, why: Why) {
-        if self.lines.close(link).is_some() {
-            self.actions.push(Action::Close { link, why });
+    pub(super) fn close(&mut self, connection_id: connections::Id, reason: CloseReason) {
+        if self.connections.close(connection_id).is_some() {
+            self.actions.push(Action::Close {
+                connection_id,
+                reason,
+            });
         }
     }
 
-    /// A call has ended.
-    pub(super) fn finished(&mut self, link: lines::Link, reply: upstream::Reply, now: Moment) {
-        let Some(busy) = self.lines.busy_mut(link).cloned() else {
+    /// Processes the end of a call.
+    pub(super) fn finished(
+        &mut self,
+        connection_id: connections::Id,
+        reply: upstream::Reply,
+        now: Moment,
+    ) {
+        let Some(call) = self.connections.busy_mut(connection_id).cloned() else {
             return;
         };
-        self.release(link, reply.reusable, now);
+        self.release(connection_id, reply.reusable, now);
         let answered = !matches!(
             reply.outcome,
             upstream::Outcome::Unsent | upstream::Outcome::Lost
         );
         if answered {
-            self.proof = self.proof.max(busy.sent);
+            self.latest_answered_send = self.latest_answered_send.max(call.sent);
         }
-        if let Some(outcome) = self.learn(&busy, &reply, now)
-            && busy.given_up.is_none()
+        if let Some(outcome) = self.apply_reply(&call, &reply, now)
+            && call.abandoned_until.is_none()
         {
-            let mut answer = busy.answer(outcome, Some(reply), now);
+            let mut answer = call.answer(outcome, Some(reply), now);
             if outcome == message::Outcome::Shed {
-                answer.retry_after = self.times.mean().max(self.limit.leave_alone());
+                answer.retry_after = self.latency.mean().max(self.limit.retry_after());
             }
             self.actions.push(Action::Answer(answer));
         }
     }
 
-    fn release(&mut self, link: lines::Link, reusable: bool, now: Moment) {
+    fn release(&mut self, connection_id: connections::Id, reusable: bool, now: Moment) {
         if !reusable {
-            return self.close(link, Why::Broken);
+            return self.close(connection_id, CloseReason::Broken);
         }
-        if let Some(line) = self.lines.get_mut(link) {
-            line.phase = lines::Phase::Idle;
-            line.proven = now;
-            line.used = now;
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            connection.phase = connections::Phase::Idle;
+            connection.last_reply = now;
+            connection.last_used = now;
         }
     }
 
-    /// Draws conclusions from a reply. `None` where the call waits again.
-    fn learn(
+    /// Updates limit, latency and availability from a reply. Returns the outcome to
+    /// answer with, or `None` if the call was put back in the queue.
+    fn apply_reply(
         &mut self,
-        busy: &lines::Busy,
+        call: &connections::Call,
         reply: &upstream::Reply,
         now: Moment,
     ) -> Option<message::Outcome> {
         match reply.outcome {
             upstream::Outcome::Done => {
-                self.times.record(now.since(busy.sent));
+                self.latency.record(now.since(call.sent));
                 self.limit.succeeded();
-                self.standing.succeeded(busy.sent, now);
-                if busy.beside {
-                    self.beside.succeeded();
+                self.availability.succeeded(call.sent, now);
+                if call.over_limit {
+                    self.overcommit.succeeded();
                 }
                 Some(message::Outcome::Hits)
             }
-            upstream::Outcome::Shed if busy.beside && busy.may_wait_again() => {
-                // Our own doing: it was sent beyond the limit.
-                self.beside.shed(now);
-                self.queue.insert(busy.job.clone());
+            upstream::Outcome::Shed if call.over_limit && call.may_requeue() => {
+                // Shed because this home sent it beyond the limit.
+                self.overcommit.shed(now);
+                self.queue.insert(call.job.clone());
                 None
             }
             upstream::Outcome::Shed => {
-                self.limit.failed(busy.sent, now);
+                self.limit.failed(call.sent, now);
                 Some(message::Outcome::Shed)
             }
             upstream::Outcome::Draining => {
-                self.standing.refused(now);
+                self.availability.refused(now);
                 Some(message::Outcome::Draining)
             }
             upstream::Outcome::Version => Some(message::Outcome::Version),
-            upstream::Outcome::Unsent => self.unsent(busy, now),
+            upstream::Outcome::Unsent => self.unsent(call, now),
             upstream::Outcome::Lost => {
-                // An upstream may end a call that it was asked to stop this way.
-                if busy.given_up.is_none() {
-                    self.standing.broke(now);
-                    self.probe.hasten(now);
+                // An upstream may end a cancelled call by closing the connection.
+                if call.abandoned_until.is_none() {
+                    self.availability.connection_broke(now);
+                    self.probe.make_due(now);
                 }
                 Some(message::Outcome::Lost)
             }
@@ -228,30 +250,31 @@
         }
     }
 
-    /// Nothing was sent. On a new connection, the upstream can't be reached; on
-    /// one that was used before, it had closed it while idle, and a search may
-    /// go on another. A record is never sent again by a home.
-    fn unsent(&mut self, busy: &lines::Busy, now: Moment) -> Option<message::Outcome> {
-        if busy.fresh {
-            self.standing.unreachable(now);
-            self.probe.hasten(now);
+    /// Handles a call that couldn't be sent. On a new connection this means that the
+    /// upstream is unreachable. A used connection was closed by the upstream while
+    /// idle, so a search is queued again for another connection. A home never resends
+    /// a record.
+    fn unsent(&mut self, call: &connections::Call, now: Moment) -> Option<message::Outcome> {
+        if call.fresh {
+            self.availability.unreachable(now);
+            self.probe.make_due(now);
         }
-        if busy.fresh || !busy.may_wait_again() {
+        if call.fresh || !call.may_requeue() {
             return Some(message::Outcome::Unreachable);
         }
-        self.queue.insert(busy.job.clone());
+        self.queue.insert(call.job.clone());
         None
     }
 }
 
-impl lines::Busy {
-    /// Whether a call that was not run may be sent again from here. A record
-    /// is sent by a home once, whatever is known of its fate.
-    fn may_wait_again(&self) -> bool {
-        self.given_up.is_none() && !self.job.is_record()
+impl connections::Call {
+    /// Returns true if a call that was not run may be queued again. A home sends a
+    /// record only once, even if it is known not to have run.
+    fn may_requeue(&self) -> bool {
+        self.abandoned_until.is_none() && !self.job.is_record()
     }
 
-    /// The answer to this call as of `now`.
+    /// Builds the answer to this call as of `now`.
     pub(super) fn answer(
         &self,
         outcome: message::Outcome,
--- a/crates/geraniumgauge/src/home/state/share.rs
+++ b/crates/geraniumgauge/src/home/state/share.rs
@@ -1,46 +1,46 @@
-//! What part of an upstream's means one home may use.
+//! The share of an upstream's connections and slots that one home may use.
 
 use crate::home::placement;
 use crate::layout;
 
-/// Of the upstream's connections, in percent, for its primary home.
-const PRIMARY_PERCENT: u32 = 30;
-/// Of the upstream's connections, in percent, for each other home.
-const OTHER_PERCENT: u32 = 10;
-/// Of the upstream's connections, in percent, for each of eight VMs that call it
+/// Percentage of the upstream's connections for its primary home.
+const PRIMARY_CONNECTIONS_PERCENT: u32 = 30;
+/// Percentage of the upstream's connections for each other home.
+const OTHER_CONNECTIONS_PERCENT: u32 = 10;
+/// Percentage of the upstream's connections for each of eight VMs that call it
 /// directly.
-const DIRECT_PERCENT: u32 = 12;
-/// A home other than the primary runs one call for this many slots.
-const SLOTS_PER_CALL: u32 = 4;
+const DIRECT_CONNECTIONS_PERCENT: u32 = 12;
+/// Homes other than the primary may run one call for each this many slots.
+const OTHER_SLOTS_PER_CALL: u32 = 4;
 
-/// The means of one home.
+/// Connections and concurrent calls of one home.
 ///
-/// In one view there are a primary, a standby and a next home: 50% of the
-/// connections. With two views, each VM goes by one of them, so together their
-/// homes hold at most 100%, whatever the views. The least share of one
-/// connection breaks this for limits under ten connections only.
+/// A view has one primary, one standby and one reserve home, together 50% of the
+/// connections. While VMs differ between two views, each VM follows one of them, so
+/// all homes together hold at most 100%. Only with fewer than ten connections can
+/// the minimum of one connection for each home exceed the upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
-    /// Connections, the one for control among them.
+    /// Maximum number of connections, including the control connection.
     pub connections: u32,
-    /// Calls that run at once.
+    /// Maximum number of calls that run at once.
     pub calls: u32,
 }
 
 impl Share {
-    /// The share of a home in `role`; `None` for a VM that is no home.
+    /// Returns the share of a home in `role`; zero if the VM is no home.
     pub fn of(upstream: &layout::Upstream, role: Option<placement::Role>) -> Self {
         match role {
             Some(placement::Role::Primary) => Self {
-                connections: percent(upstream.connections, PRIMARY_PERCENT),
+                connections: percent(upstream.connections, PRIMARY_CONNECTIONS_PERCENT),
                 calls: upstream.slots,
             },
-            Some(placement::Role::Standby | placement::Role::Next) => Self {
-                connections: percent(upstream.connections, OTHER_PERCENT),
-                calls: (upstream.slots / SLOTS_PER_CALL).max(1),
+            Some(placement::Role::Standby | placement::Role::Reserve) => Self {
+                connections: percent(upstream.connections, OTHER_CONNECTIONS_PERCENT),
+                calls: (upstream.slots / OTHER_SLOTS_PER_CALL).max(1),
             },
             Some(placement::Role::Direct) => Self {
-                connections: percent(upstream.connections, DIRECT_PERCENT),
+                connections: percent(upstream.connections, DIRECT_CONNECTIONS_PERCENT),
                 calls: upstream.slots,
             },
             None => Self {
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Whether one connection is kept for cancelling and reports. With a
-    /// single connection calls come first.
+    /// Returns true if one connection is reserved for cancellation and health reports.
+    /// A home with a single connection uses it for calls.
     pub fn has_control(&self) -> bool {
         self.connections >= 2
     }
 
-    /// Connections for calls.
+    /// Returns the maximum number of call connections.
     pub fn call_connections(&self) -> u32 {
         self.connections - u32::from(self.has_control())
     }
--- a/crates/geraniumgauge/src/home/tests/placement.rs
+++ b/crates/geraniumgauge/src/home/tests/placement.rs
@@ -47,10 +47,10 @@
     }
 }
 
-/// Story: a VM stops. Its upstreams go to the VM that already holds a warm
-/// connection to them, and no other upstream moves.
+/// When a VM stops, its upstreams move to the VM that already holds a warm connection
+/// to them, and no other upstream moves.
 #[test]
-fn the_standby_follows_a_primary_that_leaves() {
+fn the_standby_replaces_a_primary_that_leaves() {
     fn property(number: usize, count: u8) -> bool {
         let count = usize::from(count % 30) + 3;
         let upstream = upstream(number % 1000);
@@ -66,10 +66,10 @@
     crate::seeds::checker().quickcheck(property as fn(usize, u8) -> bool);
 }
 
-/// Story: at 2,200 VMs a search over 240 shards sends one frame to each home;
-/// with homes drawn singly that is some 230 frames a search.
+/// At 2,200 VMs a search over 240 shards sends one frame to each home. If homes were
+/// drawn for each upstream, that would be some 230 frames a search.
 #[test]
-fn a_wide_query_touches_few_homes_and_none_has_all() {
+fn a_wide_query_reaches_few_homes_and_none_has_all_upstreams() {
     let view = view(2200);
     let mut loads = collections::BTreeMap::new();
     for number in 0..240 {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_lone_vm_is_its_own_home() {
+fn a_single_vm_is_its_own_home() {
     let mut view = view(1);
     let homes = Homes::of(&view, &upstream(0), &service());
     assert_eq!((homes.primary.as_str(), homes.standby), ("vm-0", None));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_cache_follows_the_view() {
+fn the_cache_is_cleared_when_the_view_changes() {
     let cache = Cache::default();
     for count in [8, 3, 12] {
         let view = sync::Arc::new(view(count));
--- a/crates/geraniumgauge/src/home/tests/state.rs
+++ b/crates/geraniumgauge/src/home/tests/state.rs
@@ -7,25 +7,25 @@
 use crate::ids;
 use crate::mesh::message::Kind;
 use crate::mesh::message::Outcome;
-use crate::upstream::Outcome as Ended;
+use crate::upstream::Outcome as UpstreamOutcome;
 
-#[path = "fake.rs"]
-mod fake;
-#[path = "stories.rs"]
-mod stories;
+#[path = "scenarios.rs"]
+mod scenarios;
+#[path = "world.rs"]
+mod world;
 
-use fake::Bench;
-use fake::millis;
+use world::World;
+use world::millis;
 
 const PRIMARY: placement::Role = placement::Role::Primary;
 
-/// What a random run has seen, beside what [`Bench`] keeps.
+/// State of a random run, in addition to what [`World`] keeps.
 struct Run {
-    bench: Bench,
+    world: World,
     random: rand::rngs::StdRng,
-    put: Vec<Id>,
+    submitted: Vec<Id>,
     dropped: collections::HashSet<Id>,
-    /// Whether calls may stay without an answer until they are suspect.
+    /// Whether calls may stay unanswered until they are suspect.
     silence: bool,
 }
 
@@ -35,15 +35,15 @@
         let slots = random.random_range(1..5);
         let connections = random.random_range(1..60);
         Self {
-            bench: Bench::new(slots, connections, PRIMARY),
+            world: World::new(slots, connections, PRIMARY),
             random,
-            put: Vec::new(),
+            submitted: Vec::new(),
             dropped: collections::HashSet::new(),
             silence,
         }
     }
 
-    fn kind(&mut self) -> Kind {
+    fn random_kind(&mut self) -> Kind {
         let kinds = [
             Kind::First,
             Kind::First,
@@ -54,121 +54,130 @@
         kinds[self.random.random_range(0..kinds.len())]
     }
 
-    fn ended(&mut self) -> Ended {
+    fn random_outcome(&mut self) -> UpstreamOutcome {
         let ends = [
-            Ended::Shed,
-            Ended::Draining,
-            Ended::Version,
-            Ended::Unsent,
-            Ended::Lost,
-            Ended::Crossed,
-            Ended::Failed,
+            UpstreamOutcome::Shed,
+            UpstreamOutcome::Draining,
+            UpstreamOutcome::Version,
+            UpstreamOutcome::Unsent,
+            UpstreamOutcome::Lost,
+            UpstreamOutcome::Crossed,
+            UpstreamOutcome::Failed,
         ];
         let rare = self.random.random_range(0..ends.len() * 8);
-        ends.get(rare).copied().unwrap_or(Ended::Done)
+        ends.get(rare).copied().unwrap_or(UpstreamOutcome::Done)
     }
 
-    fn some_link(&mut self) -> Option<Link> {
-        let links: Vec<_> = self.bench.flying.keys().copied().collect();
-        let at = self.random.random_range(0..links.len().max(1));
-        links.get(at).copied()
+    fn random_connection(&mut self) -> Option<ConnectionId> {
+        let connection_ids: Vec<_> = self.world.running.keys().copied().collect();
+        let at = self.random.random_range(0..connection_ids.len().max(1));
+        connection_ids.get(at).copied()
     }
 
     fn step(&mut self) {
-        let before = self.bench.sent.len();
+        let before = self.world.sent.len();
         match self.random.random_range(0..100) {
-            0..45 => self.put_call(),
+            0..45 => self.submit_call(),
             45..80 => {
-                if let Some(link) = self.some_link() {
-                    let ended = self.ended();
-                    self.bench.finish(link, ended);
+                if let Some(connection_id) = self.random_connection() {
+                    let outcome = self.random_outcome();
+                    self.world.finish(connection_id, outcome);
                 }
             }
             80..85 => {
-                let at = self.random.random_range(0..self.put.len().max(1));
-                if let Some(id) = self.put.get(at).cloned() {
-                    self.bench.handle(Event::Cancel(id));
+                let at = self.random.random_range(0..self.submitted.len().max(1));
+                if let Some(id) = self.submitted.get(at).cloned() {
+                    self.world.handle(Event::Cancel(id));
                 }
             }
-            85..95 => self.bench.answer_control(),
+            85..95 => self.world.answer_control(),
             _ => {
                 let span = millis(
                     self.random
                         .random_range(1..if self.silence { 400 } else { 4 }),
                 );
-                self.answer_old(span);
-                self.bench.pass(span);
+                self.finish_old(span);
+                self.world.pass(span);
             }
         }
         self.check(before);
     }
 
-    /// Without silence, no call stays unanswered until it is suspect.
-    fn answer_old(&mut self, span: time::Duration) {
-        let now = self.bench.now;
-        let is_old = |link: &Link| now.since(self.bench.since[link]) + span >= millis(10);
-        let flying = self.bench.flying.keys().copied();
-        let mut old: Vec<_> = flying.filter(is_old).collect();
-        while let Some(link) = old.pop().filter(|_| !self.silence) {
-            if self.bench.flying.contains_key(&link) {
-                self.bench.finish(link, Ended::Done);
+    /// Unless silence is allowed, finishes calls before they become suspect.
+    fn finish_old(&mut self, span: time::Duration) {
+        let now = self.world.now;
+        let is_old = |connection_id: &ConnectionId| {
+            now.since(self.world.sent_at[connection_id]) + span >= millis(10)
+        };
+        let running = self.world.running.keys().copied();
+        let mut old: Vec<_> = running.filter(is_old).collect();
+        while let Some(connection_id) = old.pop().filter(|_| !self.silence) {
+            if self.world.running.contains_key(&connection_id) {
+                self.world.finish(connection_id, UpstreamOutcome::Done);
             }
         }
     }
 
-    fn put_call(&mut self) {
+    fn submit_call(&mut self) {
         let deadline = millis(self.random.random_range(1..2000));
         let job = if self.random.random_bool(0.1) {
-            self.bench.record(deadline)
+            self.world.record(deadline)
         } else {
-            let kind = self.kind();
-            self.bench.job(kind, deadline)
+            let kind = self.random_kind();
+            self.world.job(kind, deadline)
         };
-        self.put.push(self.bench.put(job));
+        self.submitted.push(self.world.submit(job));
     }
 
     fn check(&self, before: usize) {
-        let bench = &self.bench;
-        let share = bench.state.share(bench.now);
-        assert!(bench.links.len() <= share.call_connections() as usize);
-        let upstream = bench.state.upstream();
+        let world = &self.world;
+        let share = world.state.share(world.now);
+        assert!(world.open.len() <= share.call_connections() as usize);
+        let upstream = world.state.upstream();
         let calls = upstream.slots as usize;
-        assert!(bench.flying.len() <= if self.silence { 2 * calls } else { calls });
-        let trial = bench.flying.values().any(Job::is_trial);
-        assert!(!trial || bench.flying.len() == 1, "a trial has company");
-        for (id, ..) in &bench.sent[before..] {
-            let earlier = bench.sent[..before].iter().filter(|(sent, ..)| sent == id);
-            let again = earlier.count();
-            let record = bench
-                .flying
+        assert!(world.running.len() <= if self.silence { 2 * calls } else { calls });
+        let trial = world.running.values().any(Job::is_trial);
+        assert!(
+            !trial || world.running.len() == 1,
+            "a trial doesn't run alone"
+        );
+        for (id, ..) in &world.sent[before..] {
+            let earlier = world.sent[..before].iter().filter(|(sent, ..)| sent == id);
+            let sends_before = earlier.count();
+            let record = world
+                .running
                 .values()
                 .any(|job| job.id == *id && job.is_record());
-            assert!(!record || again == 0, "a record is sent twice");
+            assert!(!record || sends_before == 0, "a record is sent twice");
         }
     }
 
     fn finish(mut self) {
         for _ in 0..400 {
-            self.bench.answer_control();
-            if let Some(link) = self.some_link() {
-                self.bench.finish(link, Ended::Done);
+            self.world.answer_control();
+            if let Some(connection_id) = self.random_connection() {
+                self.world.finish(connection_id, UpstreamOutcome::Done);
             }
-            self.bench.pass(millis(20));
+            self.world.pass(millis(20));
         }
-        assert!(self.bench.state.is_idle());
+        assert!(self.world.state.is_idle());
         let mut answered = collections::HashMap::new();
-        for (id, _) in &self.bench.answers {
+        for (id, _) in &self.world.answers {
             *answered.entry(id.clone()).or_insert(0) += 1;
         }
-        for id in self.put.iter().filter(|id| !self.dropped.contains(*id)) {
+        for id in self
+            .submitted
+            .iter()
+            .filter(|id| !self.dropped.contains(*id))
+        {
             assert_eq!(answered.get(id), Some(&1), "{id:?}");
         }
     }
 }
 
-/// Story: replies, cancellations, broken connections and reports come in any
-/// order. No call may stay without an answer or get two; no record may be sent
-/// twice; neither slots nor connections may be overrun; a trial runs alone.
+/// Replies, cancellations, broken connections and reports come in random order. Each
+/// call must get exactly one answer, no record may be sent twice, neither slots nor
+/// connections may be exceeded, and a trial must run alone.
 #[test]
 fn whatever_the_order_of_events_each_call_gets_one_answer() {
     fn property(seed: u64, silence: bool) -> bool {
@@ -184,15 +193,15 @@
         .quickcheck(property as fn(u64, bool) -> bool);
 }
 
-/// Story: two VMs see different members for a while, and each of their homes
-/// opens the connections it may. The upstream closes those above its limit,
-/// with calls on them.
+/// Two groups of VMs have different membership views for a while, and their homes open
+/// the connections that each view allows. Beyond its limit, the upstream would close
+/// connections that carry calls.
 #[test]
 fn homes_of_two_views_stay_within_the_connection_limit() {
     fn property(seed: u64, count: u8, differ: u8, connections: u16) -> bool {
         let mut random = rand::rngs::StdRng::seed_from_u64(seed);
         let count = usize::from(count % 40) + 1;
-        let upstream = fake::server(2, u32::from(connections % 200) + 10);
+        let upstream = world::layout_entry(2, u32::from(connections % 200) + 10);
         let service = "desk".parse().unwrap();
         let all: Vec<_> = (0..count).map(member).collect();
         let views: Vec<_> = (0..2)
@@ -207,13 +216,13 @@
                 crate::member::View::new("vm-0".parse().unwrap(), members)
             })
             .collect();
-        let held = all.iter().map(|member| {
+        let shares = all.iter().map(|member| {
             let view = &views[random.random_range(0..2)];
             let role = placement::role(view, &upstream, &service, &member.vm);
             Share::of(&upstream, role)
         });
         let (mut sum, mut calls) = (0, 0);
-        for share in held {
+        for share in shares {
             sum += share.connections;
             calls += share.calls;
         }
@@ -237,56 +246,58 @@
 #[test]
 fn the_most_urgent_call_is_sent_first() {
     fn property(deadlines: Vec<u16>) -> bool {
-        let mut bench = Bench::new(1, 25, PRIMARY);
-        bench.answer_control();
-        let first = bench.call(millis(10));
+        let mut world = World::new(1, 25, PRIMARY);
+        world.answer_control();
+        let first = world.call(millis(10));
         let mut ids: Vec<_> = deadlines
             .iter()
-            .map(|deadline| (*deadline, bench.call(millis(u64::from(*deadline) + 20))))
+            .map(|deadline| (*deadline, world.call(millis(u64::from(*deadline) + 20))))
             .collect();
         ids.sort_by_key(|(deadline, _)| *deadline);
         let mut order = vec![first];
         order.extend(ids.into_iter().map(|(_, id)| id));
-        while let Some((link, _)) = bench.flying.first_key_value() {
-            let link = *link;
-            bench.finish(link, Ended::Done);
+        while let Some((connection_id, _)) = world.running.first_key_value() {
+            let connection_id = *connection_id;
+            world.finish(connection_id, UpstreamOutcome::Done);
         }
-        let sent: Vec<_> = bench.sent.iter().map(|(id, ..)| id.clone()).collect();
+        let sent: Vec<_> = world.sent.iter().map(|(id, ..)| id.clone()).collect();
         sent == order
     }
     crate::seeds::checker().quickcheck(property as fn(Vec<u16>) -> bool);
 }
 
-/// Story: twice as many searches over 8 shards come in as 8 upstreams can
-/// serve. If each home refuses searches of its own choice, hardly one is
-/// served everywhere, and nearly all the work is for nothing.
+/// Twice as many searches over 8 shards arrive as 8 upstreams can serve. If each home
+/// refused searches of its own choice, hardly any would be served by all homes, and
+/// nearly all work would be wasted.
 #[test]
 fn homes_refuse_the_same_searches() {
     fn property(seed: u64) -> bool {
         let mut random = rand::rngs::StdRng::seed_from_u64(seed);
-        let mut homes: Vec<_> = (0..8).map(|_| Bench::new(2, 25, PRIMARY)).collect();
-        homes.iter_mut().for_each(|home| home.learn(20, millis(20)));
+        let mut homes: Vec<_> = (0..8).map(|_| World::new(2, 25, PRIMARY)).collect();
+        homes
+            .iter_mut()
+            .for_each(|home| home.run_calls(20, millis(20)));
         let mut ends = vec![collections::BTreeMap::new(); homes.len()];
         let queries = 800_u64;
         for step in 0..queries * 5 {
             for (home, ends) in homes.iter_mut().zip(&mut ends) {
                 if step % 5 == 0 {
                     let job = home.job(Kind::First, millis(300));
-                    home.put(job.of_request(&format!("q-{step}")));
+                    home.submit(job.of_request(&format!("q-{step}")));
                 }
-                let flying: Vec<_> = home.flying.keys().copied().collect();
-                for link in flying {
+                let running: Vec<_> = home.running.keys().copied().collect();
+                for connection_id in running {
                     let end = home.now + millis(random.random_range(10..30));
-                    if *ends.entry(link).or_insert(end) <= home.now {
-                        ends.remove(&link);
-                        home.finish(link, Ended::Done);
+                    if *ends.entry(connection_id).or_insert(end) <= home.now {
+                        ends.remove(&connection_id);
+                        home.finish(connection_id, UpstreamOutcome::Done);
                     }
                 }
-                home.live(millis(1));
+                home.pass_with_control(millis(1));
             }
         }
-        let whole = (21..=20 + queries).filter(|attempt| {
-            let hits = |home: &Bench| {
+        let complete = (21..=20 + queries).filter(|attempt| {
+            let hits = |home: &World| {
                 home.answers
                     .iter()
                     .any(|(id, outcome)| id.attempt == *attempt && *outcome == Outcome::Hits)
@@ -294,8 +305,8 @@
             homes.iter().all(hits)
         });
         // 2 slots of 20 ms serve 100 of the 200 searches a second.
-        let whole = whole.count();
-        assert!(whole >= 320, "{whole} of 400 that could be served");
+        let complete = complete.count();
+        assert!(complete >= 320, "{complete} of 400 that could be served");
         true
     }
     crate::seeds::checker()
--- a/crates/geraniumgauge/src/home/tests/fake.rs
+++ b/crates/geraniumgauge/src/home/tests/world.rs
@@ -1,4 +1,4 @@
-//! An upstream and its clock, for driving [`State`] without I/O.
+//! A simulated upstream and clock that drive [`State`] without I/O.
 
 use std::collections;
 use std::time;
@@ -14,7 +14,7 @@
     time::Duration::from_millis(count)
 }
 
-pub(super) fn server(slots: u32, connections: u32) -> layout::Upstream {
+pub(super) fn layout_entry(slots: u32, connections: u32) -> layout::Upstream {
     layout::Upstream {
         id: "up-1".parse().unwrap(),
         address: ([127, 0, 0, 1], 1).into(),
@@ -43,40 +43,40 @@
     }
 }
 
-/// A home of one upstream and what is under way between them.
-pub(super) struct Bench {
+/// One home, its upstream, and the calls and requests between them.
+pub(super) struct World {
     pub(super) state: State,
     pub(super) now: Moment,
-    /// Calls at the upstream, by connection.
-    pub(super) flying: collections::BTreeMap<Link, Job>,
-    pub(super) links: collections::BTreeSet<Link>,
+    /// Calls that run at the upstream, by connection.
+    pub(super) running: collections::BTreeMap<ConnectionId, Job>,
+    pub(super) open: collections::BTreeSet<ConnectionId>,
     pub(super) answers: Vec<(Id, message::Outcome)>,
-    pub(super) sent: Vec<(Id, Link, bool)>,
+    pub(super) sent: Vec<(Id, ConnectionId, bool)>,
     /// When the calls at the upstream were sent.
-    pub(super) since: collections::BTreeMap<Link, Moment>,
-    pub(super) closed: Vec<(Link, Why)>,
-    pub(super) cancels: Vec<Link>,
-    pub(super) proving: Vec<Link>,
+    pub(super) sent_at: collections::BTreeMap<ConnectionId, Moment>,
+    pub(super) closed: Vec<(ConnectionId, CloseReason)>,
+    pub(super) cancels: Vec<ConnectionId>,
+    pub(super) checking: Vec<ConnectionId>,
     pub(super) probes: Vec<Moment>,
-    /// What it says of itself.
+    /// Status that the upstream reports.
     pub(super) status: upstream::Status,
     attempts: u64,
 }
 
-impl Bench {
+impl World {
     pub(super) fn new(slots: u32, connections: u32, role: placement::Role) -> Self {
         let now = Moment::from_millis(1000);
         Self {
-            state: State::new(server(slots, connections), Some(role), now),
+            state: State::new(layout_entry(slots, connections), Some(role), now),
             now,
-            flying: collections::BTreeMap::new(),
-            links: collections::BTreeSet::new(),
+            running: collections::BTreeMap::new(),
+            open: collections::BTreeSet::new(),
             answers: Vec::new(),
             sent: Vec::new(),
-            since: collections::BTreeMap::new(),
+            sent_at: collections::BTreeMap::new(),
             closed: Vec::new(),
             cancels: Vec::new(),
-            proving: Vec::new(),
+            checking: Vec::new(),
             probes: Vec::new(),
             status: upstream::Status::Up,
             attempts: 0,
@@ -85,31 +85,46 @@
 
     pub(super) fn handle(&mut self, event: Event) {
         for action in self.state.handle(event, self.now) {
-            self.take(action);
+            self.perform(action);
         }
     }
 
-    fn take(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send {
-                link, fresh, job, ..
+                connection_id,
+                fresh,
+                job,
+                ..
             } => {
-                assert_eq!(fresh, self.links.insert(link), "{link}");
-                self.sent.push((job.id.clone(), link, fresh));
-                self.since.insert(link, self.now);
-                assert!(self.flying.insert(link, job).is_none(), "{link} is in use");
+                assert_eq!(fresh, self.open.insert(connection_id), "{connection_id}");
+                self.sent.push((job.id.clone(), connection_id, fresh));
+                self.sent_at.insert(connection_id, self.now);
+                assert!(
+                    self.running.insert(connection_id, job).is_none(),
+                    "{connection_id} is in use"
+                );
             }
-            Action::Prove { link, fresh } => {
-                assert_eq!(fresh, self.links.insert(link), "{link}");
-                self.proving.push(link);
+            Action::Check {
+                connection_id,
+                fresh,
+            } => {
+                assert_eq!(fresh, self.open.insert(connection_id), "{connection_id}");
+                self.checking.push(connection_id);
             }
             Action::Probe => self.probes.push(self.now),
-            Action::CancelAt { link, .. } => self.cancels.push(link),
-            Action::Close { link, why } => {
-                assert!(self.links.remove(&link), "{link} is not open");
-                self.flying.remove(&link);
-                self.proving.retain(|proving| *proving != link);
-                self.closed.push((link, why));
+            Action::Cancel { connection_id, .. } => self.cancels.push(connection_id),
+            Action::Close {
+                connection_id,
+                reason,
+            } => {
+                assert!(
+                    self.open.remove(&connection_id),
+                    "{connection_id} is not open"
+                );
+                self.running.remove(&connection_id);
+                self.checking.retain(|checking| *checking != connection_id);
+                self.closed.push((connection_id, reason));
             }
             Action::Answer(answer) => self.answers.push((answer.job.id, answer.outcome)),
         }
@@ -119,7 +134,7 @@
         self.attempts += 1;
         Job {
             id: Id {
-                entry: "vm-1".parse().unwrap(),
+                coordinator: "vm-1".parse().unwrap(),
                 attempt: self.attempts,
             },
             upstream: "up-1".parse().unwrap(),
@@ -145,28 +160,33 @@
 
     pub(super) fn call(&mut self, deadline: time::Duration) -> Id {
         let job = self.job(message::Kind::First, deadline);
-        self.put(job)
+        self.submit(job)
     }
 
-    pub(super) fn put(&mut self, job: Job) -> Id {
+    pub(super) fn submit(&mut self, job: Job) -> Id {
         let id = job.id.clone();
         self.handle(Event::Call(job));
         id
     }
 
-    /// Ends the call on `link`.
-    pub(super) fn finish(&mut self, link: Link, outcome: upstream::Outcome) {
-        self.flying.remove(&link);
+    /// Ends the call on a connection.
+    pub(super) fn finish(&mut self, connection_id: ConnectionId, outcome: upstream::Outcome) {
+        self.running.remove(&connection_id);
         if matches!(outcome, upstream::Outcome::Done) {
-            self.handle(Event::Heard(link));
+            self.handle(Event::ReplyStarted(connection_id));
         }
         let reply = reply(outcome);
-        self.handle(Event::Finished { link, reply });
+        self.handle(Event::Finished {
+            connection_id,
+            reply,
+        });
     }
 
-    pub(super) fn link_of(&self, id: &Id) -> Option<Link> {
-        let mut flying = self.flying.iter();
-        flying.find(|(_, job)| job.id == *id).map(|(link, _)| *link)
+    pub(super) fn connection_of(&self, id: &Id) -> Option<ConnectionId> {
+        let mut running = self.running.iter();
+        running
+            .find(|(_, job)| job.id == *id)
+            .map(|(connection_id, _)| *connection_id)
     }
 
     pub(super) fn outcome(&self, id: &Id) -> Option<message::Outcome> {
@@ -176,21 +196,27 @@
             .map(|(_, outcome)| *outcome)
     }
 
-    /// Answers requests for reports, and cancellations as done.
+    /// Answers open health requests with the current status, and cancellations.
     pub(super) fn answer_control(&mut self) {
         let report = Ok(Some(health(self.status, 100)));
-        for link in std::mem::take(&mut self.proving) {
-            self.handle(Event::Proved { link, report });
+        for connection_id in std::mem::take(&mut self.checking) {
+            self.handle(Event::Checked {
+                connection_id,
+                report,
+            });
         }
         for began in std::mem::take(&mut self.probes) {
             self.handle(Event::Probed { began, report });
         }
-        for link in std::mem::take(&mut self.cancels) {
-            self.handle(Event::Cancelled { link, asked: true });
+        for connection_id in std::mem::take(&mut self.cancels) {
+            self.handle(Event::Cancelled {
+                connection_id,
+                answered: true,
+            });
         }
     }
 
-    /// Lets time pass, with the ticks that the state asks for.
+    /// Lets time pass, with a tick at each moment that the state asks for.
     pub(super) fn pass(&mut self, span: time::Duration) {
         let end = self.now + span;
         loop {
@@ -204,8 +230,8 @@
         }
     }
 
-    /// As [`Self::pass`], with control answered each 10 ms.
-    pub(super) fn live(&mut self, span: time::Duration) {
+    /// Same as [`Self::pass`], and answers control requests every 10 ms.
+    pub(super) fn pass_with_control(&mut self, span: time::Duration) {
         let end = self.now + span;
         while self.now < end {
             self.pass(millis(10).min(self.now.until(end)));
@@ -213,14 +239,14 @@
         }
     }
 
-    /// Runs `count` calls that take `took` each, so that healthy times are known.
-    pub(super) fn learn(&mut self, count: u32, took: time::Duration) {
+    /// Runs `count` calls of latency `took` each, so that the state knows the latency.
+    pub(super) fn run_calls(&mut self, count: u32, took: time::Duration) {
         self.answer_control();
         for _ in 0..count {
             let id = self.call(millis(10_000));
-            let link = self.link_of(&id).unwrap();
-            self.live(took);
-            self.finish(link, upstream::Outcome::Done);
+            let connection_id = self.connection_of(&id).unwrap();
+            self.pass_with_control(took);
+            self.finish(connection_id, upstream::Outcome::Done);
         }
         self.answers.clear();
         self.sent.clear();
@@ -229,7 +255,7 @@
 }
 
 impl Job {
-    /// The same call for another request.
+    /// Returns the same call for another request.
     pub(super) fn of_request(mut self, request: &str) -> Self {
         self.work = Work::Search {
             batch: std::sync::Arc::new(message::Batch {
--- a/crates/geraniumgauge/src/home/worker.rs
+++ b/crates/geraniumgauge/src/home/worker.rs
@@ -1,4 +1,4 @@
-//! Carries out what [`state::State`] decides about one upstream.
+//! Carries out the actions that [`state::State`] decides on for one upstream.
 
 use std::collections;
 use std::sync;
@@ -16,14 +16,13 @@
 use crate::timer;
 use crate::upstream;
 
-/// How long the control connection may take for an answer before a new one is
-/// opened in its place.
-const CONTROL_LIMIT: time::Duration = time::Duration::from_millis(25);
-/// How long the new one may take.
-const FRESH_LIMIT: time::Duration = time::Duration::from_millis(500);
+/// How long the control connection may take to answer before a new one is tried.
+const CONTROL_TIMEOUT: time::Duration = time::Duration::from_millis(25);
+/// How long the new control connection may take to answer.
+const NEW_CONTROL_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// What all workers of a VM share.
-pub(super) struct Means {
+/// Services shared by all workers of a VM.
+pub(super) struct Context {
     pub(super) clock: Clock,
     pub(super) timer: timer::Service,
     pub(super) outbox: sync::Arc<outbox::Outbox>,
@@ -31,7 +30,7 @@
     pub(super) calls: Calls,
 }
 
-/// Which worker holds a call, so that it can be cancelled.
+/// Maps each call to the worker that holds it, for cancellation.
 #[derive(Default)]
 pub(super) struct Calls {
     workers: sync::Mutex<collections::HashMap<state::Id, sync::Weak<Worker>>>,
@@ -56,36 +55,40 @@
         self.lock().remove(id);
     }
 
-    /// Forgets the calls of one VM.
+    /// Removes the calls of one coordinator.
     pub(super) fn forget(&self, vm: &ids::Vm) {
-        self.lock().retain(|id, _| id.entry != *vm);
+        self.lock().retain(|id, _| id.coordinator != *vm);
     }
 }
 
-/// One upstream at this home.
+/// Runs the home of one upstream.
 pub(super) struct Worker {
-    means: sync::Arc<Means>,
-    core: sync::Mutex<Core>,
+    context: sync::Arc<Context>,
+    inner: sync::Mutex<Inner>,
+    /// Connection for health reports and cancellations.
     control: tokio::sync::Mutex<Option<upstream::Connection>>,
+    /// Notified when the next tick is due earlier than before.
     changed: tokio::sync::Notify,
-    /// Itself, for the tasks it starts.
+    /// Reference to itself, for the tasks that it starts.
     this: sync::Weak<Self>,
 }
 
-struct Core {
+/// State, open connections and the next timer, changed under one lock.
+struct Inner {
     state: state::State,
-    links: collections::HashMap<state::Link, Connected>,
+    connections: collections::HashMap<state::ConnectionId, OpenConnection>,
+    /// When the next tick is due.
     wake: Moment,
 }
 
-/// A connection and the task that uses it.
-struct Connected {
+/// A connection and the task that runs on it.
+struct OpenConnection {
     connection: sync::Arc<upstream::Connection>,
     task: Option<task::AbortHandle>,
 }
 
-impl Drop for Connected {
-    /// Ends the call under way, which closes the connection.
+impl Drop for OpenConnection {
+    /// Aborts the request under way, which closes the connection.
     fn drop(&mut self) {
         if let Some(task) = &self.task {
             task.abort();
@@ -94,12 +97,12 @@
 }
 
 impl Worker {
-    pub(super) fn start(state: state::State, means: sync::Arc<Means>) -> sync::Arc<Self> {
+    pub(super) fn start(state: state::State, context: sync::Arc<Context>) -> sync::Arc<Self> {
         let worker = sync::Arc::new_cyclic(|this| Self {
-            means,
-            core: sync::Mutex::new(Core {
+            context,
+            inner: sync::Mutex::new(Inner {
                 state,
-                links: collections::HashMap::new(),
+                connections: collections::HashMap::new(),
                 wake: Moment::default(),
             }),
             control: tokio::sync::Mutex::default(),
@@ -110,61 +113,67 @@
         worker
     }
 
-    /// Reads the state.
+    /// Gives `read` access to the state.
     pub(super) fn read<T>(&self, read: impl FnOnce(&state::State) -> T) -> T {
         read(&self.lock().state)
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, Core> {
-        self.core
+    fn lock(&self) -> sync::MutexGuard<'_, Inner> {
+        self.inner
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Takes one event and carries out what follows. Actions are started under
-    /// the lock: those of two events must not overtake each other.
+    /// Processes one event and starts the actions that follow. They are started under
+    /// the lock, so that the actions of two events keep their order.
     pub(super) fn handle(&self, event: state::Event) {
-        let now = self.means.clock.now();
-        let mut core = self.lock();
-        let actions = core.state.handle(event, now);
+        let now = self.context.clock.now();
+        let mut inner = self.lock();
+        let actions = inner.state.handle(event, now);
         for action in actions {
-            self.perform(&mut core, action, now);
+            self.perform(&mut inner, action, now);
         }
-        let wake = core.state.wake(now);
-        let earlier = wake < core.wake || core.wake <= now;
-        core.wake = wake;
-        drop(core);
+        let wake = inner.state.wake(now);
+        let earlier = wake < inner.wake || inner.wake <= now;
+        inner.wake = wake;
+        drop(inner);
         if earlier {
             self.changed.notify_one();
         }
     }
 
-    fn perform(&self, core: &mut Core, action: state::Action, now: Moment) {
+    fn perform(&self, inner: &mut Inner, action: state::Action, now: Moment) {
         match action {
             state::Action::Send {
-                link,
+                connection_id,
                 job,
                 time_left,
                 ..
             } => {
-                self.means.instruments.sent(job.kind);
-                self.use_link(core, link, |worker, connection| {
-                    worker.call(link, connection, job, time_left)
+                self.context.instruments.sent(job.kind);
+                self.spawn_on(inner, connection_id, |worker, connection| {
+                    worker.call(connection_id, connection, job, time_left)
                 });
             }
-            state::Action::Prove { link, .. } => {
-                self.use_link(core, link, |worker, connection| {
-                    worker.prove(link, connection)
+            state::Action::Check { connection_id, .. } => {
+                self.spawn_on(inner, connection_id, |worker, connection| {
+                    worker.check(connection_id, connection)
                 });
             }
             state::Action::Probe => self.spawn(|worker| worker.probe(now)),
-            state::Action::CancelAt { link, id } => {
-                self.means.instruments.cancelled();
-                self.spawn(|worker| worker.cancel(link, id));
+            state::Action::Cancel {
+                connection_id,
+                call_id,
+            } => {
+                self.context.instruments.cancelled();
+                self.spawn(|worker| worker.cancel(connection_id, call_id));
             }
-            state::Action::Close { link, why } => {
-                self.means.instruments.closed(why);
-                core.links.remove(&link);
+            state::Action::Close {
+                connection_id,
+                reason,
+            } => {
+                self.context.instruments.closed(reason);
+                inner.connections.remove(&connection_id);
             }
             state::Action::Answer(answer) => self.answer(answer),
         }
@@ -179,11 +188,11 @@
         }
     }
 
-    /// Runs a task on a connection, which is made where it isn't there yet.
-    fn use_link<F>(
+    /// Starts a task on a connection, which is opened if it isn't yet.
+    fn spawn_on<F>(
         &self,
-        core: &mut Core,
-        link: state::Link,
+        inner: &mut Inner,
+        connection_id: state::ConnectionId,
         run: impl FnOnce(sync::Arc<Self>, Option<sync::Arc<upstream::Connection>>) -> F,
     ) where
         F: Future<Output = ()> + Send + 'static,
@@ -191,61 +200,69 @@
         let Some(worker) = self.this.upgrade() else {
             return;
         };
-        let connection = match core.links.remove(&link) {
-            Some(connected) => Some(sync::Arc::clone(&connected.connection)),
-            None => self.open(core.state.upstream()).map(sync::Arc::new),
+        let connection = match inner.connections.remove(&connection_id) {
+            Some(open) => Some(sync::Arc::clone(&open.connection)),
+            None => self.open(inner.state.upstream()).map(sync::Arc::new),
         };
         let task = tokio::spawn(run(worker, connection.clone())).abort_handle();
         if let Some(connection) = connection {
             let task = Some(task);
-            core.links.insert(link, Connected { connection, task });
+            inner
+                .connections
+                .insert(connection_id, OpenConnection { connection, task });
         }
     }
 
     fn open(&self, upstream: &layout::Upstream) -> Option<upstream::Connection> {
-        self.means.instruments.opened();
+        self.context.instruments.opened();
         let connection = upstream::Connection::new(upstream, upstream::Limits::default());
-        let failed = |error| log::error!("{}: {error}", upstream.id);
+        let failed = |error| log::error!("can't open a connection to {}: {error}", upstream.id);
         connection.map_err(failed).ok()
     }
 
     async fn call(
         self: sync::Arc<Self>,
-        link: state::Link,
+        connection_id: state::ConnectionId,
         connection: Option<sync::Arc<upstream::Connection>>,
         job: state::Job,
         time_left: time::Duration,
     ) {
-        let heard = || self.handle(state::Event::Heard(link));
+        let reply_started = || self.handle(state::Event::ReplyStarted(connection_id));
         let reply = match connection {
             None => upstream::Reply::bare(upstream::Outcome::Unsent),
-            Some(connection) => run(&connection, &job, time_left, heard).await,
+            Some(connection) => send(&connection, &job, time_left, reply_started).await,
         };
-        self.handle(state::Event::Finished { link, reply });
+        self.handle(state::Event::Finished {
+            connection_id,
+            reply,
+        });
     }
 
-    async fn prove(
+    async fn check(
         self: sync::Arc<Self>,
-        link: state::Link,
+        connection_id: state::ConnectionId,
         connection: Option<sync::Arc<upstream::Connection>>,
     ) {
         let report = match connection {
             None => Err(upstream::Unanswered { refused: false }),
             Some(connection) => connection.health().await,
         };
-        self.handle(state::Event::Proved { link, report });
+        self.handle(state::Event::Checked {
+            connection_id,
+            report,
+        });
     }
 
-    /// Asks for a report over the control connection, and over a new one where
-    /// that doesn't answer.
+    /// Requests a health report over the control connection, and over a new one if that
+    /// doesn't answer in time.
     async fn probe(self: sync::Arc<Self>, began: Moment) {
         let mut control = self.control.lock().await;
         let mut report = Err(upstream::Unanswered { refused: false });
-        for limit in [CONTROL_LIMIT, FRESH_LIMIT] {
-            let Some(connection) = self.controlled(&mut control) else {
+        for timeout in [CONTROL_TIMEOUT, NEW_CONTROL_TIMEOUT] {
+            let Some(connection) = self.control_connection(&mut control) else {
                 break;
             };
-            let answer = tokio::time::timeout(limit, connection.health()).await;
+            let answer = tokio::time::timeout(timeout, connection.health()).await;
             report = answer.unwrap_or(Err(upstream::Unanswered { refused: false }));
             if report.is_ok() {
                 break;
@@ -256,25 +273,29 @@
         self.handle(state::Event::Probed { began, report });
     }
 
-    async fn cancel(self: sync::Arc<Self>, link: state::Link, id: String) {
+    async fn cancel(self: sync::Arc<Self>, connection_id: state::ConnectionId, call_id: String) {
         let mut control = self.control.lock().await;
-        let mut asked = false;
-        for limit in [CONTROL_LIMIT, FRESH_LIMIT] {
-            let Some(connection) = self.controlled(&mut control) else {
+        let mut answered = false;
+        for timeout in [CONTROL_TIMEOUT, NEW_CONTROL_TIMEOUT] {
+            let Some(connection) = self.control_connection(&mut control) else {
                 break;
             };
-            let answer = tokio::time::timeout(limit, connection.cancel(&id)).await;
-            asked = matches!(answer, Ok(Some(_)));
-            if asked {
+            let answer = tokio::time::timeout(timeout, connection.cancel(&call_id)).await;
+            answered = matches!(answer, Ok(Some(_)));
+            if answered {
                 break;
             }
             *control = None;
         }
         drop(control);
-        self.handle(state::Event::Cancelled { link, asked });
+        self.handle(state::Event::Cancelled {
+            connection_id,
+            answered,
+        });
     }
 
-    fn controlled<'a>(
+    /// Returns the control connection, opened if there is none; `None` if that fails.
+    fn control_connection<'a>(
         &self,
         control: &'a mut Option<upstream::Connection>,
     ) -> Option<&'a upstream::Connection> {
@@ -286,17 +307,17 @@
     }
 
     fn answer(&self, answer: state::Answer) {
-        self.means.instruments.answered(&answer);
-        self.means.calls.remove(&answer.job.id);
-        self.means.outbox.push(answer);
+        self.context.instruments.answered(&answer);
+        self.context.calls.remove(&answer.job.id);
+        self.context.outbox.push(answer);
     }
 }
 
-async fn run(
+async fn send(
     connection: &upstream::Connection,
     job: &state::Job,
     time_left: time::Duration,
-    heard: impl FnOnce(),
+    reply_started: impl FnOnce(),
 ) -> upstream::Reply {
     let id = job.upstream_id();
     match &job.work {
@@ -309,7 +330,7 @@
                 layout: ids::LayoutVersion(batch.layout),
                 body: batch.body.clone(),
             };
-            connection.search(&call, heard).await
+            connection.search(&call, reply_started).await
         }
         state::Work::Record { record, shard } => {
             let call = upstream::Record {
@@ -320,27 +341,28 @@
                 key: record.key.clone(),
                 body: record.body.clone(),
             };
-            connection.record(&call, heard).await
+            connection.record(&call, reply_started).await
         }
     }
 }
 
-/// Tells the state when something falls due, while its worker is there.
+/// Sends [`state::Event::Tick`] whenever something falls due, until the worker is
+/// dropped or the timer stops.
 async fn tick(worker: sync::Weak<Worker>) {
     loop {
         let Some(present) = worker.upgrade() else {
             return;
         };
-        let now = present.means.clock.now();
+        let now = present.context.clock.now();
         let wake = present.lock().wake;
         if wake <= now {
             present.handle(state::Event::Tick);
             continue;
         }
-        let timer = present.means.timer.clone();
+        let timer = present.context.timer.clone();
         let changed = present.changed.notified();
         tokio::select! {
-            going = timer.pause(now.until(wake)) => if !going { return },
+            running = timer.pause(now.until(wake)) => if !running { return },
             () = changed => {}
         }
     }
