--- a/crates/geraniumgauge/src/home/service.rs
+++ b/crates/geraniumgauge/src/home/service.rs
@@ -170,7 +170,7 @@
     }
 
     /// Drops the calls of `vm` after the mesh link to it was lost.
-    pub fn lost(&self, vm: &ids::Vm) {
+    pub fn link_lost(&self, vm: &ids::Vm) {
         self.inner.context.calls.forget(vm);
         for worker in self.inner.all() {
             worker.handle(state::Event::CoordinatorLost(vm.clone()));
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -70,7 +70,7 @@
         let Some(targets) = self.targets.get() else {
             return;
         };
-        targets.home.lost(vm);
+        targets.home.link_lost(vm);
         targets.query.lost(vm);
         targets.ledger.lost(vm);
     }
