--- a/crates/geraniumgauge/src/home/state/limit.rs
+++ b/crates/geraniumgauge/src/home/state/limit.rs
@@ -1,5 +1,5 @@
 //! Adaptive concurrency limit: at most the upstream's slots, fewer while the
-//! upstream refuses or fails calls.
+//! upstream sheds calls.
 
 use std::time;
 
@@ -7,15 +7,15 @@
 
 /// Added to the limit on each success.
 const INCREASE: f64 = 0.125;
-/// The limit is multiplied by this when the upstream refuses or fails a call.
+/// The limit is multiplied by this when the upstream sheds a call.
 const DECREASE_FACTOR: f64 = 0.7;
-/// First delay after a failure at a limit of one call; doubled each time.
+/// First delay after a shed call at a limit below two; doubled each time.
 const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(5);
 /// Maximum number of times the delay is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// Weight of one call in the moving share of calls that were refused or failed.
-const FAILED_SHARE_WEIGHT: f64 = 1.0 / 16.0;
+/// Weight of one call in the moving share of shed calls.
+const SHED_SHARE_WEIGHT: f64 = 1.0 / 16.0;
 /// Suggested retry delay for an upstream that sheds every call.
 const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(2);
 
@@ -25,11 +25,12 @@
 pub(super) struct Limit {
     slots: u32,
     limit: f64,
+    /// Number of backoffs since the last success.
     backoffs: u32,
     backoff_until: Moment,
     decreased_at: Moment,
-    /// Moving share of recent calls that were refused or failed.
-    failed_share: f64,
+    /// Share of shed calls among recent ones, an exponential moving average.
+    shed_share: f64,
 }
 
 impl Limit {
@@ -40,7 +41,7 @@
             backoffs: 0,
             backoff_until: Moment::default(),
             decreased_at: Moment::default(),
-            failed_share: 0.0,
+            shed_share: 0.0,
         }
     }
 
@@ -59,19 +60,19 @@
     /// shed has little weight. If the upstream keeps shedding, each call sent to it
     /// costs the coordinator a retry from a small budget.
     pub(super) fn retry_after(&self) -> time::Duration {
-        MAX_RETRY_AFTER.mul_f64(self.failed_share)
+        MAX_RETRY_AFTER.mul_f64(self.shed_share)
     }
 
     pub(super) fn succeeded(&mut self) {
         self.backoffs = 0;
-        self.failed_share -= self.failed_share * FAILED_SHARE_WEIGHT;
+        self.shed_share -= self.shed_share * SHED_SHARE_WEIGHT;
         self.limit = (self.limit + INCREASE).min(f64::from(self.slots));
     }
 
-    /// The upstream refused or failed a call. Calls sent before the last decrease ran
-    /// under the old limit and don't decrease it again.
-    pub(super) fn failed(&mut self, sent: Moment, now: Moment) {
-        self.failed_share += (1.0 - self.failed_share) * FAILED_SHARE_WEIGHT;
+    /// The upstream shed a call. Calls sent before the last decrease ran under the old
+    /// limit and don't decrease it again.
+    pub(super) fn shed(&mut self, sent: Moment, now: Moment) {
+        self.shed_share += (1.0 - self.shed_share) * SHED_SHARE_WEIGHT;
         if sent < self.decreased_at {
             return;
         }
--- a/crates/geraniumgauge/src/home/state/running.rs
+++ b/crates/geraniumgauge/src/home/state/running.rs
@@ -228,7 +228,7 @@
                 None
             }
             upstream::Outcome::Shed => {
-                self.limit.failed(call.sent, now);
+                self.limit.shed(call.sent, now);
                 Some(message::Outcome::Shed)
             }
             upstream::Outcome::Draining => {
--- a/crates/geraniumgauge/src/home/state/share.rs
+++ b/crates/geraniumgauge/src/home/state/share.rs
@@ -10,7 +10,7 @@
 /// Percentage of the upstream's connections for each of eight VMs that call it
 /// directly.
 const DIRECT_CONNECTIONS_PERCENT: u32 = 12;
-/// Homes other than the primary may run one call for each this many slots.
+/// Number of slots for which a home other than the primary may run one call.
 const OTHER_SLOTS_PER_CALL: u32 = 4;
 
 /// Connections and concurrent calls of one home.
