--- a/crates/geraniumgauge/src/quarantine/book.rs
+++ b/crates/geraniumgauge/src/quarantine/book.rs
@@ -1,4 +1,4 @@
-//! Decides which requests are suspect or quarantined. No I/O.
+//! State machine that decides which requests are suspect or quarantined. No I/O.
 
 use std::collections;
 use std::time;
@@ -8,123 +8,127 @@
 use crate::quarantine::mark;
 use crate::time as clock;
 
-/// How long a suspicion holds.
-pub const SUSPECT_FOR: time::Duration = time::Duration::from_secs(120);
-/// How long a quarantine holds.
-pub const QUARANTINE_FOR: time::Duration = time::Duration::from_secs(600);
-/// How long a quarantine holds where other upstreams went at the same time, so
-/// that the request may be innocent.
-pub const DOUBTFUL_FOR: time::Duration = time::Duration::from_secs(60);
-/// How long a completed request needs no canary.
-pub const LATELY: time::Duration = time::Duration::from_secs(60);
-/// Losses within this span belong together.
-pub const INCIDENT: time::Duration = time::Duration::from_secs(1);
-/// No trial starts within this span of another upstream's loss.
-pub const CALM: time::Duration = time::Duration::from_millis(300);
-/// This many upstreams lost in one incident are a failure of the place.
-pub const PLACE: usize = 3;
-/// No trial starts before a suspicion is this old: by then every VM has heard
-/// it and has cancelled its canaries of the same request.
-pub const SETTLE: time::Duration = time::Duration::from_millis(250);
-/// How long an upstream that was lost counts as down, unless it answers before.
-pub const DOWN_FOR: time::Duration = time::Duration::from_secs(20);
-/// Completed requests remembered, in each of two halves.
-const REMEMBERED: usize = 32_768;
+/// Time until a suspicion expires.
+pub const SUSPICION_DURATION: time::Duration = time::Duration::from_secs(120);
+/// Time until a quarantine expires.
+pub const QUARANTINE_DURATION: time::Duration = time::Duration::from_secs(600);
+/// Time until a quarantine expires if it is uncertain that the request caused the
+/// crash: other upstreams were lost at the same time, or a trial's claim lapsed
+/// before the outcome was known.
+pub const UNCERTAIN_QUARANTINE_DURATION: time::Duration = time::Duration::from_secs(60);
+/// Time after a request has completed during which it needs no canary.
+pub const RECENT_COMPLETION_WINDOW: time::Duration = time::Duration::from_secs(60);
+/// Losses of upstreams within this time count as one incident.
+pub const INCIDENT_WINDOW: time::Duration = time::Duration::from_secs(1);
+/// Minimum time between the loss of an unrelated upstream and the start of a trial.
+pub const TRIAL_DELAY_AFTER_LOSS: time::Duration = time::Duration::from_millis(300);
+/// Number of upstreams lost in one incident from which the incident counts as a
+/// shared outage, such as a failed rack.
+pub const MIN_SHARED_OUTAGE_UPSTREAMS: usize = 3;
+/// Minimum age of a suspicion before a trial starts. By then every VM has received
+/// the mark and cancelled its canaries of the same request.
+pub const TRIAL_DELAY_AFTER_SUSPICION: time::Duration = time::Duration::from_millis(250);
+/// Time during which a lost upstream is assumed to be down unless it answers.
+pub const ASSUMED_DOWN_DURATION: time::Duration = time::Duration::from_secs(20);
+/// Maximum number of completed requests in each of the two maps of [`Completions`].
+const MAX_COMPLETIONS_PER_MAP: usize = 32_768;
 
 /// How a request ran when its connection was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Run {
-    /// Beside other requests, as a part of a fan-out or as a registration.
+    /// At the same time as other requests, as one call of a fan-out or as a
+    /// registration.
     Plain,
-    /// Ahead of its own fan-out.
+    /// As a single call sent before the rest of its fan-out.
     Canary,
-    /// Alone on its upstream.
+    /// As an isolated trial, alone on its upstream.
     Trial,
 }
 
-/// What the book is told.
+/// Input to the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A connection was lost while it ran a request.
     Lost {
-        /// The service.
+        /// Service that the request belongs to.
         service: ids::Service,
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: ids::Fingerprint,
-        /// The upstream.
+        /// Upstream at the other end of the connection.
         upstream: ids::Upstream,
-        /// How it ran.
+        /// How the request ran.
         run: Run,
     },
     /// A request completed at an upstream.
     Completed {
-        /// The service.
+        /// Service that the request belongs to.
         service: ids::Service,
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: ids::Fingerprint,
     },
-    /// Another VM or the store holds this.
-    Heard(quarantine::Mark),
+    /// A mark was received from another VM or read from the store.
+    Received(quarantine::Mark),
 }
 
-/// What is to be done.
+/// Output of the state machine, for the caller to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Tell every VM, and keep it in the store.
+    /// Send the mark to every VM and write it to the store.
     Publish(quarantine::Mark),
 }
 
-/// A point in time by both clocks.
+/// The current time by both clocks.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Now {
-    /// Monotonic.
+    /// Monotonic clock of this process.
     pub moment: clock::Moment,
-    /// Wall clock.
+    /// Wall clock of this VM.
     pub wall: clock::Wall,
 }
 
-/// An upstream that was lost a while ago.
+/// An upstream that was lost and may still be down.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Down {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: ids::Upstream,
-    /// When it was lost.
+    /// When the upstream was lost.
     pub lost: clock::Moment,
 }
 
 type Key = (ids::Service, ids::Fingerprint);
 
-/// What this VM holds of every request that may crash upstreams.
+/// Tracks which requests are suspect or quarantined, as far as this VM knows.
 #[derive(Debug, Default)]
 pub struct Book {
     marks: collections::BTreeMap<Key, quarantine::Mark>,
-    completed: Recent,
+    completions: Completions,
     losses: collections::VecDeque<(clock::Moment, ids::Upstream)>,
 }
 
-/// Requests completed lately. Two halves that take turns bound its size.
+/// Recently completed requests. When the current map is full it replaces the
+/// previous one, which bounds the memory used.
 #[derive(Debug, Default)]
-struct Recent {
-    young: collections::HashMap<Key, clock::Moment>,
-    old: collections::HashMap<Key, clock::Moment>,
+struct Completions {
+    current: collections::HashMap<Key, clock::Moment>,
+    previous: collections::HashMap<Key, clock::Moment>,
 }
 
-impl Recent {
-    fn add(&mut self, key: Key, now: clock::Moment) {
-        if self.young.len() >= REMEMBERED {
-            self.old = std::mem::take(&mut self.young);
+impl Completions {
+    fn insert(&mut self, key: Key, now: clock::Moment) {
+        if self.current.len() >= MAX_COMPLETIONS_PER_MAP {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.young.insert(key, now);
+        self.current.insert(key, now);
     }
 
-    fn has(&self, key: &Key, now: clock::Moment) -> bool {
-        let seen = self.young.get(key).or_else(|| self.old.get(key));
-        seen.is_some_and(|at| now.since(*at) < LATELY)
+    fn contains(&self, key: &Key, now: clock::Moment) -> bool {
+        let completed = self.current.get(key).or_else(|| self.previous.get(key));
+        completed.is_some_and(|at| now.since(*at) < RECENT_COMPLETION_WINDOW)
     }
 }
 
 impl Book {
-    /// Takes one event.
+    /// Handles one event and returns the actions that it requires.
     pub fn handle(&mut self, event: Event, now: Now) -> Vec<Action> {
         match event {
             Event::Lost {
@@ -137,15 +141,15 @@
                 service,
                 fingerprint,
             } => self.completed((service, fingerprint), now),
-            Event::Heard(mark) => {
-                let mut actions = self.heard(mark, now);
-                actions.extend(self.excuse(now));
+            Event::Received(mark) => {
+                let mut actions = self.received(mark, now);
+                actions.extend(self.clear_outage_suspects(now));
                 actions
             }
         }
     }
 
-    /// What holds for a request.
+    /// Returns the verdict on a request at time `wall`.
     pub fn verdict(
         &self,
         service: &ids::Service,
@@ -156,21 +160,26 @@
         mark.map_or(quarantine::Verdict::Clear, |mark| mark.verdict(wall))
     }
 
-    /// Whether the request completed lately at this VM, so that a wide fan-out
-    /// of it needs no canary.
-    pub fn lately(
+    /// Returns true if the request completed recently on this VM, so that a wide
+    /// fan-out of it needs no canary.
+    pub fn completed_recently(
         &self,
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
         now: clock::Moment,
     ) -> bool {
-        self.completed.has(&(service.clone(), fingerprint), now)
+        self.completions
+            .contains(&(service.clone(), fingerprint), now)
     }
 
-    /// Whether a trial of this request may start: its suspicion has settled,
-    /// and no upstream was lost a moment ago. While a rack goes down a trial
-    /// would prove nothing and could take the blame for it.
-    pub fn calm(
+    /// Checks whether a trial of this request may start: the suspicion must have
+    /// reached every VM, and no unrelated upstream may have been lost just before.
+    /// A trial that runs while a rack goes down would prove nothing, and the
+    /// request could be quarantined for losses that it didn't cause.
+    ///
+    /// # Errors
+    /// Returns the time to wait before the next check.
+    pub fn check_trial_start(
         &self,
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
@@ -179,30 +188,29 @@
         let Some(mark) = self.marks.get(&(service.clone(), fingerprint)) else {
             return Ok(());
         };
-        let settled = mark.since + SETTLE;
-        if settled.since(now.wall) > time::Duration::ZERO {
-            return Err(settled.since(now.wall));
+        let earliest = mark.since + TRIAL_DELAY_AFTER_SUSPICION;
+        if earliest.since(now.wall) > time::Duration::ZERO {
+            return Err(earliest.since(now.wall));
         }
-        let others = self.losses.iter().filter(|(_, up)| !mark.names(up));
+        let others = self.losses.iter().filter(|(_, up)| !mark.lists(up));
         let last = others.map(|(at, _)| *at).max();
-        match last.map(|at| now.moment.until(at + CALM)) {
+        match last.map(|at| now.moment.until(at + TRIAL_DELAY_AFTER_LOSS)) {
             Some(left) if left > time::Duration::ZERO => Err(left),
             _ => Ok(()),
         }
     }
 
-    /// Upstreams that a mark names and that may still be down, with the time of
-    /// the loss.
+    /// Returns the upstreams that are listed in marks and may still be down.
     pub fn down(&self, now: Now) -> Vec<Down> {
         let mut down = Vec::new();
         for mark in self.marks.values() {
             let age = now.wall.since(mark.since);
-            if age >= DOWN_FOR {
+            if age >= ASSUMED_DOWN_DURATION {
                 continue;
             }
             let lost = now.moment.before(age);
-            let named = mark.crashed.iter().chain(&mark.lost);
-            down.extend(named.map(|upstream| Down {
+            let upstreams = mark.crashed.iter().chain(&mark.lost);
+            down.extend(upstreams.map(|upstream| Down {
                 upstream: upstream.clone(),
                 lost,
             }));
@@ -210,32 +218,32 @@
         down
     }
 
-    /// Every mark that holds, clearances left out.
+    /// Returns every mark in force, without clearances.
     pub fn list(&self, wall: clock::Wall) -> Vec<quarantine::Mark> {
-        let held = self.marks.values().filter(|mark| wall < mark.until);
-        let blamed = held.filter(|mark| mark.state != quarantine::State::Clear);
-        blamed.cloned().collect()
+        let unexpired = self.marks.values().filter(|mark| wall < mark.until);
+        let restricting = unexpired.filter(|mark| mark.state != quarantine::State::Clear);
+        restricting.cloned().collect()
     }
 
-    /// Drops what has expired.
+    /// Drops expired marks and losses of past incidents.
     pub fn expire(&mut self, now: Now) {
         self.marks.retain(|_, mark| now.wall < mark.until);
-        self.forget(now.moment);
+        self.drop_old_losses(now.moment);
     }
 
-    /// Whether no mark is held.
+    /// Returns true if there are no marks.
     pub fn is_empty(&self) -> bool {
         self.marks.is_empty()
     }
 
     fn lost(&mut self, key: Key, upstream: &ids::Upstream, run: Run, now: Now) -> Vec<Action> {
-        self.forget(now.moment);
+        self.drop_old_losses(now.moment);
         self.losses.push_back((now.moment, upstream.clone()));
-        let held = self.marks.get(&key).filter(|mark| now.wall < mark.until);
-        let before = held.cloned();
+        let existing = self.marks.get(&key).filter(|mark| now.wall < mark.until);
+        let before = existing.cloned();
         let mut mark = match before.as_ref() {
-            Some(held) if held.state != quarantine::State::Clear => held.clone(),
-            _ => fresh(&key, held, now),
+            Some(existing) if existing.state != quarantine::State::Clear => existing.clone(),
+            _ => new_suspicion(&key, existing, now),
         };
         let list = match run {
             Run::Plain => &mut mark.lost,
@@ -244,14 +252,14 @@
         mark::add(list, upstream);
         if run == Run::Trial || mark.crashed.len() > 1 {
             mark.state = quarantine::State::Quarantined;
-            let span = if self.place(&mark) {
-                DOUBTFUL_FOR
+            let span = if self.in_shared_outage(&mark) {
+                UNCERTAIN_QUARANTINE_DURATION
             } else {
-                QUARANTINE_FOR
+                QUARANTINE_DURATION
             };
             mark.until = mark.until.max(now.wall + span);
         }
-        if self.excused(&key, &mark, now) {
+        if self.caused_by_outage(&key, &mark, now) {
             return self.clear(&key, now);
         }
         if before.as_ref() == Some(&mark) {
@@ -260,124 +268,136 @@
         self.publish(key, mark, now)
     }
 
-    /// A rack that goes takes many upstreams with it, and every request that
-    /// ran there would be blamed. A request that has completed lately is not
-    /// what took three upstreams down within a second: it is excused, and its
-    /// lost shards may be tried elsewhere. One that never completed is not.
-    fn excused(&self, key: &Key, mark: &quarantine::Mark, now: Now) -> bool {
-        let plain = mark.crashed.is_empty() && mark.state == quarantine::State::Suspect;
-        plain && self.distinct(|_| true) >= PLACE && self.completed.has(key, now.moment)
+    /// Returns true if a shared outage rather than this request explains the losses
+    /// in `mark`. A failing rack takes down many upstreams, and every request that
+    /// was running there would become suspect. A request that has completed
+    /// recently isn't what took three upstreams down within a second, so it stays
+    /// clear and its lost shards may be retried elsewhere. A request that never
+    /// completed stays suspect.
+    fn caused_by_outage(&self, key: &Key, mark: &quarantine::Mark, now: Now) -> bool {
+        let weak = mark.crashed.is_empty() && mark.state == quarantine::State::Suspect;
+        weak && self.count_lost(|_| true) >= MIN_SHARED_OUTAGE_UPSTREAMS
+            && self.completions.contains(key, now.moment)
     }
 
-    /// Excuses what was marked before the failure of the place was seen: the
-    /// other upstreams' losses are heard of one by one.
-    fn excuse(&mut self, now: Now) -> Vec<Action> {
+    /// Clears requests that became suspect before the shared outage was recognized,
+    /// since the losses of the other upstreams are reported one by one.
+    fn clear_outage_suspects(&mut self, now: Now) -> Vec<Action> {
         let marks = self.marks.iter();
-        let excused = marks.filter(|(key, mark)| self.excused(key, mark, now));
-        let keys: Vec<Key> = excused.map(|(key, _)| key.clone()).collect();
+        let explained = marks.filter(|(key, mark)| self.caused_by_outage(key, mark, now));
+        let keys: Vec<Key> = explained.map(|(key, _)| key.clone()).collect();
         keys.iter().flat_map(|key| self.clear(key, now)).collect()
     }
 
-    /// Whether upstreams that this mark doesn't name went down with its own.
-    fn place(&self, mark: &quarantine::Mark) -> bool {
-        self.distinct(|upstream| !mark.names(upstream)) + 1 >= PLACE
+    /// Returns true if the current incident includes enough upstreams that this mark
+    /// doesn't list to count as a shared outage.
+    fn in_shared_outage(&self, mark: &quarantine::Mark) -> bool {
+        self.count_lost(|upstream| !mark.lists(upstream)) + 1 >= MIN_SHARED_OUTAGE_UPSTREAMS
     }
 
-    fn distinct(&self, wanted: impl Fn(&ids::Upstream) -> bool) -> usize {
+    /// Returns the number of distinct upstreams lost in the current incident that
+    /// `wanted` accepts.
+    fn count_lost(&self, wanted: impl Fn(&ids::Upstream) -> bool) -> usize {
         let names = self.losses.iter().map(|(_, upstream)| upstream);
         let names: collections::BTreeSet<_> = names.filter(|name| wanted(name)).collect();
         names.len()
     }
 
     fn completed(&mut self, key: Key, now: Now) -> Vec<Action> {
-        let held = self.marks.get(&key).map(|mark| mark.state);
-        let cleared = match held {
+        let existing = self.marks.get(&key).map(|mark| mark.state);
+        let cleared = match existing {
             Some(quarantine::State::Suspect) => self.clear(&key, now),
             _ => Vec::new(),
         };
-        if held != Some(quarantine::State::Quarantined) {
-            self.completed.add(key, now.moment);
+        if existing != Some(quarantine::State::Quarantined) {
+            self.completions.insert(key, now.moment);
         }
         cleared
     }
 
-    fn heard(&mut self, heard: quarantine::Mark, now: Now) -> Vec<Action> {
-        if now.wall >= heard.until {
+    fn received(&mut self, received: quarantine::Mark, now: Now) -> Vec<Action> {
+        if now.wall >= received.until {
             return Vec::new();
         }
-        let key = (heard.service.clone(), heard.fingerprint);
-        self.hear_losses(&heard, now);
-        let Some(held) = self.marks.get(&key) else {
-            self.marks.insert(key, heard);
+        let key = (received.service.clone(), received.fingerprint);
+        self.add_received_losses(&received, now);
+        let Some(existing) = self.marks.get(&key) else {
+            self.marks.insert(key, received);
             return Vec::new();
         };
-        let joined = held.join(&heard);
-        let second = joined.crashed.len() > 1 && joined.state == quarantine::State::Suspect;
-        if second {
-            let mut joined = joined;
-            joined.state = quarantine::State::Quarantined;
-            joined.until = joined.until.max(now.wall + QUARANTINE_FOR);
-            return self.publish(key, joined, now);
+        let merged = existing.merge(&received);
+        let second_crash = merged.crashed.len() > 1 && merged.state == quarantine::State::Suspect;
+        if second_crash {
+            let mut merged = merged;
+            merged.state = quarantine::State::Quarantined;
+            merged.until = merged.until.max(now.wall + QUARANTINE_DURATION);
+            return self.publish(key, merged, now);
         }
-        let news = joined != heard && joined.version == heard.version;
-        if news {
-            return self.publish(key, joined, now);
+        let sender_is_outdated = merged != received && merged.version == received.version;
+        if sender_is_outdated {
+            return self.publish(key, merged, now);
         }
-        self.marks.insert(key, joined);
+        self.marks.insert(key, merged);
         Vec::new()
     }
 
-    /// Losses that others saw count for the judgement of places here too.
-    fn hear_losses(&mut self, heard: &quarantine::Mark, now: Now) {
-        self.forget(now.moment);
-        if heard.state == quarantine::State::Clear || now.wall.since(heard.since) > INCIDENT {
+    /// Adds the losses in a received mark to the current incident, so that shared
+    /// outages seen by other VMs are recognized here too.
+    fn add_received_losses(&mut self, received: &quarantine::Mark, now: Now) {
+        self.drop_old_losses(now.moment);
+        if received.state == quarantine::State::Clear
+            || now.wall.since(received.since) > INCIDENT_WINDOW
+        {
             return;
         }
-        for upstream in heard.crashed.iter().chain(&heard.lost) {
+        for upstream in received.crashed.iter().chain(&received.lost) {
             if !self.losses.iter().any(|(_, known)| known == upstream) {
                 self.losses.push_back((now.moment, upstream.clone()));
             }
         }
     }
 
+    /// Replaces the mark of `key`, if there is one, with a clearance.
     fn clear(&mut self, key: &Key, now: Now) -> Vec<Action> {
-        let Some(held) = self.marks.get(key) else {
+        let Some(existing) = self.marks.get(key) else {
             return Vec::new();
         };
         let mark = quarantine::Mark {
             state: quarantine::State::Clear,
-            until: now.wall + SUSPECT_FOR,
-            ..held.clone()
+            until: now.wall + SUSPICION_DURATION,
+            ..existing.clone()
         };
         self.publish(key.clone(), mark, now)
     }
 
+    /// Stores `mark` with a new version and returns the action that publishes it.
     fn publish(&mut self, key: Key, mut mark: quarantine::Mark, now: Now) -> Vec<Action> {
         mark.version = now.wall.0.max(mark.version + 1);
         self.marks.insert(key, mark.clone());
         vec![Action::Publish(mark)]
     }
 
-    fn forget(&mut self, now: clock::Moment) {
+    /// Drops losses that are older than [`INCIDENT_WINDOW`].
+    fn drop_old_losses(&mut self, now: clock::Moment) {
         while self
             .losses
             .front()
-            .is_some_and(|(at, _)| now.since(*at) > INCIDENT)
+            .is_some_and(|(at, _)| now.since(*at) > INCIDENT_WINDOW)
         {
             self.losses.pop_front();
         }
     }
 }
 
-fn fresh(key: &Key, held: Option<&quarantine::Mark>, now: Now) -> quarantine::Mark {
+fn new_suspicion(key: &Key, existing: Option<&quarantine::Mark>, now: Now) -> quarantine::Mark {
     quarantine::Mark {
         service: key.0.clone(),
         fingerprint: key.1,
         state: quarantine::State::Suspect,
-        version: held.map_or(0, |mark| mark.version),
+        version: existing.map_or(0, |mark| mark.version),
         crashed: Vec::new(),
         lost: Vec::new(),
         since: now.wall,
-        until: now.wall + SUSPECT_FOR,
+        until: now.wall + SUSPICION_DURATION,
     }
 }
--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -1,4 +1,4 @@
-//! The right to run one lone trial, as the store gives it.
+//! Claims the right to run an isolated trial in the store.
 
 use std::sync::atomic;
 use std::time;
@@ -9,23 +9,24 @@
 use crate::quarantine;
 use crate::quarantine::Service;
 use crate::quarantine::book;
-use crate::quarantine::keep;
+use crate::quarantine::persist;
 use crate::quarantine::trial;
 use crate::store;
 
-/// Tries of one conditional update before it waits for the next round.
-const TRIES: usize = 4;
-/// When to ask again where another trial runs or the store is out.
-const ASK_AGAIN: time::Duration = time::Duration::from_millis(200);
+/// Maximum attempts at one conditional update before the caller has to ask again.
+const MAX_CLAIM_ATTEMPTS: usize = 4;
+/// Time before asking again if another trial is in the way or the store is
+/// unavailable.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
-/// Why no trial may start now.
+/// Reason why a trial may not start now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Denied {
-    /// Another try may succeed after this time.
+    /// Another attempt may succeed later.
     #[display("no trial may start for {} ms", after.as_millis())]
     Later {
-        /// How long to wait.
+        /// Time to wait before the next attempt.
         after: time::Duration,
     },
     /// The request is quarantined.
@@ -33,60 +34,72 @@
     Quarantined,
 }
 
-/// The right to run one lone trial. Dropped once it has begun and without an
-/// end, it lapses and counts as a crash: how the request ran isn't known.
+/// The right to run one isolated trial. If it is dropped before [`Self::begin`],
+/// the claim is released. If it is dropped afterwards and without
+/// [`Self::finish`], the outcome is unknown: the claim lapses and counts as a crash.
 pub struct Trial {
-    begun: bool,
-    over: bool,
+    started: bool,
+    finished: bool,
     owner: Service,
     service: ids::Service,
     claim: trial::Claim,
 }
 
 impl Service {
-    /// Asks the store for the right to run a lone trial at `place`, or, with none,
-    /// at any upstream while no other trial runs in the service.
+    /// Claims in the store the right to run an isolated trial at `place`. If `place`
+    /// is `None` the trial may run at any upstream, but only while no other trial of
+    /// the service is running.
     ///
     /// # Errors
-    /// Where none may start now: another one is in the way, upstreams are going
-    /// down, the store is out, or the request is quarantined.
+    /// If no trial may start now: another trial conflicts with it, upstreams have
+    /// just been lost, the store is unavailable or the request is quarantined.
     pub async fn trial(
         &self,
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
         place: Option<trial::Place>,
     ) -> Result<Trial, Denied> {
-        let calm = self.book().calm(service, fingerprint, self.now());
-        calm.map_err(|after| Denied::Later { after })?;
+        let check = self
+            .book()
+            .check_trial_start(service, fingerprint, self.now());
+        check.map_err(|after| Denied::Later { after })?;
         let claim = trial::Claim {
             fingerprint,
             vm: self.inner.config.vm.clone(),
-            token: self.inner.tokens.fetch_add(1, atomic::Ordering::Relaxed),
-            until: self.inner.clock.wall() + trial::SPAN,
+            token: self
+                .inner
+                .next_token
+                .fetch_add(1, atomic::Ordering::Relaxed),
+            until: self.inner.clock.wall() + trial::CLAIM_DURATION,
             place,
         };
-        for _ in 0..TRIES {
-            if self.claim(service, &claim).await? {
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
+            if self.try_claim(service, &claim).await? {
                 let owner = self.clone();
                 let service = service.clone();
                 return Ok(Trial {
-                    begun: false,
-                    over: false,
+                    started: false,
+                    finished: false,
                     owner,
                     service,
                     claim,
                 });
             }
         }
-        Err(Denied::Later { after: ASK_AGAIN })
+        Err(Denied::Later { after: RETRY_DELAY })
     }
 
-    /// One try at the claim; false where another writer was faster.
-    async fn claim(&self, service: &ids::Service, claim: &trial::Claim) -> Result<bool, Denied> {
-        let later = || Denied::Later { after: ASK_AGAIN };
-        let (held, condition) = self.fetch(service).await.map_err(|_| later())?;
-        self.take_in(&held);
-        if held.claims.contains(claim) {
+    /// Makes one attempt to write the claim. Returns false if the write conflicted
+    /// with another one or its reply was lost.
+    async fn try_claim(
+        &self,
+        service: &ids::Service,
+        claim: &trial::Claim,
+    ) -> Result<bool, Denied> {
+        let retry_later = || Denied::Later { after: RETRY_DELAY };
+        let (ledger, condition) = self.fetch(service).await.map_err(|_| retry_later())?;
+        self.receive_ledger(&ledger);
+        if ledger.claims.contains(claim) {
             return Ok(true);
         }
         let wall = self.inner.clock.wall();
@@ -94,30 +107,31 @@
         if self.verdict(service, fingerprint) == quarantine::Verdict::Quarantined {
             return Err(Denied::Quarantined);
         }
-        let (next, go) = match held.start(claim, wall) {
-            trial::Start::Go(next) => (next, true),
+        let (next, granted) = match ledger.start(claim, wall) {
+            trial::Start::Granted(next) => (next, true),
             trial::Start::Quarantined(next) => (next, false),
-            trial::Start::Busy => return Err(later()),
+            trial::Start::Busy => return Err(retry_later()),
         };
-        self.take_in(&next);
+        self.receive_ledger(&next);
         match self.put(service, &next, condition).await {
-            Ok(()) if go => Ok(true),
+            Ok(()) if granted => Ok(true),
             Ok(()) => Err(Denied::Quarantined),
             Err(store::Error::Conflict { .. } | store::Error::Unsure { .. }) => Ok(false),
-            Err(_) => Err(later()),
+            Err(_) => Err(retry_later()),
         }
     }
 }
 
 impl Trial {
-    /// The request is about to be sent.
+    /// Records that the request is about to be sent.
     pub fn begin(&mut self) {
-        self.begun = true;
+        self.started = true;
     }
 
-    /// States how the trial ended; `upstream` ran it, where any did.
+    /// Records how the trial ended and, unless the outcome is unknown, releases the
+    /// claim. `upstream` is the one that ran the request, if any did.
     pub fn finish(mut self, end: trial::End, upstream: Option<&ids::Upstream>) {
-        self.over = true;
+        self.finished = true;
         let kind = KeyValue::new("end", end.to_string());
         self.owner.inner.trials.add(1, &[kind]);
         let fingerprint = self.claim.fingerprint;
@@ -134,17 +148,18 @@
         self.release();
     }
 
+    /// Queues the release of the claim in the store.
     fn release(&self) {
-        let write = keep::Write::Finish(self.service.clone(), self.claim.clone());
+        let write = persist::Write::Release(self.service.clone(), self.claim.clone());
         if self.owner.inner.writes.try_send(write).is_err() {
-            log::warn!("the end of a trial isn't kept in the store: too many wait");
+            log::warn!("trial claim not released in the store: write queue is full");
         }
     }
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        if !self.begun && !self.over {
+        if !self.started && !self.finished {
             self.release();
         }
     }
--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/direct.rs
@@ -1,4 +1,4 @@
-//! Sends marks to every VM at once, beside the rumours.
+//! Sends marks directly to every VM, in addition to gossip.
 
 use std::sync;
 
@@ -9,24 +9,27 @@
 use crate::mesh::message;
 use crate::quarantine;
 
-/// VMs that one VM tells itself; those it tells pass a mark on to a share each.
-const FANOUT: usize = 48;
+/// Maximum number of VMs to which the publishing VM sends a mark. Where there are
+/// more members, each of these forwards it to a group of the others.
+const MAX_FIRST_RECEIVERS: usize = 48;
 
-/// Rumours take seconds to reach everyone, and a caller's resend takes
-/// milliseconds: a mark therefore goes straight to each VM as well. Above
-/// `FANOUT` members the first receivers pass it on to their share, so that
-/// no VM sends thousands of frames; one that doesn't hear is reached by rumour.
+/// Sends marks directly to every VM. Gossip takes seconds to reach all VMs, but a
+/// caller may resend a request within milliseconds, so each mark is sent both ways.
+/// Above [`MAX_FIRST_RECEIVERS`] members the first receivers forward the mark to a group of
+/// members each, so that no VM sends thousands of frames. A VM that misses the
+/// frame is reached by gossip.
 pub struct Direct {
-    /// The members' gossip.
+    /// Publishes the mark by gossip.
     pub gossip: sync::Arc<dyn quarantine::Spread>,
-    /// The links.
+    /// Sends frames to the other VMs.
     pub post: sync::Arc<dyn mesh::Sender>,
-    /// The members.
+    /// Current members.
     pub view: watch::Receiver<member::SharedView>,
 }
 
 impl Direct {
-    /// Passes on a frame that asks for it, at the VM that received it.
+    /// Forwards a received mark to the members of this VM's group if the frame asks
+    /// for it.
     pub fn relay(&self, mark: &message::Mark) {
         if mark.relay == 0 {
             return;
@@ -36,38 +39,38 @@
         let (Some(local), stride) = (local, mark.relay as usize) else {
             return;
         };
-        let last = message::Mark {
+        let forwarded = message::Mark {
             relay: 0,
             ..mark.clone()
         };
-        let share = (1..).map(|n| local + n).take(stride - 1);
-        let share = share.filter_map(|at| view.members.get(at % view.members.len()));
-        for member in share.filter(|member| member.vm != view.local) {
-            self.send(member, last.clone());
+        let group = (1..).map(|n| local + n).take(stride - 1);
+        let group = group.filter_map(|at| view.members.get(at % view.members.len()));
+        for member in group.filter(|member| member.vm != view.local) {
+            self.send(member, forwarded.clone());
         }
     }
 
     fn send(&self, member: &member::Member, mark: message::Mark) {
         if let Err(error) = self.post.send(&member.vm, message::Body::Mark(mark)) {
-            log::debug!("a mark waits for the rumours: {error}");
+            log::debug!("mark not sent directly, left to gossip: {error}");
         }
     }
 }
 
 impl quarantine::Spread for Direct {
-    fn publish(&self, rumour: member::Update) {
+    fn publish(&self, update: member::Update) {
         let view = self.view.borrow().clone();
-        let stride = view.members.len().div_ceil(FANOUT).max(1);
+        let stride = view.members.len().div_ceil(MAX_FIRST_RECEIVERS).max(1);
         let mark = message::Mark {
-            key: rumour.key.clone(),
-            version: rumour.version,
-            body: rumour.body.clone(),
+            key: update.key.clone(),
+            version: update.version,
+            body: update.body.clone(),
             relay: if stride > 1 { stride as u32 } else { 0 },
         };
-        let heads = view.members.iter().step_by(stride);
-        for member in heads.filter(|member| member.vm != view.local) {
+        let first_receivers = view.members.iter().step_by(stride);
+        for member in first_receivers.filter(|member| member.vm != view.local) {
             self.send(member, mark.clone());
         }
-        self.gossip.publish(rumour);
+        self.gossip.publish(update);
     }
 }
--- a/crates/geraniumgauge/src/quarantine/mark.rs
+++ b/crates/geraniumgauge/src/quarantine/mark.rs
@@ -1,56 +1,59 @@
-//! What is held against one request.
+//! The mark that records a request suspected of crashing upstreams.
 
 use crate::ids;
 use crate::quarantine;
 use crate::time;
 
-/// Most upstreams named in a mark; the rest adds nothing to the judgement.
-const NAMED: usize = 4;
+/// Maximum number of upstreams in each list of a mark. More of them would not
+/// change the verdict.
+const MAX_LISTED_UPSTREAMS: usize = 4;
 
-/// What is held against one request, as VMs tell each other and keep it in the
-/// store.
+/// The suspicion, quarantine or clearance of one request. VMs send marks to each
+/// other and keep them in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Mark {
-    /// The service.
+    /// Service that the request belongs to.
     pub service: ids::Service,
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: ids::Fingerprint,
-    /// What holds for it.
+    /// Whether the request is suspect, quarantined or cleared.
     pub state: State,
-    /// Higher replaces lower; equal ones are doubles.
+    /// Version of the mark; see [`Mark::merge`].
     pub version: u64,
-    /// Upstreams lost while they ran it as a canary or a lone trial.
+    /// Upstreams lost while they ran the request as a canary or an isolated trial.
     pub crashed: Vec<ids::Upstream>,
-    /// Upstreams lost while they ran it beside others.
+    /// Upstreams lost while they ran the request at the same time as others.
     pub lost: Vec<ids::Upstream>,
-    /// When it was first suspected, by the wall clock of the VM that saw it.
+    /// When the request was first suspected, by the wall clock of the VM that saw
+    /// the loss.
     pub since: time::Wall,
-    /// When it expires, by the same clock.
+    /// When the mark expires, by the clock of the VM that set it.
     pub until: time::Wall,
 }
 
-/// What a mark says.
+/// State that a mark records for its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[serde(rename_all = "lowercase")]
 #[display(rename_all = "lowercase")]
 pub enum State {
-    /// A trial completed: what was held before is void.
+    /// The request completed or was found not to be the cause; earlier suspicion
+    /// is void.
     Clear,
-    /// An upstream was lost while it ran.
+    /// An upstream was lost while it ran the request.
     Suspect,
-    /// A second one was lost.
+    /// A second upstream was lost, or the isolated trial has crashed or lapsed.
     Quarantined,
 }
 
 impl Mark {
-    /// The key of its rumour.
+    /// Returns the key of the mark's gossip updates.
     pub fn key(&self) -> String {
         format!("{}/{}", self.service, self.fingerprint)
     }
 
-    /// Its verdict at `wall`; an expired mark holds nothing.
+    /// Returns the verdict at time `wall`. An expired mark has no effect.
     pub fn verdict(&self, wall: time::Wall) -> quarantine::Verdict {
         match self.state {
             _ if wall >= self.until => quarantine::Verdict::Clear,
@@ -60,15 +63,16 @@
         }
     }
 
-    /// Whether `upstream` was lost while it ran this request.
-    pub fn names(&self, upstream: &ids::Upstream) -> bool {
+    /// Returns true if `upstream` was lost while it ran this request.
+    pub fn lists(&self, upstream: &ids::Upstream) -> bool {
         self.crashed.contains(upstream) || self.lost.contains(upstream)
     }
 
-    /// Joins what another VM holds. Both orders give the same result: the
-    /// graver state, all upstreams, the later end. A clearance is void where
-    /// the suspicion is newer, and the other way round.
-    pub fn join(&self, other: &Self) -> Self {
+    /// Merges this mark with another VM's mark of the same request, in either
+    /// order with the same result. If one of the two is a clearance, the higher
+    /// version wins. Otherwise the result has the more severe state, the upstreams
+    /// of both and the later expiry.
+    pub fn merge(&self, other: &Self) -> Self {
         let (low, high) = if self.version <= other.version {
             (self, other)
         } else {
@@ -77,25 +81,26 @@
         if low.state == State::Clear || high.state == State::Clear {
             return high.clone();
         }
-        let mut joined = high.clone();
+        let mut merged = high.clone();
         for upstream in &low.crashed {
-            add(&mut joined.crashed, upstream);
+            add(&mut merged.crashed, upstream);
         }
         for upstream in &low.lost {
-            add(&mut joined.lost, upstream);
+            add(&mut merged.lost, upstream);
         }
-        joined.crashed.sort();
-        joined.lost.sort();
-        joined.state = low.state.max(high.state);
-        joined.since = low.since.min(high.since);
-        joined.until = low.until.max(high.until);
-        joined
+        merged.crashed.sort();
+        merged.lost.sort();
+        merged.state = low.state.max(high.state);
+        merged.since = low.since.min(high.since);
+        merged.until = low.until.max(high.until);
+        merged
     }
 }
 
-/// Adds `upstream` to a mark's list, unless it is there or the list is full.
+/// Adds `upstream` to a mark's list unless it is already listed or the list is
+/// full.
 pub(super) fn add(list: &mut Vec<ids::Upstream>, upstream: &ids::Upstream) {
-    if list.len() < NAMED && !list.contains(upstream) {
+    if list.len() < MAX_LISTED_UPSTREAMS && !list.contains(upstream) {
         list.push(upstream.clone());
     }
 }
--- a/crates/geraniumgauge/src/quarantine/mod.rs
+++ b/crates/geraniumgauge/src/quarantine/mod.rs
@@ -1,17 +1,17 @@
-//! Requests that crash upstreams.
+//! Quarantine for requests that crash upstreams.
 //!
-//! A connection lost while a request ran makes its fingerprint suspect. A
-//! suspect runs again only as a lone trial, and a second crash quarantines it.
-//! [`book::Book`] decides; [`Service`] carries marks to the other VMs and to
-//! the store.
+//! If a connection is lost while a request runs on it, the request's fingerprint
+//! becomes suspect. A suspect request runs again only as an isolated trial, and a
+//! second crash quarantines it. [`book::Book`] makes these decisions; [`Service`]
+//! sends the resulting marks to the other VMs and writes them to the store.
 
 pub mod book;
 pub mod trial;
 
 mod claim;
 mod direct;
-mod keep;
 mod mark;
+mod persist;
 mod service;
 
 #[cfg(test)]
@@ -26,16 +26,16 @@
 pub use service::Service;
 pub use service::Spread;
 
-/// What holds for a request before it runs.
+/// Whether and how a request may run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 #[display(rename_all = "lowercase")]
 pub enum Verdict {
-    /// It may run freely.
+    /// The request may run without restrictions.
     #[default]
     Clear,
-    /// It may run only as a lone trial.
+    /// The request may run only as an isolated trial.
     Suspect,
-    /// It may not run.
+    /// The request must not run.
     Quarantined,
 }
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -1,4 +1,4 @@
-//! Carries the book's decisions out: rumours, the store, metrics.
+//! Carries out the decisions of [`book::Book`]: gossip, the store and metrics.
 
 use std::sync;
 use std::sync::atomic;
@@ -13,26 +13,26 @@
 use crate::mesh::message;
 use crate::quarantine;
 use crate::quarantine::book;
-use crate::quarantine::keep;
+use crate::quarantine::persist;
 use crate::quarantine::trial;
 use crate::store;
 use crate::time as clock;
 use crate::timer;
 
-/// Tells every VM of a mark, by rumour at least.
+/// Sends marks to all VMs, at least by gossip.
 pub trait Spread: Send + Sync {
-    /// Hands one rumour of [`member::Topic::Mark`] on. Must not block.
-    fn publish(&self, rumour: member::Update);
+    /// Publishes an update of [`member::Topic::Mark`]. Must not block.
+    fn publish(&self, update: member::Update);
 }
 
-/// Settings.
+/// Settings of the quarantine service.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This VM.
+    /// Name of this VM.
     pub vm: ids::Vm,
 }
 
-/// What this VM knows of requests that crash upstreams; cheap to clone.
+/// Handle to this VM's quarantine of requests that crash upstreams. Cheap to clone.
 #[derive(Clone)]
 pub struct Service {
     pub(super) inner: sync::Arc<Inner>,
@@ -41,20 +41,21 @@
 pub(super) struct Inner {
     pub(super) config: Config,
     book: sync::Mutex<book::Book>,
-    /// Whether any mark is held: the common case takes no lock.
-    pub(super) held: atomic::AtomicBool,
-    pub(super) tokens: atomic::AtomicU64,
+    /// Set while there are marks, so that a lookup without any takes no lock.
+    pub(super) has_marks: atomic::AtomicBool,
+    pub(super) next_token: atomic::AtomicU64,
     pub(super) store: sync::Arc<dyn store::Api>,
     spread: sync::Arc<dyn Spread>,
     pub(super) clock: clock::Clock,
-    pub(super) writes: mpsc::Sender<keep::Write>,
+    pub(super) writes: mpsc::Sender<persist::Write>,
     changes: watch::Sender<u64>,
-    marked: metrics::Counter<u64>,
+    published: metrics::Counter<u64>,
     pub(super) trials: metrics::Counter<u64>,
 }
 
 impl Service {
-    /// Starts the tasks that read and write the store. Call within a runtime.
+    /// Starts the tasks that read and write the store. Must be called within a tokio
+    /// runtime.
     pub fn start(
         config: Config,
         store: sync::Arc<dyn store::Api>,
@@ -63,63 +64,63 @@
         timer: timer::Service,
         meter: &metrics::Meter,
     ) -> Self {
-        let (writes, waiting) = mpsc::channel(keep::WAITING);
+        let (writes, queue) = mpsc::channel(persist::MAX_QUEUED_WRITES);
         let inner = Inner {
             config,
             book: sync::Mutex::default(),
-            held: atomic::AtomicBool::new(false),
-            tokens: atomic::AtomicU64::new(clock.wall().0),
+            has_marks: atomic::AtomicBool::new(false),
+            next_token: atomic::AtomicU64::new(clock.wall().0),
             store,
             spread,
             clock,
             writes,
             changes: watch::Sender::new(0),
-            marked: counter(meter, "quarantine.marks", "Marks set here, by state"),
+            published: counter(meter, "quarantine.marks", "Marks set here, by state"),
             trials: counter(meter, "quarantine.trials", "Lone trials run here, by end"),
         };
         let this = Self {
             inner: sync::Arc::new(inner),
         };
-        tokio::spawn(this.clone().reread(timer.clone()));
-        tokio::spawn(this.clone().keep(waiting, timer));
+        tokio::spawn(this.clone().reload(timer.clone()));
+        tokio::spawn(this.clone().persist(queue, timer));
         this
     }
 
-    /// What holds for a request. Takes no lock while no mark is held.
+    /// Returns the verdict on a request. Takes no lock while there are no marks.
     pub fn verdict(
         &self,
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
     ) -> quarantine::Verdict {
-        if !self.inner.held.load(atomic::Ordering::Acquire) {
+        if !self.inner.has_marks.load(atomic::Ordering::Acquire) {
             return quarantine::Verdict::Clear;
         }
         let wall = self.inner.clock.wall();
         self.book().verdict(service, fingerprint, wall)
     }
 
-    /// A number that grows with each change of any verdict.
+    /// Returns a counter that increases whenever any verdict may have changed.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.inner.changes.subscribe()
     }
 
-    fn changed(&self) {
+    fn notify_change(&self) {
         self.inner.changes.send_modify(|count| *count += 1);
     }
 
-    /// Whether the request completed lately at this VM.
+    /// Returns true if the request completed recently on this VM.
     pub fn lately(&self, service: &ids::Service, fingerprint: ids::Fingerprint) -> bool {
         let now = self.inner.clock.now();
-        self.book().lately(service, fingerprint, now)
+        self.book().completed_recently(service, fingerprint, now)
     }
 
-    /// Upstreams that may be down after a crash that some VM saw.
+    /// Returns the upstreams that may be down after a loss that some VM saw.
     pub fn down(&self) -> Vec<book::Down> {
         self.book().down(self.now())
     }
 
-    /// A connection to `upstream` was lost while it ran the request beside
-    /// others.
+    /// Records that a connection to `upstream` was lost while it ran the request at
+    /// the same time as others.
     pub fn lost(
         &self,
         service: &ids::Service,
@@ -129,7 +130,8 @@
         self.lost_while(service, fingerprint, upstream, book::Run::Plain);
     }
 
-    /// A connection to `upstream` was lost while it ran the request as `run`.
+    /// Records that a connection to `upstream` was lost while it ran the request as
+    /// `run`.
     pub fn lost_while(
         &self,
         service: &ids::Service,
@@ -145,8 +147,9 @@
         });
     }
 
-    /// An upstream has answered the request. Clears a suspicion: to be called
-    /// for runs that began after it only, which are trials.
+    /// Records that an upstream answered the request, which clears a suspicion. While
+    /// the request is suspect this must be called only for trials, as other calls
+    /// may have started before the suspicion.
     pub fn completed(&self, service: &ids::Service, fingerprint: ids::Fingerprint) {
         self.handle(book::Event::Completed {
             service: service.clone(),
@@ -154,20 +157,20 @@
         });
     }
 
-    /// A rumour of [`member::Topic::Mark`]. Others are passed over.
-    pub fn heard(&self, rumour: &member::Update) {
-        if rumour.topic == member::Topic::Mark {
-            self.read(&rumour.body);
+    /// Handles a gossip update. Topics other than [`member::Topic::Mark`] are ignored.
+    pub fn heard(&self, update: &member::Update) {
+        if update.topic == member::Topic::Mark {
+            self.receive_body(&update.body);
         }
     }
 
-    /// A mark that another VM sent directly; hand it to
-    /// [`quarantine::Direct::relay`] as well.
+    /// Handles a mark that another VM sent directly. The caller must also pass it to
+    /// [`quarantine::Direct::relay`].
     pub fn received(&self, mark: &message::Mark) {
-        self.read(&mark.body);
+        self.receive_body(&mark.body);
     }
 
-    /// Marks held now, for operators.
+    /// Returns the marks in force, for operators.
     pub fn list(&self) -> Vec<quarantine::Mark> {
         self.book().list(self.inner.clock.wall())
     }
@@ -178,7 +181,9 @@
             let actions = book.handle(event, self.now());
             (actions, book.is_empty())
         };
-        self.inner.held.store(!empty, atomic::Ordering::Release);
+        self.inner
+            .has_marks
+            .store(!empty, atomic::Ordering::Release);
         for action in actions {
             self.carry_out(action);
         }
@@ -186,11 +191,11 @@
 
     fn carry_out(&self, action: book::Action) {
         let book::Action::Publish(mark) = action;
-        self.changed();
+        self.notify_change();
         let state = KeyValue::new("state", mark.state.to_string());
-        self.inner.marked.add(1, &[state]);
+        self.inner.published.add(1, &[state]);
         log::warn!(
-            "request {} of {} is {}",
+            "request {} of service {} is now {}",
             mark.fingerprint,
             mark.service,
             mark.state
@@ -202,30 +207,36 @@
             version: mark.version,
             body: body.into(),
         });
-        if self.inner.writes.try_send(keep::Write::Join(mark)).is_err() {
-            log::warn!("a mark isn't kept in the store: too many wait");
+        if self
+            .inner
+            .writes
+            .try_send(persist::Write::Merge(mark))
+            .is_err()
+        {
+            log::warn!("mark not written to the store: write queue is full");
         }
     }
 
-    fn read(&self, body: &[u8]) {
+    fn receive_body(&self, body: &[u8]) {
         match serde_json::from_slice(body) {
-            Ok(mark) => self.hear(mark),
-            Err(error) => log::warn!("a mark can't be read: {error}"),
+            Ok(mark) => self.receive(mark),
+            Err(error) => log::warn!("received mark can't be decoded: {error}"),
         }
     }
 
-    fn hear(&self, mark: quarantine::Mark) {
+    fn receive(&self, mark: quarantine::Mark) {
         let before = self.verdict(&mark.service, mark.fingerprint);
         let (service, fingerprint) = (mark.service.clone(), mark.fingerprint);
-        self.handle(book::Event::Heard(mark));
+        self.handle(book::Event::Received(mark));
         if self.verdict(&service, fingerprint) != before {
-            self.changed();
+            self.notify_change();
         }
     }
 
-    pub(super) fn take_in(&self, ledger: &trial::Ledger) {
+    /// Merges the marks of a store ledger into this VM's marks.
+    pub(super) fn receive_ledger(&self, ledger: &trial::Ledger) {
         for mark in &ledger.marks {
-            self.hear(mark.clone());
+            self.receive(mark.clone());
         }
     }
 
--- a/crates/geraniumgauge/src/quarantine/tests.rs
+++ b/crates/geraniumgauge/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
 mod book;
 mod direct;
-mod fleet;
 mod service;
+mod simulation;
--- a/crates/geraniumgauge/src/quarantine/tests/book.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/book.rs
@@ -1,4 +1,4 @@
-//! The book alone.
+//! Tests of the state machine, of merged marks and of the trial rules.
 
 use std::time;
 
@@ -50,8 +50,8 @@
     mark.clone()
 }
 
-/// A query crashes the upstream that runs it, and its caller sends it again.
-/// The first loss makes it suspect, the trial's loss quarantines it.
+/// A query crashes the upstream that runs it, and its caller sends it again. The
+/// first loss makes it suspect, and the loss of the trial quarantines it.
 #[test]
 fn a_second_crash_quarantines() {
     let mut book = book::Book::default();
@@ -59,29 +59,30 @@
     assert_eq!(verdict(&book, QUERY, at(0)), Verdict::Suspect);
     book.handle(lost(QUERY, "b", book::Run::Trial), at(2000));
     assert_eq!(verdict(&book, QUERY, at(2000)), Verdict::Quarantined);
-    let expired = 2000 + book::QUARANTINE_FOR.as_millis() as u64;
+    let expired = 2000 + book::QUARANTINE_DURATION.as_millis() as u64;
     assert_eq!(verdict(&book, QUERY, at(expired)), Verdict::Clear);
 }
 
-/// A query that runs where another one crashes the upstream is blamed with it.
-/// Its own trial completes, and it runs freely again everywhere.
+/// A query becomes suspect because another one crashed the upstream that was running
+/// both. Once its trial has completed it is clear again on every VM, even on one that
+/// receives the suspicion again later.
 #[test]
 fn a_completed_trial_clears_here_and_elsewhere() {
     let mut here = book::Book::default();
     let mut there = book::Book::default();
     let suspicion = published(here.handle(lost(QUERY, "a", book::Run::Plain), at(0)));
-    there.handle(book::Event::Heard(suspicion.clone()), at(1));
+    there.handle(book::Event::Received(suspicion.clone()), at(1));
     assert_eq!(verdict(&there, QUERY, at(1)), Verdict::Suspect);
     let clearance = published(here.handle(completed(QUERY), at(500)));
-    there.handle(book::Event::Heard(clearance), at(501));
-    there.handle(book::Event::Heard(suspicion), at(502));
+    there.handle(book::Event::Received(clearance), at(501));
+    there.handle(book::Event::Received(suspicion), at(502));
     assert_eq!(verdict(&there, QUERY, at(502)), Verdict::Clear);
 }
 
-/// A rack goes and takes eight upstreams with it. Every query that ran there
-/// would be blamed, and its callers refused for minutes.
+/// A rack failure takes down eight upstreams. Without the rule for shared outages
+/// every query that was running there would be refused for minutes.
 #[test]
-fn a_rack_blames_no_query_that_has_completed() {
+fn a_rack_failure_leaves_completed_queries_clear() {
     let mut book = book::Book::default();
     book.handle(completed(QUERY), at(0));
     for upstream in 0..8 {
@@ -91,10 +92,10 @@
     assert_eq!(verdict(&book, QUERY, at(1000)), Verdict::Clear);
 }
 
-/// The losses of a rack are seen by several VMs, one each. A query that was
-/// blamed before the others' marks came would stay suspect.
+/// Several VMs see one loss each of a rack failure. A query that became suspect
+/// before the other VMs' marks arrived must be cleared by them.
 #[test]
-fn a_rack_heard_of_later_excuses_too() {
+fn a_rack_failure_recognized_later_clears_suspects() {
     let mut here = book::Book::default();
     let mut there = book::Book::default();
     here.handle(completed(QUERY), at(0));
@@ -103,40 +104,47 @@
     for (query, upstream) in [(8, "b"), (9, "c")] {
         let query = ids::Fingerprint(query);
         let mark = published(there.handle(lost(query, upstream, book::Run::Plain), at(1001)));
-        here.handle(book::Event::Heard(mark), at(1005));
+        here.handle(book::Event::Received(mark), at(1005));
     }
     assert_eq!(verdict(&here, QUERY, at(1005)), Verdict::Clear);
 }
 
-/// While a rack goes down a trial would be lost with it and prove nothing.
+/// A trial that runs while a rack goes down may be lost with it, which proves
+/// nothing.
 #[test]
 fn no_trial_starts_while_upstreams_go_down() {
     let mut book = book::Book::default();
     book.handle(lost(QUERY, "a", book::Run::Canary), at(0));
-    assert!(book.calm(&service(), QUERY, at(0)).is_err());
-    let settled = book::SETTLE.as_millis() as u64;
-    assert!(book.calm(&service(), QUERY, at(settled)).is_ok());
+    assert!(book.check_trial_start(&service(), QUERY, at(0)).is_err());
+    let earliest = book::TRIAL_DELAY_AFTER_SUSPICION.as_millis() as u64;
+    assert!(
+        book.check_trial_start(&service(), QUERY, at(earliest))
+            .is_ok()
+    );
     let other = ids::Fingerprint(8);
-    book.handle(lost(other, "b", book::Run::Plain), at(settled));
-    assert!(book.calm(&service(), QUERY, at(settled + 1)).is_err());
+    book.handle(lost(other, "b", book::Run::Plain), at(earliest));
+    assert!(
+        book.check_trial_start(&service(), QUERY, at(earliest + 1))
+            .is_err()
+    );
 }
 
 quickcheck::quickcheck! {
-    /// Whatever order marks arrive in, every VM comes to hold the same.
+    /// VMs that receive the same marks in different orders end up with the same mark.
     fn the_order_of_marks_changes_nothing(seeds: Vec<(u8, u8, bool)>) -> bool {
         let marks: Vec<Mark> = seeds.iter().take(4).map(|seed| mark(*seed)).collect();
-        let join = |order: &[&Mark]| {
+        let merge = |order: &[&Mark]| {
             let first = order.first().map(|mark| (*mark).clone());
-            order.iter().skip(1).fold(first, |held, mark| held.map(|held| held.join(mark)))
+            order.iter().skip(1).fold(first, |held, mark| held.map(|held| held.merge(mark)))
         };
-        let there: Vec<&Mark> = marks.iter().collect();
-        let back: Vec<&Mark> = marks.iter().rev().collect();
-        join(&there) == join(&back)
+        let forward: Vec<&Mark> = marks.iter().collect();
+        let backward: Vec<&Mark> = marks.iter().rev().collect();
+        merge(&forward) == merge(&backward)
     }
 }
 
-fn mark((version, upstream, graver): (u8, u8, bool)) -> Mark {
-    let state = if graver {
+fn mark((version, upstream, quarantined): (u8, u8, bool)) -> Mark {
+    let state = if quarantined {
         crate::quarantine::State::Quarantined
     } else {
         crate::quarantine::State::Suspect
@@ -158,7 +166,7 @@
         fingerprint: QUERY,
         vm: "vm-1".parse().unwrap(),
         token,
-        until: wall + trial::SPAN,
+        until: wall + trial::CLAIM_DURATION,
         place: place("u-0", &["u-1"]),
     }
 }
@@ -171,30 +179,29 @@
     })
 }
 
-/// Two VMs want to try at once; each would take an upstream. The store lets one.
+/// Two VMs that tried the same request at once could crash an upstream each.
 #[test]
 fn one_trial_runs_at_a_time() {
     let wall = at(0).wall;
     let ledger = trial::Ledger::default();
-    let trial::Start::Go(held) = ledger.start(&claim(1, wall), wall) else {
+    let trial::Start::Granted(held) = ledger.start(&claim(1, wall), wall) else {
         panic!("the first trial may start");
     };
     assert_eq!(held.start(&claim(2, wall), wall), trial::Start::Busy);
-    let free = held.finish(&claim(1, wall)).unwrap();
+    let free = held.release(&claim(1, wall)).unwrap();
     assert!(matches!(
         free.start(&claim(2, wall), wall),
-        trial::Start::Go(_)
+        trial::Start::Granted(_)
     ));
 }
 
-/// Eight upstreams restart at one moment, and every new query that ran there
-/// waits for its trial. Trials of different queries on upstreams that share no
-/// shard can't leave a shard without any replica: they needn't wait for each
-/// other. Those at a sibling's must.
+/// After eight upstreams restart at once, many queries wait for trials. Trials of
+/// different queries run at the same time if their upstreams share no shard; with
+/// a shared shard they could crash all its replicas, so they have to wait.
 #[test]
-fn trials_of_different_requests_run_beside_each_other() {
+fn trials_of_different_requests_run_at_the_same_time() {
     let wall = at(0).wall;
-    let trial::Start::Go(held) = trial::Ledger::default().start(&claim(1, wall), wall) else {
+    let trial::Start::Granted(held) = trial::Ledger::default().start(&claim(1, wall), wall) else {
         panic!("the first trial may start");
     };
     let other = trial::Claim {
@@ -212,27 +219,27 @@
         place: place("u-2", &["u-3"]),
         ..other.clone()
     };
-    let trial::Start::Go(both) = held.start(&apart, wall) else {
+    let trial::Start::Granted(both) = held.start(&apart, wall) else {
         panic!("a trial at another shard may start");
     };
     assert_eq!(both.claims.len(), 2);
-    let free = both.finish(&claim(1, wall)).unwrap();
+    let free = both.release(&claim(1, wall)).unwrap();
     assert_eq!(free.claims, [apart]);
 }
 
-/// A VM is paused between its claim and its trial, or dies with it. Nobody
-/// knows whether an upstream crashed; a second trial could be the third crash.
+/// If a VM is paused or dies after claiming a trial, nobody knows whether an upstream
+/// crashed. A second trial could cause a third crash.
 #[test]
 fn a_trial_without_an_end_counts_as_a_crash() {
     let wall = at(0).wall;
     let mut book = book::Book::default();
     let suspicion = published(book.handle(lost(QUERY, "a", book::Run::Canary), at(0)));
     let mut ledger = trial::Ledger::default();
-    ledger.join(&suspicion, wall);
-    let trial::Start::Go(held) = ledger.start(&claim(1, wall), wall) else {
+    ledger.merge(&suspicion, wall);
+    let trial::Start::Granted(held) = ledger.start(&claim(1, wall), wall) else {
         panic!("the first trial may start");
     };
-    let later = wall + trial::SPAN + time::Duration::from_millis(1);
+    let later = wall + trial::CLAIM_DURATION + time::Duration::from_millis(1);
     let trial::Start::Quarantined(next) = held.start(&claim(2, later), later) else {
         panic!("no second trial may start");
     };
--- a/crates/geraniumgauge/src/quarantine/tests/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Marks sent directly.
+//! Tests of marks that are sent directly to every VM.
 
 use std::collections;
 use std::sync;
@@ -51,10 +51,11 @@
     }
 }
 
-/// A query crashes an upstream and is sent again a few milliseconds later at
-/// any of 2,200 VMs. Rumours take seconds; each VM must hear it in two frames.
+/// A query that crashed an upstream may be resent within milliseconds to any of
+/// 2,200 VMs, while gossip takes seconds. Every VM must receive the mark directly,
+/// over at most two hops.
 #[test]
-fn every_member_hears_a_mark_in_two_frames_at_most() {
+fn every_member_receives_a_mark_in_two_frames_at_most() {
     for count in [1, 8, 48, 49, 500, 2200] {
         let sent = sync::Arc::<Sent>::default();
         direct(3 % count, count, &sent).publish(member::Update {
@@ -71,7 +72,7 @@
         }
         let second = sent.0.lock().unwrap();
         let all = first.iter().chain(second.iter()).map(|(to, _)| to.clone());
-        let heard: collections::BTreeSet<_> = all.chain([vm(3 % count)]).collect();
-        assert_eq!(heard.len(), count);
+        let receivers: collections::BTreeSet<_> = all.chain([vm(3 % count)]).collect();
+        assert_eq!(receivers.len(), count);
     }
 }
--- a/crates/geraniumgauge/src/quarantine/tests/service.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service over a store in memory.
+//! Tests of the service with an in-memory store.
 
 use std::sync;
 use std::time;
@@ -16,18 +16,18 @@
 const QUERY: ids::Fingerprint = ids::Fingerprint(7);
 
 #[derive(Default)]
-struct Told(sync::Mutex<Vec<member::Update>>);
+struct Published(sync::Mutex<Vec<member::Update>>);
 
-impl quarantine::Spread for Told {
-    fn publish(&self, rumour: member::Update) {
-        self.0.lock().unwrap().push(rumour);
+impl quarantine::Spread for Published {
+    fn publish(&self, update: member::Update) {
+        self.0.lock().unwrap().push(update);
     }
 }
 
 fn start(
     vm: &str,
     store: &sync::Arc<store::Fake>,
-    told: &sync::Arc<Told>,
+    published: &sync::Arc<Published>,
     timer: &timer::Service,
 ) -> quarantine::Service {
     let config = quarantine::Config {
@@ -38,7 +38,7 @@
     quarantine::Service::start(
         config,
         store.clone(),
-        told.clone(),
+        published.clone(),
         clock,
         timer.clone(),
         &meter,
@@ -53,14 +53,15 @@
     tokio::time::sleep(time::Duration::from_secs(2)).await;
 }
 
-/// A VM joins minutes after a query was quarantined. No rumour goes round any
-/// more, and the caller's next try would crash a third upstream through it.
+/// A VM joins minutes after a query was quarantined, when gossip no longer carries
+/// the mark. Without the store the caller's next attempt there could crash a third
+/// upstream.
 #[tokio::test(start_paused = true)]
 async fn a_new_vm_learns_the_marks_from_the_store() {
     let store = sync::Arc::new(store::Fake::default());
-    let told = sync::Arc::<Told>::default();
+    let published = sync::Arc::<Published>::default();
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
-    let first = start("vm-1", &store, &told, &timer);
+    let first = start("vm-1", &store, &published, &timer);
     first.lost(&service(), QUERY, &"a".parse().unwrap());
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Suspect);
     settle().await;
@@ -68,23 +69,23 @@
     trial.finish(trial::End::Lost, Some(&"b".parse().unwrap()));
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Quarantined);
     settle().await;
-    let second = start("vm-2", &store, &told, &timer);
+    let second = start("vm-2", &store, &published, &timer);
     settle().await;
     assert_eq!(second.verdict(&service(), QUERY), Verdict::Quarantined);
     assert_eq!(second.list().len(), 1);
 }
 
-/// Two VMs hold the same suspect query. Only one of them may try it.
+/// Only one of two VMs with the same suspect query may run a trial of it.
 #[tokio::test(start_paused = true)]
-async fn the_store_lets_one_vm_try() {
+async fn the_store_grants_a_trial_to_one_vm() {
     let store = sync::Arc::new(store::Fake::default());
-    let told = sync::Arc::<Told>::default();
+    let published = sync::Arc::<Published>::default();
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
-    let first = start("vm-1", &store, &told, &timer);
-    let second = start("vm-2", &store, &told, &timer);
+    let first = start("vm-1", &store, &published, &timer);
+    let second = start("vm-2", &store, &published, &timer);
     first.lost(&service(), QUERY, &"a".parse().unwrap());
-    for rumour in told.0.lock().unwrap().iter() {
-        second.heard(rumour);
+    for update in published.0.lock().unwrap().iter() {
+        second.heard(update);
     }
     assert_eq!(second.verdict(&service(), QUERY), Verdict::Suspect);
     settle().await;
@@ -96,14 +97,14 @@
     assert!(second.trial(&service(), QUERY, None).await.is_ok());
 }
 
-/// The store is out. Searches go on without it, but no trial may start, since
-/// nobody could tell how many run.
+/// While the store is unavailable no trial may start, since the VMs can't tell
+/// whether another one is running. The query stays suspect.
 #[tokio::test(start_paused = true)]
 async fn without_the_store_no_trial_starts() {
     let store = sync::Arc::new(store::Fake::default());
-    let told = sync::Arc::<Told>::default();
+    let published = sync::Arc::<Published>::default();
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
-    let first = start("vm-1", &store, &told, &timer);
+    let first = start("vm-1", &store, &published, &timer);
     first.lost(&service(), QUERY, &"a".parse().unwrap());
     settle().await;
     store.fault(|faults| faults.down = true);
--- a/crates/geraniumgauge/src/quarantine/tests/fleet.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -1,6 +1,7 @@
-//! Several entries, their books, one store and upstreams that crash.
+//! Simulation of several coordinators that share one store, with upstreams that
+//! crash.
 
-mod entries;
+mod coordinators;
 mod properties;
 mod upstreams;
 
@@ -28,18 +29,18 @@
 use crate::query::replica;
 use crate::time as clock;
 
-const GUILTY: ids::Fingerprint = ids::Fingerprint(666);
-/// How long a crashed upstream is away.
-const AWAY: time::Duration = time::Duration::from_secs(3);
+const CRASHING_QUERY: ids::Fingerprint = ids::Fingerprint(666);
+/// Time during which a crashed upstream is down, unless a test sets another.
+const OUTAGE: time::Duration = time::Duration::from_secs(3);
 
-struct Entry {
+struct Coordinator {
     book: book::Book,
     plan: sync::Arc<plan::Plan>,
     fleet: sync::Arc<fleet::Fleet>,
 }
 
 struct Search {
-    entry: usize,
+    coordinator: usize,
     fingerprint: ids::Fingerprint,
     gather: gather::Gather,
     claim: Option<trial::Claim>,
@@ -47,9 +48,9 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
+enum Event {
     Start {
-        entry: usize,
+        coordinator: usize,
         query: u64,
     },
     Arrive {
@@ -65,8 +66,8 @@
         attempt: u64,
         outcome: i32,
     },
-    Heard {
-        entry: usize,
+    Received {
+        coordinator: usize,
         mark: String,
     },
     Claim {
@@ -79,7 +80,7 @@
     Cancel {
         attempt: u64,
     },
-    Rack,
+    RackFails,
 }
 
 struct Running {
@@ -93,19 +94,22 @@
 struct World {
     rng: rand::rngs::StdRng,
     now: clock::Moment,
-    entries: Vec<Entry>,
+    coordinators: Vec<Coordinator>,
     searches: Vec<Search>,
-    queue: collections::BinaryHeap<cmp::Reverse<(clock::Moment, u64, Ev)>>,
+    queue: collections::BinaryHeap<cmp::Reverse<(clock::Moment, u64, Event)>>,
     serial: u64,
     calls: collections::BTreeMap<u64, Running>,
-    away: collections::BTreeMap<String, clock::Moment>,
+    /// When each upstream that went down is up again.
+    down_until: collections::BTreeMap<String, clock::Moment>,
     ledger: trial::Ledger,
     crashed: Vec<String>,
-    /// What happened, for a failing seed.
-    story: Vec<String>,
-    racked: Vec<String>,
-    /// How long an upstream that went down stays away.
-    away_for: time::Duration,
+    /// Marks and crashes of [`CRASHING_QUERY`], printed for a failing seed.
+    log: Vec<String>,
+    /// Upstreams that [`Event::RackFails`] takes down.
+    rack: Vec<String>,
+    /// Time during which an upstream that went down stays down.
+    outage: time::Duration,
+    /// Number of times that the caller of [`CRASHING_QUERY`] may still resend it.
     resends: u32,
 }
 
@@ -149,11 +153,11 @@
 }
 
 impl World {
-    fn new(seed: u64, shards: usize, replicas: usize, entries: usize) -> Self {
+    fn new(seed: u64, shards: usize, replicas: usize, coordinators: usize) -> Self {
         let layout = sync::Arc::new(layout(shards, replicas));
-        let entry = |_| {
+        let coordinator = |_| {
             let fleet = fleet::Fleet::new(&document::Budgets::default());
-            Entry {
+            Coordinator {
                 book: book::Book::default(),
                 plan: sync::Arc::new(plan::Plan::new(&layout, &mut Source(&fleet))),
                 fleet: sync::Arc::new(fleet),
@@ -162,22 +166,22 @@
         Self {
             rng: rand::rngs::StdRng::seed_from_u64(seed),
             now: clock::Moment::from_millis(60_000),
-            entries: (0..entries).map(entry).collect(),
+            coordinators: (0..coordinators).map(coordinator).collect(),
             searches: Vec::new(),
             queue: collections::BinaryHeap::new(),
             serial: 0,
             calls: collections::BTreeMap::new(),
-            away: collections::BTreeMap::new(),
+            down_until: collections::BTreeMap::new(),
             ledger: trial::Ledger::default(),
             crashed: Vec::new(),
-            story: Vec::new(),
-            racked: Vec::new(),
-            away_for: AWAY,
+            log: Vec::new(),
+            rack: Vec::new(),
+            outage: OUTAGE,
             resends: 0,
         }
     }
 
-    fn both(&self) -> book::Now {
+    fn both_clocks(&self) -> book::Now {
         let wall = clock::Wall(1_000_000 + self.now.0 / 1000);
         book::Now {
             moment: self.now,
@@ -185,25 +189,25 @@
         }
     }
 
-    fn after(&mut self, micros: u64, ev: Ev) {
+    fn after(&mut self, micros: u64, event: Event) {
         self.serial += 1;
         let at = self.now + time::Duration::from_micros(micros);
-        self.queue.push(cmp::Reverse((at, self.serial, ev)));
+        self.queue.push(cmp::Reverse((at, self.serial, event)));
     }
 
     fn run(&mut self) {
-        while let Some(cmp::Reverse((at, _, ev))) = self.queue.pop() {
+        while let Some(cmp::Reverse((at, _, event))) = self.queue.pop() {
             self.now = self.now.max(at);
-            self.take(ev);
+            self.dispatch(event);
         }
     }
 
-    fn take(&mut self, ev: Ev) {
-        match ev {
-            Ev::Start { entry, query } => self.start(entry, ids::Fingerprint(query)),
-            Ev::Arrive { search, attempt } => self.arrive(search, attempt),
-            Ev::Done { search, attempt } => self.reply(search, attempt, Outcome::Hits),
-            Ev::Answered {
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::Start { coordinator, query } => self.start(coordinator, ids::Fingerprint(query)),
+            Event::Arrive { search, attempt } => self.arrive(search, attempt),
+            Event::Done { search, attempt } => self.reply(search, attempt, Outcome::Hits),
+            Event::Answered {
                 search,
                 attempt,
                 outcome,
@@ -211,20 +215,22 @@
                 let outcome = Outcome::try_from(outcome).unwrap();
                 self.reply(search, attempt, outcome);
             }
-            Ev::Heard { entry, mark } => self.hear(entry, &mark),
-            Ev::Claim { search, place } => self.claim(search, place),
-            Ev::Wake { search } => self.handle(search, gather::Event::Tick),
-            Ev::Cancel { attempt } => self.cancelled(attempt),
-            Ev::Rack => self.rack(),
+            Event::Received { coordinator, mark } => self.receive(coordinator, &mark),
+            Event::Claim { search, place } => self.claim(search, place),
+            Event::Wake { search } => self.handle(search, gather::Event::Tick),
+            Event::Cancel { attempt } => self.cancel(attempt),
+            Event::RackFails => self.rack_fails(),
         }
     }
 
-    fn start(&mut self, entry: usize, fingerprint: ids::Fingerprint) {
+    fn start(&mut self, coordinator: usize, fingerprint: ids::Fingerprint) {
         let number = self.searches.len();
-        let now = self.both();
-        let place = &self.entries[entry];
-        let lately = place.book.lately(&service(), fingerprint, now.moment);
-        let asked: Vec<u32> = (0..place.plan.shards.len() as u32).collect();
+        let now = self.both_clocks();
+        let state = &self.coordinators[coordinator];
+        let recently = state
+            .book
+            .completed_recently(&service(), fingerprint, now.moment);
+        let asked: Vec<u32> = (0..state.plan.shards.len() as u32).collect();
         let setup = gather::Setup {
             request: "r".parse().unwrap(),
             fingerprint,
@@ -232,7 +238,7 @@
             deadline: self.now + time::Duration::from_millis(1000),
             soft: None,
             subset: false,
-            canary: !lately,
+            canary: !recently,
             hedge_after: time::Duration::from_millis(20),
             typical: time::Duration::from_millis(5),
             hedge_last: 0,
@@ -240,11 +246,11 @@
             base: (number as u64) << 20,
             seed: number as u64,
         };
-        place.fleet.earn(asked.len());
-        let verdict = place.book.verdict(&service(), fingerprint, now.wall);
-        let gather = gather::Gather::new(setup, place.plan.clone(), asked, place.fleet.clone());
+        state.fleet.earn(asked.len());
+        let verdict = state.book.verdict(&service(), fingerprint, now.wall);
+        let gather = gather::Gather::new(setup, state.plan.clone(), asked, state.fleet.clone());
         self.searches.push(Search {
-            entry,
+            coordinator,
             fingerprint,
             gather,
             claim: None,
@@ -264,7 +270,7 @@
         if self.searches[search].answer.is_none() {
             let wake = self.searches[search].gather.wake();
             let wait = clock::micros(self.now.until(wake));
-            self.after(wait.max(1), Ev::Wake { search });
+            self.after(wait.max(1), Event::Wake { search });
         }
     }
 
@@ -288,19 +294,19 @@
                         },
                     );
                     let delay = self.rng.random_range(500..3_000);
-                    self.after(delay, Ev::Arrive { search, attempt });
+                    self.after(delay, Event::Arrive { search, attempt });
                 }
             }
             gather::Action::Cancel { attempts, .. } => {
                 for attempt in attempts {
                     let delay = self.rng.random_range(500..3_000);
-                    self.after(delay, Ev::Cancel { attempt });
+                    self.after(delay, Event::Cancel { attempt });
                 }
             }
             gather::Action::Lost { upstream, run } => {
                 let fingerprint = self.searches[search].fingerprint;
-                self.tell(
-                    self.searches[search].entry,
+                self.handle_mark_event(
+                    self.searches[search].coordinator,
                     book::Event::Lost {
                         service: service(),
                         fingerprint,
@@ -313,7 +319,7 @@
             gather::Action::Completed => self.complete(search),
             gather::Action::AskTrial(place) => {
                 let delay = self.rng.random_range(1_000..6_000);
-                self.after(delay, Ev::Claim { search, place });
+                self.after(delay, Event::Claim { search, place });
             }
             gather::Action::EndTrial { end, upstream } => {
                 self.end_trial(search, end, upstream);
@@ -325,20 +331,21 @@
         None
     }
 
-    /// The caller sends a query that wasn't answered whole again, elsewhere.
+    /// Records the answer. The caller of [`CRASHING_QUERY`] resends it to the next
+    /// coordinator if the answer isn't complete.
     fn finish(&mut self, search: usize, answer: query::Answer) {
-        let held = &mut self.searches[search];
-        let again = held.fingerprint == GUILTY && !answer.coverage.complete;
-        held.answer = Some(answer);
-        let entry = (held.entry + 1) % self.entries.len();
-        if again && self.resends > 0 {
+        let state = &mut self.searches[search];
+        let resend = state.fingerprint == CRASHING_QUERY && !answer.coverage.complete;
+        state.answer = Some(answer);
+        let coordinator = (state.coordinator + 1) % self.coordinators.len();
+        if resend && self.resends > 0 {
             self.resends -= 1;
             let delay = self.rng.random_range(1_000..8_000);
             self.after(
                 delay,
-                Ev::Start {
-                    entry,
-                    query: GUILTY.0,
+                Event::Start {
+                    coordinator,
+                    query: CRASHING_QUERY.0,
                 },
             );
         }
--- a/crates/geraniumgauge/src/quarantine/tests/fleet/entries.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/coordinators.rs
@@ -1,16 +1,16 @@
-//! Books, the store and trials.
+//! Coordinators, the store and trials.
 
 use super::*;
 
 impl World {
     pub(super) fn complete(&mut self, search: usize) {
-        let (entry, fingerprint) = (
-            self.searches[search].entry,
+        let (coordinator, fingerprint) = (
+            self.searches[search].coordinator,
             self.searches[search].fingerprint,
         );
         let service = service();
-        self.tell(
-            entry,
+        self.handle_mark_event(
+            coordinator,
             book::Event::Completed {
                 service,
                 fingerprint,
@@ -31,8 +31,8 @@
         match (end, upstream) {
             (trial::End::Completed, _) => self.complete(search),
             (trial::End::Lost, Some(upstream)) => {
-                self.tell(
-                    self.searches[search].entry,
+                self.handle_mark_event(
+                    self.searches[search].coordinator,
                     book::Event::Lost {
                         service: service(),
                         fingerprint,
@@ -44,38 +44,41 @@
             (trial::End::Unknown, _) => return,
             _ => {}
         }
-        if let Some(next) = self.ledger.finish(&claim) {
+        if let Some(next) = self.ledger.release(&claim) {
             self.ledger = next;
         }
     }
 
     pub(super) fn claim(&mut self, search: usize, place: trial::Place) {
-        let now = self.both();
-        let (entry, fingerprint) = (
-            self.searches[search].entry,
+        let now = self.both_clocks();
+        let (coordinator, fingerprint) = (
+            self.searches[search].coordinator,
             self.searches[search].fingerprint,
         );
-        let calm = self.entries[entry].book.calm(&service(), fingerprint, now);
-        if let Err(after) = calm {
+        let check =
+            self.coordinators[coordinator]
+                .book
+                .check_trial_start(&service(), fingerprint, now);
+        if let Err(after) = check {
             self.handle(search, gather::Event::Denied(Some(after)));
             return;
         }
         let claim = trial::Claim {
             fingerprint,
-            vm: format!("vm-{entry}").parse().unwrap(),
+            vm: format!("vm-{coordinator}").parse().unwrap(),
             token: search as u64,
-            until: now.wall + trial::SPAN,
+            until: now.wall + trial::CLAIM_DURATION,
             place: Some(place),
         };
         for mark in self.ledger.marks.clone() {
-            self.tell(entry, book::Event::Heard(mark));
+            self.handle_mark_event(coordinator, book::Event::Received(mark));
         }
         let verdict = self.verdict(search);
         match self.ledger.start(&claim, now.wall) {
-            trial::Start::Go(next) if verdict != Verdict::Quarantined => {
+            trial::Start::Granted(next) if verdict != Verdict::Quarantined => {
                 self.ledger = next;
                 self.searches[search].claim = Some(claim);
-                let down = self.entries[entry].book.down(now);
+                let down = self.coordinators[coordinator].book.down(now);
                 self.handle(search, gather::Event::Granted(down));
             }
             trial::Start::Busy => {
@@ -87,38 +90,47 @@
     }
 
     pub(super) fn verdict(&self, search: usize) -> Verdict {
-        let held = &self.searches[search];
-        let book = &self.entries[held.entry].book;
-        book.verdict(&service(), held.fingerprint, self.both().wall)
+        let state = &self.searches[search];
+        let book = &self.coordinators[state.coordinator].book;
+        book.verdict(&service(), state.fingerprint, self.both_clocks().wall)
     }
 
-    pub(super) fn tell(&mut self, entry: usize, event: book::Event) {
-        let now = self.both();
-        for book::Action::Publish(mark) in self.entries[entry].book.handle(event, now) {
+    pub(super) fn handle_mark_event(&mut self, coordinator: usize, event: book::Event) {
+        let now = self.both_clocks();
+        for book::Action::Publish(mark) in self.coordinators[coordinator].book.handle(event, now) {
             let text = serde_json::to_string(&mark).unwrap();
-            self.ledger.join(&mark, now.wall);
-            if mark.fingerprint == GUILTY {
+            self.ledger.merge(&mark, now.wall);
+            if mark.fingerprint == CRASHING_QUERY {
                 let line = format!(
-                    "{} vm-{entry} marks {} {:?}",
+                    "{} vm-{coordinator} marks {} {:?}",
                     self.now, mark.state, mark.crashed
                 );
-                self.story.push(line);
+                self.log.push(line);
             }
-            for other in (0..self.entries.len()).filter(|other| *other != entry) {
+            for other in (0..self.coordinators.len()).filter(|other| *other != coordinator) {
                 let delay = self.rng.random_range(500..8_000);
                 let mark = text.clone();
-                self.after(delay, Ev::Heard { entry: other, mark });
+                self.after(
+                    delay,
+                    Event::Received {
+                        coordinator: other,
+                        mark,
+                    },
+                );
             }
         }
     }
 
-    pub(super) fn hear(&mut self, entry: usize, mark: &str) {
+    pub(super) fn receive(&mut self, coordinator: usize, mark: &str) {
         let mark: quarantine::Mark = serde_json::from_str(mark).unwrap();
         let fingerprint = mark.fingerprint;
-        self.tell(entry, book::Event::Heard(mark));
+        self.handle_mark_event(coordinator, book::Event::Received(mark));
         for search in 0..self.searches.len() {
-            let held = &self.searches[search];
-            if held.entry == entry && held.fingerprint == fingerprint && held.answer.is_none() {
+            let state = &self.searches[search];
+            if state.coordinator == coordinator
+                && state.fingerprint == fingerprint
+                && state.answer.is_none()
+            {
                 let verdict = self.verdict(search);
                 self.handle(search, gather::Event::Verdict(verdict));
             }
--- /dev/null
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/properties.rs
@@ -0,0 +1,153 @@
+//! Properties that must hold for every seed.
+
+use super::*;
+
+/// Simulates a query that crashes every upstream that runs it. Its caller sends it to
+/// all coordinators at once and resends it while it isn't answered, and other callers
+/// search at the same time. With `rack_fails` a third of one data centre's upstreams
+/// go down as well.
+fn simulate_crashing_query(seed: u64, rack_fails: bool) -> World {
+    let shards = if seed.is_multiple_of(16) { 240 } else { 8 };
+    let replicas = if seed.is_multiple_of(2) { 2 } else { 4 };
+    let mut world = World::new(seed, shards, replicas, 4);
+    world.resends = 24;
+    for number in 0..60 {
+        let coordinator = (number % 4) as usize;
+        let query = 1000 + number % 5;
+        world.after(number * 20_000, Event::Start { coordinator, query });
+    }
+    let begin = world.rng.random_range(100_000..400_000);
+    for coordinator in 0..4 {
+        let skew = world.rng.random_range(0..6_000);
+        world.after(
+            begin + skew,
+            Event::Start {
+                coordinator,
+                query: CRASHING_QUERY.0,
+            },
+        );
+    }
+    if rack_fails {
+        let third = (0..shards).filter(|shard| shard.is_multiple_of(3));
+        world.rack = third.map(|shard| format!("u-{shard}-0")).collect();
+        let at = world.rng.random_range(begin..begin + 600_000);
+        world.after(at, Event::RackFails);
+    }
+    world.run();
+    world
+}
+
+/// Checks that at most two upstreams were lost, no two of them replicas of one shard,
+/// and that every search was answered.
+fn check_contained(world: &World) -> Result<(), String> {
+    let lost: collections::BTreeSet<_> = world.crashed.iter().collect();
+    if lost.len() > 2 || world.crashed.len() > 2 {
+        return Err(format!("{:#?}", world.log));
+    }
+    let shard = |upstream: &&String| upstream.rsplit_once('-').map(|(shard, _)| shard.to_owned());
+    let shards: collections::BTreeSet<_> = lost.iter().map(shard).collect();
+    if shards.len() < lost.len() {
+        return Err(format!("two replicas of one shard: {:?}", world.crashed));
+    }
+    if world.searches.iter().any(|search| search.answer.is_none()) {
+        return Err("a search without an answer".to_owned());
+    }
+    Ok(())
+}
+
+quickcheck::quickcheck! {
+    fn at_most_two_replicas_are_lost_to_one_query(seed: u64) -> Result<(), String> {
+        let world = simulate_crashing_query(seed, false);
+        check_contained(&world)?;
+        let wall = world.both_clocks().wall;
+        for coordinator in &world.coordinators {
+            for mark in coordinator.book.list(wall) {
+                let quarantined = mark.verdict(wall) == Verdict::Quarantined;
+                if quarantined && mark.fingerprint != CRASHING_QUERY {
+                    return Err(format!("quarantined without a crash: {mark:?}"));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn at_most_two_replicas_are_lost_when_a_rack_fails_too(seed: u64) -> Result<(), String> {
+        check_contained(&simulate_crashing_query(seed, true))
+    }
+
+    /// If no query crashes upstreams, a rack failure must not quarantine any.
+    fn a_rack_failure_quarantines_no_query(seed: u64) -> Result<(), String> {
+        let mut world = World::new(seed, 24, 2, 4);
+        for query in 0..200 {
+            let coordinator = (query % 4) as usize;
+            world.after(query * 3_000, Event::Start { coordinator, query: 1000 + query % 9 });
+        }
+        world.rack = (0..12).map(|shard| format!("u-{shard}-0")).collect();
+        let at = world.rng.random_range(100_000..500_000);
+        world.after(at, Event::RackFails);
+        world.run();
+        let wall = world.both_clocks().wall;
+        let marks = world.coordinators.iter().flat_map(|coordinator| coordinator.book.list(wall));
+        let quarantined = marks.filter(|mark| mark.verdict(wall) == Verdict::Quarantined).count();
+        if quarantined > 0 {
+            return Err(format!("{quarantined} quarantined"));
+        }
+        Ok(())
+    }
+}
+/// One replica of each of 8 shards restarts at the same moment while new queries run.
+/// When trials ran one at a time in a service, most queries whose canary was lost
+/// missed their deadline waiting for a trial and were answered as quarantined.
+#[test]
+fn simultaneous_restarts_quarantine_no_new_query() {
+    for seed in 0..40 {
+        let mut world = World::new(seed, 8, 2, 8);
+        world.outage = time::Duration::from_millis(300);
+        for query in 0..1200 {
+            let coordinator = (query % 8) as usize;
+            world.after(
+                query * 1_500,
+                Event::Start {
+                    coordinator,
+                    query: 1000 + query,
+                },
+            );
+        }
+        world.rack = (0..8).map(|shard| format!("u-{shard}-0")).collect();
+        world.after(300_000, Event::RackFails);
+        world.run();
+        let refused = |search: &&Search| {
+            let answer = search.answer.as_ref();
+            let mut missing = answer.iter().flat_map(|answer| &answer.coverage.missing);
+            missing.any(|missing| missing.reason == query::Reason::Quarantined)
+        };
+        let refused = world.searches.iter().filter(refused).count();
+        assert_eq!(refused, 0, "seed {seed}");
+    }
+}
+
+/// Seeds that once lost a third upstream or two of one shard: canaries continued
+/// after another coordinator's canary of the query had crashed an upstream, and a
+/// crash during a cancelled canary wasn't counted.
+#[test]
+fn seeds_that_failed_before() {
+    for seed in [
+        0,
+        2584982427489704643,
+        4981374634555773910,
+        16997711784953138171,
+    ] {
+        assert_eq!(
+            check_contained(&simulate_crashing_query(seed, false)),
+            Ok(()),
+            "{seed}"
+        );
+    }
+    for seed in [0, 2040304559091741776, 15256742487222493037] {
+        assert_eq!(
+            check_contained(&simulate_crashing_query(seed, true)),
+            Ok(()),
+            "{seed} with a rack"
+        );
+    }
+}
--- a/crates/geraniumgauge/src/quarantine/tests/fleet/upstreams.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/upstreams.rs
@@ -1,10 +1,10 @@
-//! Upstreams that run calls, crash and come back.
+//! Upstreams that run calls, go down and come back.
 
 use super::*;
 
 impl World {
-    pub(super) fn is_away(&self, upstream: &str) -> bool {
-        self.away
+    pub(super) fn is_down(&self, upstream: &str) -> bool {
+        self.down_until
             .get(upstream)
             .is_some_and(|until| self.now < *until)
     }
@@ -16,27 +16,27 @@
         running.started = true;
         let kind = running.call.kind();
         let upstream = running.call.upstream.clone();
-        if self.is_away(&upstream) {
+        if self.is_down(&upstream) {
             self.reply(search, attempt, Outcome::Unreachable);
-        } else if self.searches[search].fingerprint == GUILTY {
+        } else if self.searches[search].fingerprint == CRASHING_QUERY {
             self.crashed.push(upstream.clone());
-            let entry = self.searches[search].entry;
+            let coordinator = self.searches[search].coordinator;
             let line = format!(
-                "{} vm-{entry} search {search}: {kind:?} crashes {upstream}",
+                "{} vm-{coordinator} search {search}: {kind:?} crashes {upstream}",
                 self.now
             );
-            self.story.push(line);
+            self.log.push(line);
             self.go_down(&upstream);
         } else {
             let delay = self.rng.random_range(1_000..9_000);
-            self.after(delay, Ev::Done { search, attempt });
+            self.after(delay, Event::Done { search, attempt });
         }
     }
 
-    /// Every call that runs there loses its connection.
+    /// Takes `upstream` down. Every call that it is running loses its connection.
     pub(super) fn go_down(&mut self, upstream: &str) {
-        self.away
-            .insert(upstream.to_owned(), self.now + self.away_for);
+        self.down_until
+            .insert(upstream.to_owned(), self.now + self.outage);
         let here = |running: &&Running| running.started && running.call.upstream == upstream;
         let lost: Vec<_> = self
             .calls
@@ -49,7 +49,7 @@
             let outcome = Outcome::Lost.into();
             self.after(
                 delay,
-                Ev::Answered {
+                Event::Answered {
                     search,
                     attempt,
                     outcome,
@@ -58,31 +58,31 @@
         }
     }
 
-    /// A reply to a search that has ended.
-    pub(super) fn late(&mut self, search: usize, reply: &message::Reply) {
+    /// Handles a reply to a search that has ended.
+    pub(super) fn late_reply(&mut self, search: usize, reply: &message::Reply) {
         if reply.outcome() == Outcome::Lost {
-            let held = &self.searches[search];
+            let state = &self.searches[search];
             let lost = book::Event::Lost {
                 service: service(),
-                fingerprint: held.fingerprint,
+                fingerprint: state.fingerprint,
                 upstream: reply.upstream.parse().unwrap(),
                 run: book::Run::Plain,
             };
-            self.tell(held.entry, lost);
+            self.handle_mark_event(state.coordinator, lost);
         }
     }
 
-    /// The home stops the call, unless its connection is lost already.
-    pub(super) fn cancelled(&mut self, attempt: u64) {
+    /// Stops the call unless its connection is already lost.
+    pub(super) fn cancel(&mut self, attempt: u64) {
         let running = self.calls.get(&attempt);
-        let stopped = running.is_some_and(|running| !self.is_away(&running.call.upstream));
+        let stopped = running.is_some_and(|running| !self.is_down(&running.call.upstream));
         if stopped {
             self.calls.remove(&attempt);
         }
     }
 
-    pub(super) fn rack(&mut self) {
-        for upstream in self.racked.clone() {
+    pub(super) fn rack_fails(&mut self) {
+        for upstream in self.rack.clone() {
             self.go_down(&upstream);
         }
     }
@@ -91,7 +91,7 @@
         let Some(running) = self.calls.get(&attempt) else {
             return;
         };
-        if outcome == Outcome::Hits && self.is_away(&running.call.upstream) {
+        if outcome == Outcome::Hits && self.is_down(&running.call.upstream) {
             return;
         }
         let Some(running) = self.calls.remove(&attempt) else {
@@ -110,7 +110,7 @@
             ..message::Reply::default()
         };
         if self.searches[search].answer.is_some() {
-            self.late(search, &reply);
+            self.late_reply(search, &reply);
             return;
         }
         let replies = vec![reply];
--- a/crates/geraniumgauge/src/quarantine/trial.rs
+++ b/crates/geraniumgauge/src/quarantine/trial.rs
@@ -1,12 +1,12 @@
-//! Which VM may run a lone trial: the rules of the service's object in the
-//! store, without I/O.
+//! Rules that decide which VM may run an isolated trial. No I/O.
 //!
-//! One object a service, `quarantine/{service}`, holds its marks and the trials
-//! that run. Every change is a conditional update, so two VMs can't both start
-//! one of the same request, nor two that could take all replicas of a shard. A
-//! trial is claimed before it is sent and never claimed again for the same mark:
-//! a holder that was paused, or died, after its claim may have crashed an
-//! upstream, so a claim that lapsed without an outcome counts as a crash.
+//! Each service has one object in the store, `quarantine/{service}`, with its marks
+//! and the claims of its running trials. Every change is a conditional update, so
+//! two VMs can't start trials of the same request, nor trials that together could
+//! crash all replicas of a shard. A VM claims a trial before it sends the request.
+//! A VM that is paused or dies after claiming may have crashed an upstream, so a
+//! claim that lapses without an outcome counts as a crash and isn't given out
+//! again for the same mark.
 
 use std::time;
 
@@ -15,149 +15,150 @@
 use crate::quarantine::book;
 use crate::time as clock;
 
-/// How long a trial may run before its claim lapses.
-pub const SPAN: time::Duration = time::Duration::from_secs(5);
+/// Time after which the claim of a trial lapses.
+pub const CLAIM_DURATION: time::Duration = time::Duration::from_secs(5);
 
-/// Store key of a service's marks.
+/// Returns the key of a service's object in the store.
 pub fn key(service: &ids::Service) -> String {
     format!("{PREFIX}{service}")
 }
 
-/// Prefix of all services' keys.
+/// Prefix of the keys of all services' objects.
 pub const PREFIX: &str = "quarantine/";
 
-/// A service's object in the store.
+/// Content of a service's object in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Ledger {
-    /// What is held.
+    /// Marks of the service's requests, at most one for each fingerprint.
     pub marks: Vec<quarantine::Mark>,
-    /// The trials that run.
+    /// Claims of the trials that are running.
     pub claims: Vec<Claim>,
 }
 
-/// Who runs a trial of what.
+/// A VM's right to run one trial.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Claim {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: ids::Fingerprint,
-    /// The VM that runs it.
+    /// VM that runs the trial.
     pub vm: ids::Vm,
-    /// Tells claims of one VM apart.
+    /// Distinguishes the claims of one VM.
     pub token: u64,
-    /// When it lapses.
+    /// When the claim lapses.
     pub until: clock::Wall,
-    /// Where it runs; `None` where that isn't decided before it is sent.
+    /// Where the trial runs; `None` if that isn't known before the request is sent.
     pub place: Option<Place>,
 }
 
 impl Claim {
-    /// Whether this and another trial could take two replicas of one shard.
-    fn is_near(&self, other: &Self) -> bool {
+    /// Returns true if this trial and `other` could crash two replicas of one shard.
+    fn conflicts_with(&self, other: &Self) -> bool {
         let places = self.place.as_ref().zip(other.place.as_ref());
-        places.is_none_or(|(one, other)| one.meets(other))
+        places.is_none_or(|(one, other)| one.overlaps(other))
     }
 }
 
-/// The upstream of a trial.
+/// The upstream that runs a trial, with the other replicas of its shards.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Place {
-    /// The upstream.
+    /// Upstream that runs the trial.
     pub upstream: ids::Upstream,
-    /// The other replicas of its shards.
+    /// The other replicas of the upstream's shards.
     pub siblings: Vec<ids::Upstream>,
 }
 
 impl Place {
-    fn meets(&self, other: &Self) -> bool {
+    fn overlaps(&self, other: &Self) -> bool {
         self.upstream == other.upstream || self.siblings.contains(&other.upstream)
     }
 }
 
-/// What became of a trial.
+/// How a trial ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 #[display(rename_all = "snake_case")]
 pub enum End {
     /// The upstream answered.
     Completed,
-    /// The connection was lost.
+    /// The connection was lost while the request ran.
     Lost,
-    /// No upstream has run any of it.
+    /// No upstream ran any part of the request.
     NotRun,
-    /// Whether it ran to its end isn't known.
+    /// It isn't known whether the request ran to completion.
     Unknown,
 }
 
-/// Whether a trial may start.
+/// Result of [`Ledger::start`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Start {
-    /// Yes, once this is written.
-    Go(Ledger),
-    /// The request has one already, or one runs too near.
+    /// The trial may start once this ledger has been written.
+    Granted(Ledger),
+    /// The request already has a trial, or a running trial conflicts with this one.
     Busy,
-    /// No: the request is quarantined, which this says too.
+    /// The request is quarantined, as the contained ledger records.
     Quarantined(Ledger),
 }
 
 impl Ledger {
-    /// Takes the right to try `claim.fingerprint`.
+    /// Adds `claim` if its trial may start at time `wall`.
     pub fn start(&self, claim: &Claim, wall: clock::Wall) -> Start {
         let mut next = self.clone();
-        next.settle(wall);
+        next.quarantine_lapsed(wall);
         let mark = next.mark(claim.fingerprint);
         let verdict = mark.map_or(quarantine::Verdict::Clear, |mark| mark.verdict(wall));
         if verdict == quarantine::Verdict::Quarantined {
             return Start::Quarantined(next);
         }
-        // Trials beside each other keep callers from waiting in line after a rack
-        // restarts, when every new request that ran there is suspect: one at a
-        // time, 153 of 9,600 shards were missing as quarantined in one such run.
-        let in_the_way =
-            |held: &Claim| held.fingerprint == claim.fingerprint || held.is_near(claim);
-        if next.claims.iter().any(in_the_way) {
+        // Trials run concurrently where they can. After a rack restarts every new
+        // request that ran there is suspect; with one trial at a time, 153 of 9,600
+        // shards were missing as quarantined in one such run.
+        let conflicting =
+            |other: &Claim| other.fingerprint == claim.fingerprint || other.conflicts_with(claim);
+        if next.claims.iter().any(conflicting) {
             return Start::Busy;
         }
         next.claims.push(claim.clone());
-        Start::Go(next)
+        Start::Granted(next)
     }
 
-    /// Gives the right back.
-    pub fn finish(&self, claim: &Claim) -> Option<Self> {
-        let place = self.claims.iter().position(|held| held == claim)?;
+    /// Removes `claim`. Returns `None` if it isn't in the ledger.
+    pub fn release(&self, claim: &Claim) -> Option<Self> {
+        let place = self.claims.iter().position(|existing| existing == claim)?;
         let mut next = self.clone();
         next.claims.remove(place);
         Some(next)
     }
 
-    /// Joins a mark and drops what has expired.
-    pub fn join(&mut self, mark: &quarantine::Mark, wall: clock::Wall) {
-        self.marks.retain(|held| wall < held.until);
-        let same = |held: &&mut quarantine::Mark| held.fingerprint == mark.fingerprint;
+    /// Merges `mark` into the ledger and drops expired marks.
+    pub fn merge(&mut self, mark: &quarantine::Mark, wall: clock::Wall) {
+        self.marks.retain(|existing| wall < existing.until);
+        let same = |existing: &&mut quarantine::Mark| existing.fingerprint == mark.fingerprint;
         match self.marks.iter_mut().find(same) {
-            Some(held) => *held = held.join(mark),
+            Some(existing) => *existing = existing.merge(mark),
             None => self.marks.push(mark.clone()),
         }
     }
 
-    /// The mark of `fingerprint`.
+    /// Returns the mark of `fingerprint`, if there is one.
     pub fn mark(&self, fingerprint: ids::Fingerprint) -> Option<&quarantine::Mark> {
         self.marks
             .iter()
             .find(|mark| mark.fingerprint == fingerprint)
     }
 
-    /// A claim that lapsed may have crashed an upstream unseen.
-    fn settle(&mut self, wall: clock::Wall) {
+    /// Drops lapsed claims and quarantines their requests, which may have crashed an
+    /// upstream without any VM seeing it.
+    fn quarantine_lapsed(&mut self, wall: clock::Wall) {
         let lapsed = self.claims.extract_if(.., |claim| wall >= claim.until);
         for claim in lapsed {
             let tried = |mark: &&mut quarantine::Mark| mark.fingerprint == claim.fingerprint;
             if let Some(mark) = self.marks.iter_mut().find(tried) {
                 mark.state = quarantine::State::Quarantined;
-                mark.until = mark.until.max(wall + book::DOUBTFUL_FOR);
+                mark.until = mark.until.max(wall + book::UNCERTAIN_QUARANTINE_DURATION);
                 mark.version = wall.0.max(mark.version + 1);
             }
         }
