--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -8,8 +8,8 @@
 use crate::ids;
 use crate::quarantine;
 use crate::quarantine::Service;
-use crate::quarantine::book;
 use crate::quarantine::persist;
+use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::store;
 
@@ -138,7 +138,7 @@
         match (end, upstream) {
             (trial::End::Completed, _) => self.owner.completed(&self.service, fingerprint),
             (trial::End::Lost, Some(upstream)) => {
-                let run = book::Run::Trial;
+                let run = tracker::Run::Trial;
                 self.owner
                     .lost_while(&self.service, fingerprint, upstream, run);
             }
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of [`book::Book`]: gossip, the store and metrics.
+//! Carries out the decisions of [`tracker::Book`]: gossip, the store and metrics.
 
 use std::sync;
 use std::sync::atomic;
@@ -12,8 +12,8 @@
 use crate::member;
 use crate::mesh::message;
 use crate::quarantine;
-use crate::quarantine::book;
 use crate::quarantine::persist;
+use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::store;
 use crate::time as clock;
@@ -40,7 +40,7 @@
 
 pub(super) struct Inner {
     pub(super) config: Config,
-    book: sync::Mutex<book::Book>,
+    book: sync::Mutex<tracker::Book>,
     /// Set while there are marks, so that a lookup without any takes no lock.
     pub(super) has_marks: atomic::AtomicBool,
     pub(super) next_token: atomic::AtomicU64,
@@ -115,7 +115,7 @@
     }
 
     /// Returns the upstreams that may be down after a loss that some VM saw.
-    pub fn down(&self) -> Vec<book::Down> {
+    pub fn down(&self) -> Vec<tracker::Down> {
         self.book().down(self.now())
     }
 
@@ -127,7 +127,7 @@
         fingerprint: ids::Fingerprint,
         upstream: &ids::Upstream,
     ) {
-        self.lost_while(service, fingerprint, upstream, book::Run::Plain);
+        self.lost_while(service, fingerprint, upstream, tracker::Run::Plain);
     }
 
     /// Records that a connection to `upstream` was lost while it ran the request as
@@ -137,9 +137,9 @@
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
         upstream: &ids::Upstream,
-        run: book::Run,
+        run: tracker::Run,
     ) {
-        self.handle(book::Event::Lost {
+        self.handle(tracker::Event::Lost {
             service: service.clone(),
             fingerprint,
             upstream: upstream.clone(),
@@ -151,7 +151,7 @@
     /// the request is suspect this must be called only for trials, as other calls
     /// may have started before the suspicion.
     pub fn completed(&self, service: &ids::Service, fingerprint: ids::Fingerprint) {
-        self.handle(book::Event::Completed {
+        self.handle(tracker::Event::Completed {
             service: service.clone(),
             fingerprint,
         });
@@ -175,7 +175,7 @@
         self.book().list(self.inner.clock.wall())
     }
 
-    fn handle(&self, event: book::Event) {
+    fn handle(&self, event: tracker::Event) {
         let (actions, empty) = {
             let mut book = self.book();
             let actions = book.handle(event, self.now());
@@ -189,8 +189,8 @@
         }
     }
 
-    fn carry_out(&self, action: book::Action) {
-        let book::Action::Publish(mark) = action;
+    fn carry_out(&self, action: tracker::Action) {
+        let tracker::Action::Publish(mark) = action;
         self.notify_change();
         let state = KeyValue::new("state", mark.state.to_string());
         self.inner.published.add(1, &[state]);
@@ -227,7 +227,7 @@
     fn receive(&self, mark: quarantine::Mark) {
         let before = self.verdict(&mark.service, mark.fingerprint);
         let (service, fingerprint) = (mark.service.clone(), mark.fingerprint);
-        self.handle(book::Event::Received(mark));
+        self.handle(tracker::Event::Received(mark));
         if self.verdict(&service, fingerprint) != before {
             self.notify_change();
         }
@@ -240,14 +240,14 @@
         }
     }
 
-    pub(super) fn now(&self) -> book::Now {
-        book::Now {
+    pub(super) fn now(&self) -> tracker::Now {
+        tracker::Now {
             moment: self.inner.clock.now(),
             wall: self.inner.clock.wall(),
         }
     }
 
-    pub(super) fn book(&self) -> sync::MutexGuard<'_, book::Book> {
+    pub(super) fn book(&self) -> sync::MutexGuard<'_, tracker::Book> {
         let locked = self.inner.book.lock();
         locked.unwrap_or_else(sync::PoisonError::into_inner)
     }
--- a/crates/geraniumgauge/src/quarantine/tests.rs
+++ b/crates/geraniumgauge/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
-mod book;
 mod direct;
 mod service;
 mod simulation;
+mod tracker;
--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -20,7 +20,7 @@
 use crate::mesh::message::Outcome;
 use crate::quarantine;
 use crate::quarantine::Verdict;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::query;
 use crate::query::fleet;
@@ -34,7 +34,7 @@
 const OUTAGE: time::Duration = time::Duration::from_secs(3);
 
 struct Coordinator {
-    book: book::Book,
+    book: tracker::Book,
     plan: sync::Arc<plan::Plan>,
     fleet: sync::Arc<fleet::Fleet>,
 }
@@ -158,7 +158,7 @@
         let coordinator = |_| {
             let fleet = fleet::Fleet::new(&document::Budgets::default());
             Coordinator {
-                book: book::Book::default(),
+                book: tracker::Book::default(),
                 plan: sync::Arc::new(plan::Plan::new(&layout, &mut Source(&fleet))),
                 fleet: sync::Arc::new(fleet),
             }
@@ -181,9 +181,9 @@
         }
     }
 
-    fn both_clocks(&self) -> book::Now {
+    fn both_clocks(&self) -> tracker::Now {
         let wall = clock::Wall(1_000_000 + self.now.0 / 1000);
-        book::Now {
+        tracker::Now {
             moment: self.now,
             wall,
         }
@@ -307,7 +307,7 @@
                 let fingerprint = self.searches[search].fingerprint;
                 self.handle_mark_event(
                     self.searches[search].coordinator,
-                    book::Event::Lost {
+                    tracker::Event::Lost {
                         service: service(),
                         fingerprint,
                         upstream,
--- a/crates/geraniumgauge/src/quarantine/tests/simulation/coordinators.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/coordinators.rs
@@ -11,7 +11,7 @@
         let service = service();
         self.handle_mark_event(
             coordinator,
-            book::Event::Completed {
+            tracker::Event::Completed {
                 service,
                 fingerprint,
             },
@@ -33,11 +33,11 @@
             (trial::End::Lost, Some(upstream)) => {
                 self.handle_mark_event(
                     self.searches[search].coordinator,
-                    book::Event::Lost {
+                    tracker::Event::Lost {
                         service: service(),
                         fingerprint,
                         upstream,
-                        run: book::Run::Trial,
+                        run: tracker::Run::Trial,
                     },
                 );
             }
@@ -71,7 +71,7 @@
             place: Some(place),
         };
         for mark in self.ledger.marks.clone() {
-            self.handle_mark_event(coordinator, book::Event::Received(mark));
+            self.handle_mark_event(coordinator, tracker::Event::Received(mark));
         }
         let verdict = self.verdict(search);
         match self.ledger.start(&claim, now.wall) {
@@ -95,9 +95,10 @@
         book.verdict(&service(), state.fingerprint, self.both_clocks().wall)
     }
 
-    pub(super) fn handle_mark_event(&mut self, coordinator: usize, event: book::Event) {
+    pub(super) fn handle_mark_event(&mut self, coordinator: usize, event: tracker::Event) {
         let now = self.both_clocks();
-        for book::Action::Publish(mark) in self.coordinators[coordinator].book.handle(event, now) {
+        for tracker::Action::Publish(mark) in self.coordinators[coordinator].book.handle(event, now)
+        {
             let text = serde_json::to_string(&mark).unwrap();
             self.ledger.merge(&mark, now.wall);
             if mark.fingerprint == CRASHING_QUERY {
@@ -124,7 +125,7 @@
     pub(super) fn receive(&mut self, coordinator: usize, mark: &str) {
         let mark: quarantine::Mark = serde_json::from_str(mark).unwrap();
         let fingerprint = mark.fingerprint;
-        self.handle_mark_event(coordinator, book::Event::Received(mark));
+        self.handle_mark_event(coordinator, tracker::Event::Received(mark));
         for search in 0..self.searches.len() {
             let state = &self.searches[search];
             if state.coordinator == coordinator
--- a/crates/geraniumgauge/src/quarantine/tests/simulation/upstreams.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/upstreams.rs
@@ -62,11 +62,11 @@
     pub(super) fn late_reply(&mut self, search: usize, reply: &message::Reply) {
         if reply.outcome() == Outcome::Lost {
             let state = &self.searches[search];
-            let lost = book::Event::Lost {
+            let lost = tracker::Event::Lost {
                 service: service(),
                 fingerprint: state.fingerprint,
                 upstream: reply.upstream.parse().unwrap(),
-                run: book::Run::Plain,
+                run: tracker::Run::Plain,
             };
             self.handle_mark_event(state.coordinator, lost);
         }
--- a/crates/geraniumgauge/src/quarantine/tests/book.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/tracker.rs
@@ -5,7 +5,7 @@
 use crate::ids;
 use crate::quarantine::Mark;
 use crate::quarantine::Verdict;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::time as clock;
 
@@ -16,15 +16,15 @@
     SERVICE.parse().unwrap()
 }
 
-fn at(millis: u64) -> book::Now {
-    book::Now {
+fn at(millis: u64) -> tracker::Now {
+    tracker::Now {
         moment: clock::Moment::from_millis(millis),
         wall: clock::Wall(1_000_000 + millis),
     }
 }
 
-fn lost(query: ids::Fingerprint, upstream: &str, run: book::Run) -> book::Event {
-    book::Event::Lost {
+fn lost(query: ids::Fingerprint, upstream: &str, run: tracker::Run) -> tracker::Event {
+    tracker::Event::Lost {
         service: service(),
         fingerprint: query,
         upstream: upstream.parse().unwrap(),
@@ -32,19 +32,19 @@
     }
 }
 
-fn completed(query: ids::Fingerprint) -> book::Event {
-    book::Event::Completed {
+fn completed(query: ids::Fingerprint) -> tracker::Event {
+    tracker::Event::Completed {
         service: service(),
         fingerprint: query,
     }
 }
 
-fn verdict(book: &book::Book, query: ids::Fingerprint, now: book::Now) -> Verdict {
+fn verdict(book: &tracker::Book, query: ids::Fingerprint, now: tracker::Now) -> Verdict {
     book.verdict(&service(), query, now.wall)
 }
 
-fn published(actions: Vec<book::Action>) -> Mark {
-    let [book::Action::Publish(mark)] = actions.as_slice() else {
+fn published(actions: Vec<tracker::Action>) -> Mark {
+    let [tracker::Action::Publish(mark)] = actions.as_slice() else {
         panic!("{actions:?}");
     };
     mark.clone()
@@ -54,12 +54,12 @@
 /// first loss makes it suspect, and the loss of the trial quarantines it.
 #[test]
 fn a_second_crash_quarantines() {
-    let mut book = book::Book::default();
-    book.handle(lost(QUERY, "a", book::Run::Canary), at(0));
+    let mut book = tracker::Book::default();
+    book.handle(lost(QUERY, "a", tracker::Run::Canary), at(0));
     assert_eq!(verdict(&book, QUERY, at(0)), Verdict::Suspect);
-    book.handle(lost(QUERY, "b", book::Run::Trial), at(2000));
+    book.handle(lost(QUERY, "b", tracker::Run::Trial), at(2000));
     assert_eq!(verdict(&book, QUERY, at(2000)), Verdict::Quarantined);
-    let expired = 2000 + book::QUARANTINE_DURATION.as_millis() as u64;
+    let expired = 2000 + tracker::QUARANTINE_DURATION.as_millis() as u64;
     assert_eq!(verdict(&book, QUERY, at(expired)), Verdict::Clear);
 }
 
@@ -68,14 +68,14 @@
 /// receives the suspicion again later.
 #[test]
 fn a_completed_trial_clears_here_and_elsewhere() {
-    let mut here = book::Book::default();
-    let mut there = book::Book::default();
-    let suspicion = published(here.handle(lost(QUERY, "a", book::Run::Plain), at(0)));
-    there.handle(book::Event::Received(suspicion.clone()), at(1));
+    let mut here = tracker::Book::default();
+    let mut there = tracker::Book::default();
+    let suspicion = published(here.handle(lost(QUERY, "a", tracker::Run::Plain), at(0)));
+    there.handle(tracker::Event::Received(suspicion.clone()), at(1));
     assert_eq!(verdict(&there, QUERY, at(1)), Verdict::Suspect);
     let clearance = published(here.handle(completed(QUERY), at(500)));
-    there.handle(book::Event::Received(clearance), at(501));
-    there.handle(book::Event::Received(suspicion), at(502));
+    there.handle(tracker::Event::Received(clearance), at(501));
+    there.handle(tracker::Event::Received(suspicion), at(502));
     assert_eq!(verdict(&there, QUERY, at(502)), Verdict::Clear);
 }
 
@@ -83,11 +83,11 @@
 /// every query that was running there would be refused for minutes.
 #[test]
 fn a_rack_failure_leaves_completed_queries_clear() {
-    let mut book = book::Book::default();
+    let mut book = tracker::Book::default();
     book.handle(completed(QUERY), at(0));
     for upstream in 0..8 {
         let upstream = format!("u{upstream}");
-        book.handle(lost(QUERY, &upstream, book::Run::Plain), at(1000));
+        book.handle(lost(QUERY, &upstream, tracker::Run::Plain), at(1000));
     }
     assert_eq!(verdict(&book, QUERY, at(1000)), Verdict::Clear);
 }
@@ -96,15 +96,15 @@
 /// before the other VMs' marks arrived must be cleared by them.
 #[test]
 fn a_rack_failure_recognized_later_clears_suspects() {
-    let mut here = book::Book::default();
-    let mut there = book::Book::default();
+    let mut here = tracker::Book::default();
+    let mut there = tracker::Book::default();
     here.handle(completed(QUERY), at(0));
-    here.handle(lost(QUERY, "a", book::Run::Plain), at(1000));
+    here.handle(lost(QUERY, "a", tracker::Run::Plain), at(1000));
     assert_eq!(verdict(&here, QUERY, at(1000)), Verdict::Suspect);
     for (query, upstream) in [(8, "b"), (9, "c")] {
         let query = ids::Fingerprint(query);
-        let mark = published(there.handle(lost(query, upstream, book::Run::Plain), at(1001)));
-        here.handle(book::Event::Received(mark), at(1005));
+        let mark = published(there.handle(lost(query, upstream, tracker::Run::Plain), at(1001)));
+        here.handle(tracker::Event::Received(mark), at(1005));
     }
     assert_eq!(verdict(&here, QUERY, at(1005)), Verdict::Clear);
 }
@@ -113,16 +113,16 @@
 /// nothing.
 #[test]
 fn no_trial_starts_while_upstreams_go_down() {
-    let mut book = book::Book::default();
-    book.handle(lost(QUERY, "a", book::Run::Canary), at(0));
+    let mut book = tracker::Book::default();
+    book.handle(lost(QUERY, "a", tracker::Run::Canary), at(0));
     assert!(book.check_trial_start(&service(), QUERY, at(0)).is_err());
-    let earliest = book::TRIAL_DELAY_AFTER_SUSPICION.as_millis() as u64;
+    let earliest = tracker::TRIAL_DELAY_AFTER_SUSPICION.as_millis() as u64;
     assert!(
         book.check_trial_start(&service(), QUERY, at(earliest))
             .is_ok()
     );
     let other = ids::Fingerprint(8);
-    book.handle(lost(other, "b", book::Run::Plain), at(earliest));
+    book.handle(lost(other, "b", tracker::Run::Plain), at(earliest));
     assert!(
         book.check_trial_start(&service(), QUERY, at(earliest + 1))
             .is_err()
@@ -232,8 +232,8 @@
 #[test]
 fn a_trial_without_an_end_counts_as_a_crash() {
     let wall = at(0).wall;
-    let mut book = book::Book::default();
-    let suspicion = published(book.handle(lost(QUERY, "a", book::Run::Canary), at(0)));
+    let mut book = tracker::Book::default();
+    let suspicion = published(book.handle(lost(QUERY, "a", tracker::Run::Canary), at(0)));
     let mut ledger = trial::Ledger::default();
     ledger.merge(&suspicion, wall);
     let trial::Start::Granted(held) = ledger.start(&claim(1, wall), wall) else {
--- a/crates/geraniumgauge/src/quarantine/trial.rs
+++ b/crates/geraniumgauge/src/quarantine/trial.rs
@@ -12,7 +12,7 @@
 
 use crate::ids;
 use crate::quarantine;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::time as clock;
 
 /// Time after which the claim of a trial lapses.
@@ -158,7 +158,9 @@
             let tried = |mark: &&mut quarantine::Mark| mark.fingerprint == claim.fingerprint;
             if let Some(mark) = self.marks.iter_mut().find(tried) {
                 mark.state = quarantine::State::Quarantined;
-                mark.until = mark.until.max(wall + book::UNCERTAIN_QUARANTINE_DURATION);
+                mark.until = mark
+                    .until
+                    .max(wall + tracker::UNCERTAIN_QUARANTINE_DURATION);
                 mark.version = wall.0.max(mark.version + 1);
             }
         }
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -7,7 +7,7 @@
 use crate::ids;
 use crate::mesh::message;
 use crate::quarantine;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::query;
 use crate::query::plan;
@@ -90,7 +90,7 @@
     /// The answer to [`Action::Replan`]; `None` where the service has ended.
     Plan(Option<sync::Arc<plan::Plan>>),
     /// The lone trial may run; these upstreams were lost by what marks say.
-    Granted(Vec<book::Down>),
+    Granted(Vec<tracker::Down>),
     /// It may not; ask again after the time given, if one is given.
     Denied(Option<time::Duration>),
     /// Time has passed.
@@ -124,7 +124,7 @@
         /// The upstream.
         upstream: ids::Upstream,
         /// How it ran.
-        run: book::Run,
+        run: tracker::Run,
     },
     /// An upstream has answered the request; comes once.
     Completed,
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -11,7 +11,7 @@
 use crate::ids;
 use crate::mesh::message;
 use crate::mesh::message::Outcome;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::query;
 use crate::query::merge;
 use crate::time as clock;
@@ -196,8 +196,8 @@
     /// crash.
     fn blame(&mut self, upstream: ids::Upstream, kind: message::Kind) {
         let run = match kind {
-            message::Kind::Canary => book::Run::Canary,
-            _ => book::Run::Plain,
+            message::Kind::Canary => tracker::Run::Canary,
+            _ => tracker::Run::Plain,
         };
         self.judging = true;
         self.out.actions.push(Action::Lost { upstream, run });
--- a/crates/geraniumgauge/src/query/gather/suspect.rs
+++ b/crates/geraniumgauge/src/query/gather/suspect.rs
@@ -13,7 +13,7 @@
 use crate::mesh::message;
 use crate::mesh::message::Outcome;
 use crate::quarantine::Verdict;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::query;
 use crate::time as clock;
@@ -184,7 +184,7 @@
         }
     }
 
-    pub(super) fn granted(&mut self, down: &[book::Down], now: clock::Moment) {
+    pub(super) fn granted(&mut self, down: &[tracker::Down], now: clock::Moment) {
         if self.trial.state != State::Asked {
             self.end_trial(trial::End::NotRun, None);
             return;
@@ -237,7 +237,7 @@
         offers && !stats.avoided(now)
     }
 
-    pub(super) fn siblings_up(&self, replica: u32, down: &[book::Down]) -> bool {
+    pub(super) fn siblings_up(&self, replica: u32, down: &[tracker::Down]) -> bool {
         let up = |upstream: &query::plan::Replica| {
             let answered = upstream.stats.answered();
             let mut lost = down.iter().filter(|down| down.upstream == upstream.id);
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -6,7 +6,7 @@
 use crate::ids;
 use crate::mesh::message;
 use crate::quarantine;
-use crate::quarantine::book;
+use crate::quarantine::tracker;
 use crate::query;
 use crate::query::fleet;
 use crate::query::gather;
@@ -245,7 +245,7 @@
         search.handle(start, now).as_slice(),
         [gather::Action::AskTrial(_)]
     ));
-    let down = vec![book::Down {
+    let down = vec![tracker::Down {
         upstream: "u-0-0".parse().unwrap(),
         lost: now,
     }];
