--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -60,7 +60,7 @@
         place: Option<trial::Place>,
     ) -> Result<Trial, Denied> {
         let check = self
-            .book()
+            .tracker()
             .check_trial_start(service, fingerprint, self.now());
         check.map_err(|after| Denied::Later { after })?;
         let claim = trial::Claim {
--- a/crates/geraniumgauge/src/quarantine/mod.rs
+++ b/crates/geraniumgauge/src/quarantine/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! If a connection is lost while a request runs on it, the request's fingerprint
 //! becomes suspect. A suspect request runs again only as an isolated trial, and a
-//! second crash quarantines it. [`tracker::Book`] makes these decisions; [`Service`]
+//! second crash quarantines it. [`tracker::Tracker`] makes these decisions; [`Service`]
 //! sends the resulting marks to the other VMs and writes them to the store.
 
 pub mod tracker;
--- a/crates/geraniumgauge/src/quarantine/persist.rs
+++ b/crates/geraniumgauge/src/quarantine/persist.rs
@@ -115,11 +115,11 @@
 
     /// Drops expired marks.
     fn expire(&self) {
-        let mut book = self.book();
-        book.expire(self.now());
+        let mut tracker = self.tracker();
+        tracker.expire(self.now());
         self.inner
             .has_marks
-            .store(!book.is_empty(), atomic::Ordering::Release);
+            .store(!tracker.is_empty(), atomic::Ordering::Release);
     }
 
     /// Carries out one write. Returns true if it has been done or isn't needed any
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of [`tracker::Book`]: gossip, the store and metrics.
+//! Carries out the decisions of [`tracker::Tracker`]: gossip, the store and metrics.
 
 use std::sync;
 use std::sync::atomic;
@@ -40,7 +40,7 @@
 
 pub(super) struct Inner {
     pub(super) config: Config,
-    book: sync::Mutex<tracker::Book>,
+    tracker: sync::Mutex<tracker::Tracker>,
     /// Set while there are marks, so that a lookup without any takes no lock.
     pub(super) has_marks: atomic::AtomicBool,
     pub(super) next_token: atomic::AtomicU64,
@@ -67,7 +67,7 @@
         let (writes, queue) = mpsc::channel(persist::MAX_QUEUED_WRITES);
         let inner = Inner {
             config,
-            book: sync::Mutex::default(),
+            tracker: sync::Mutex::default(),
             has_marks: atomic::AtomicBool::new(false),
             next_token: atomic::AtomicU64::new(clock.wall().0),
             store,
@@ -96,7 +96,7 @@
             return quarantine::Verdict::Clear;
         }
         let wall = self.inner.clock.wall();
-        self.book().verdict(service, fingerprint, wall)
+        self.tracker().verdict(service, fingerprint, wall)
     }
 
     /// Returns a counter that increases whenever any verdict may have changed.
@@ -111,12 +111,12 @@
     /// Returns true if the request completed recently on this VM.
     pub fn lately(&self, service: &ids::Service, fingerprint: ids::Fingerprint) -> bool {
         let now = self.inner.clock.now();
-        self.book().completed_recently(service, fingerprint, now)
+        self.tracker().completed_recently(service, fingerprint, now)
     }
 
     /// Returns the upstreams that may be down after a loss that some VM saw.
     pub fn down(&self) -> Vec<tracker::Down> {
-        self.book().down(self.now())
+        self.tracker().down(self.now())
     }
 
     /// Records that a connection to `upstream` was lost while it ran the request at
@@ -172,14 +172,14 @@
 
     /// Returns the marks in force, for operators.
     pub fn list(&self) -> Vec<quarantine::Mark> {
-        self.book().list(self.inner.clock.wall())
+        self.tracker().list(self.inner.clock.wall())
     }
 
     fn handle(&self, event: tracker::Event) {
         let (actions, empty) = {
-            let mut book = self.book();
-            let actions = book.handle(event, self.now());
-            (actions, book.is_empty())
+            let mut tracker = self.tracker();
+            let actions = tracker.handle(event, self.now());
+            (actions, tracker.is_empty())
         };
         self.inner
             .has_marks
@@ -247,8 +247,8 @@
         }
     }
 
-    pub(super) fn book(&self) -> sync::MutexGuard<'_, tracker::Book> {
-        let locked = self.inner.book.lock();
+    pub(super) fn tracker(&self) -> sync::MutexGuard<'_, tracker::Tracker> {
+        let locked = self.inner.tracker.lock();
         locked.unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -34,7 +34,7 @@
 const OUTAGE: time::Duration = time::Duration::from_secs(3);
 
 struct Coordinator {
-    book: tracker::Book,
+    tracker: tracker::Tracker,
     plan: sync::Arc<plan::Plan>,
     fleet: sync::Arc<fleet::Fleet>,
 }
@@ -158,7 +158,7 @@
         let coordinator = |_| {
             let fleet = fleet::Fleet::new(&document::Budgets::default());
             Coordinator {
-                book: tracker::Book::default(),
+                tracker: tracker::Tracker::default(),
                 plan: sync::Arc::new(plan::Plan::new(&layout, &mut Source(&fleet))),
                 fleet: sync::Arc::new(fleet),
             }
@@ -228,7 +228,7 @@
         let now = self.both_clocks();
         let state = &self.coordinators[coordinator];
         let recently = state
-            .book
+            .tracker
             .completed_recently(&service(), fingerprint, now.moment);
         let asked: Vec<u32> = (0..state.plan.shards.len() as u32).collect();
         let setup = gather::Setup {
@@ -247,7 +247,7 @@
             seed: number as u64,
         };
         state.fleet.earn(asked.len());
-        let verdict = state.book.verdict(&service(), fingerprint, now.wall);
+        let verdict = state.tracker.verdict(&service(), fingerprint, now.wall);
         let gather = gather::Gather::new(setup, state.plan.clone(), asked, state.fleet.clone());
         self.searches.push(Search {
             coordinator,
--- a/crates/geraniumgauge/src/quarantine/tests/simulation/coordinators.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/coordinators.rs
@@ -57,7 +57,7 @@
         );
         let check =
             self.coordinators[coordinator]
-                .book
+                .tracker
                 .check_trial_start(&service(), fingerprint, now);
         if let Err(after) = check {
             self.handle(search, gather::Event::Denied(Some(after)));
@@ -78,7 +78,7 @@
             trial::Start::Granted(next) if verdict != Verdict::Quarantined => {
                 self.ledger = next;
                 self.searches[search].claim = Some(claim);
-                let down = self.coordinators[coordinator].book.down(now);
+                let down = self.coordinators[coordinator].tracker.down(now);
                 self.handle(search, gather::Event::Granted(down));
             }
             trial::Start::Busy => {
@@ -91,13 +91,14 @@
 
     pub(super) fn verdict(&self, search: usize) -> Verdict {
         let state = &self.searches[search];
-        let book = &self.coordinators[state.coordinator].book;
-        book.verdict(&service(), state.fingerprint, self.both_clocks().wall)
+        let tracker = &self.coordinators[state.coordinator].tracker;
+        tracker.verdict(&service(), state.fingerprint, self.both_clocks().wall)
     }
 
     pub(super) fn handle_mark_event(&mut self, coordinator: usize, event: tracker::Event) {
         let now = self.both_clocks();
-        for tracker::Action::Publish(mark) in self.coordinators[coordinator].book.handle(event, now)
+        for tracker::Action::Publish(mark) in
+            self.coordinators[coordinator].tracker.handle(event, now)
         {
             let text = serde_json::to_string(&mark).unwrap();
             self.ledger.merge(&mark, now.wall);
--- a/crates/geraniumgauge/src/quarantine/tests/simulation/properties.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/properties.rs
@@ -61,7 +61,7 @@
         check_contained(&world)?;
         let wall = world.both_clocks().wall;
         for coordinator in &world.coordinators {
-            for mark in coordinator.book.list(wall) {
+            for mark in coordinator.tracker.list(wall) {
                 let quarantined = mark.verdict(wall) == Verdict::Quarantined;
                 if quarantined && mark.fingerprint != CRASHING_QUERY {
                     return Err(format!("quarantined without a crash: {mark:?}"));
@@ -87,7 +87,7 @@
         world.after(at, Event::RackFails);
         world.run();
         let wall = world.both_clocks().wall;
-        let marks = world.coordinators.iter().flat_map(|coordinator| coordinator.book.list(wall));
+        let marks = world.coordinators.iter().flat_map(|vm| vm.tracker.list(wall));
         let quarantined = marks.filter(|mark| mark.verdict(wall) == Verdict::Quarantined).count();
         if quarantined > 0 {
             return Err(format!("{quarantined} quarantined"));
--- a/crates/geraniumgauge/src/quarantine/tests/tracker.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/tracker.rs
@@ -39,8 +39,8 @@
     }
 }
 
-fn verdict(book: &tracker::Book, query: ids::Fingerprint, now: tracker::Now) -> Verdict {
-    book.verdict(&service(), query, now.wall)
+fn verdict(tracker: &tracker::Tracker, query: ids::Fingerprint, now: tracker::Now) -> Verdict {
+    tracker.verdict(&service(), query, now.wall)
 }
 
 fn published(actions: Vec<tracker::Action>) -> Mark {
@@ -54,13 +54,13 @@
 /// first loss makes it suspect, and the loss of the trial quarantines it.
 #[test]
 fn a_second_crash_quarantines() {
-    let mut book = tracker::Book::default();
-    book.handle(lost(QUERY, "a", tracker::Run::Canary), at(0));
-    assert_eq!(verdict(&book, QUERY, at(0)), Verdict::Suspect);
-    book.handle(lost(QUERY, "b", tracker::Run::Trial), at(2000));
-    assert_eq!(verdict(&book, QUERY, at(2000)), Verdict::Quarantined);
+    let mut tracker = tracker::Tracker::default();
+    tracker.handle(lost(QUERY, "a", tracker::Run::Canary), at(0));
+    assert_eq!(verdict(&tracker, QUERY, at(0)), Verdict::Suspect);
+    tracker.handle(lost(QUERY, "b", tracker::Run::Trial), at(2000));
+    assert_eq!(verdict(&tracker, QUERY, at(2000)), Verdict::Quarantined);
     let expired = 2000 + tracker::QUARANTINE_DURATION.as_millis() as u64;
-    assert_eq!(verdict(&book, QUERY, at(expired)), Verdict::Clear);
+    assert_eq!(verdict(&tracker, QUERY, at(expired)), Verdict::Clear);
 }
 
 /// A query becomes suspect because another one crashed the upstream that was running
@@ -68,8 +68,8 @@
 /// receives the suspicion again later.
 #[test]
 fn a_completed_trial_clears_here_and_elsewhere() {
-    let mut here = tracker::Book::default();
-    let mut there = tracker::Book::default();
+    let mut here = tracker::Tracker::default();
+    let mut there = tracker::Tracker::default();
     let suspicion = published(here.handle(lost(QUERY, "a", tracker::Run::Plain), at(0)));
     there.handle(tracker::Event::Received(suspicion.clone()), at(1));
     assert_eq!(verdict(&there, QUERY, at(1)), Verdict::Suspect);
@@ -83,21 +83,21 @@
 /// every query that was running there would be refused for minutes.
 #[test]
 fn a_rack_failure_leaves_completed_queries_clear() {
-    let mut book = tracker::Book::default();
-    book.handle(completed(QUERY), at(0));
+    let mut tracker = tracker::Tracker::default();
+    tracker.handle(completed(QUERY), at(0));
     for upstream in 0..8 {
         let upstream = format!("u{upstream}");
-        book.handle(lost(QUERY, &upstream, tracker::Run::Plain), at(1000));
+        tracker.handle(lost(QUERY, &upstream, tracker::Run::Plain), at(1000));
     }
-    assert_eq!(verdict(&book, QUERY, at(1000)), Verdict::Clear);
+    assert_eq!(verdict(&tracker, QUERY, at(1000)), Verdict::Clear);
 }
 
 /// Several VMs see one loss each of a rack failure. A query that became suspect
 /// before the other VMs' marks arrived must be cleared by them.
 #[test]
 fn a_rack_failure_recognized_later_clears_suspects() {
-    let mut here = tracker::Book::default();
-    let mut there = tracker::Book::default();
+    let mut here = tracker::Tracker::default();
+    let mut there = tracker::Tracker::default();
     here.handle(completed(QUERY), at(0));
     here.handle(lost(QUERY, "a", tracker::Run::Plain), at(1000));
     assert_eq!(verdict(&here, QUERY, at(1000)), Verdict::Suspect);
@@ -113,18 +113,20 @@
 /// nothing.
 #[test]
 fn no_trial_starts_while_upstreams_go_down() {
-    let mut book = tracker::Book::default();
-    book.handle(lost(QUERY, "a", tracker::Run::Canary), at(0));
-    assert!(book.check_trial_start(&service(), QUERY, at(0)).is_err());
+    let mut tracker = tracker::Tracker::default();
+    tracker.handle(lost(QUERY, "a", tracker::Run::Canary), at(0));
+    assert!(tracker.check_trial_start(&service(), QUERY, at(0)).is_err());
     let earliest = tracker::TRIAL_DELAY_AFTER_SUSPICION.as_millis() as u64;
     assert!(
-        book.check_trial_start(&service(), QUERY, at(earliest))
+        tracker
+            .check_trial_start(&service(), QUERY, at(earliest))
             .is_ok()
     );
     let other = ids::Fingerprint(8);
-    book.handle(lost(other, "b", tracker::Run::Plain), at(earliest));
+    tracker.handle(lost(other, "b", tracker::Run::Plain), at(earliest));
     assert!(
-        book.check_trial_start(&service(), QUERY, at(earliest + 1))
+        tracker
+            .check_trial_start(&service(), QUERY, at(earliest + 1))
             .is_err()
     );
 }
@@ -232,8 +234,8 @@
 #[test]
 fn a_trial_without_an_end_counts_as_a_crash() {
     let wall = at(0).wall;
-    let mut book = tracker::Book::default();
-    let suspicion = published(book.handle(lost(QUERY, "a", tracker::Run::Canary), at(0)));
+    let mut tracker = tracker::Tracker::default();
+    let suspicion = published(tracker.handle(lost(QUERY, "a", tracker::Run::Canary), at(0)));
     let mut ledger = trial::Ledger::default();
     ledger.merge(&suspicion, wall);
     let trial::Start::Granted(held) = ledger.start(&claim(1, wall), wall) else {
--- a/crates/geraniumgauge/src/quarantine/tracker.rs
+++ b/crates/geraniumgauge/src/quarantine/tracker.rs
@@ -99,7 +99,7 @@
 
 /// Tracks which requests are suspect or quarantined, as far as this VM knows.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Tracker {
     marks: collections::BTreeMap<Key, quarantine::Mark>,
     completions: Completions,
     losses: collections::VecDeque<(clock::Moment, ids::Upstream)>,
@@ -127,7 +127,7 @@
     }
 }
 
-impl Book {
+impl Tracker {
     /// Handles one event and returns the actions that it requires.
     pub fn handle(&mut self, event: Event, now: Now) -> Vec<Action> {
         match event {
