--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -109,7 +109,11 @@
     }
 
     /// Returns true if the request completed recently on this VM.
-    pub fn lately(&self, service: &ids::Service, fingerprint: ids::Fingerprint) -> bool {
+    pub fn completed_recently(
+        &self,
+        service: &ids::Service,
+        fingerprint: ids::Fingerprint,
+    ) -> bool {
         let now = self.inner.clock.now();
         self.tracker().completed_recently(service, fingerprint, now)
     }
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -116,7 +116,7 @@
     fn canary(&self, ask: &task::Ask, limits: &document::Limits, width: usize) -> bool {
         let wide = width >= limits.canary_width as usize;
         let guarded = self.config.policy != Policy::Direct;
-        wide && guarded && !self.book.lately(&ask.service, ask.fingerprint)
+        wide && guarded && !self.book.completed_recently(&ask.service, ask.fingerprint)
     }
 
     /// Takes a place among the running searches. One service's storm fills its
