--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -162,7 +162,7 @@
     }
 
     /// Handles a gossip update. Topics other than [`member::Topic::Mark`] are ignored.
-    pub fn heard(&self, update: &member::Update) {
+    pub fn receive_update(&self, update: &member::Update) {
         if update.topic == member::Topic::Mark {
             self.receive_body(&update.body);
         }
--- a/crates/geraniumgauge/src/quarantine/tests/service.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/service.rs
@@ -85,7 +85,7 @@
     let second = start("vm-2", &store, &published, &timer);
     first.lost(&service(), QUERY, &"a".parse().unwrap());
     for update in published.0.lock().unwrap().iter() {
-        second.heard(update);
+        second.receive_update(update);
     }
     assert_eq!(second.verdict(&service(), QUERY), Verdict::Suspect);
     settle().await;
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -88,7 +88,7 @@
             () = stop.cancelled() => return,
         };
         match heard {
-            Ok(rumour) if rumour.topic == member::Topic::Mark => book.heard(&rumour),
+            Ok(rumour) if rumour.topic == member::Topic::Mark => book.receive_update(&rumour),
             Ok(_) | Err(broadcast::error::RecvError::Lagged(_)) => {}
             Err(broadcast::error::RecvError::Closed) => return,
         }
