--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -57,7 +57,7 @@
             message::Body::Pulled(pulled) => targets.document.pulled(from, pulled),
             message::Body::Mark(mark) => {
                 targets.direct.relay(&mark);
-                targets.book.received(&mark);
+                targets.book.receive_mark(&mark);
             }
             message::Body::Bye(_)
             | message::Body::Hello(_)
