--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/direct.rs
@@ -20,7 +20,7 @@
 /// frame is reached by gossip.
 pub struct Direct {
     /// Publishes the mark by gossip.
-    pub gossip: sync::Arc<dyn quarantine::Spread>,
+    pub gossip: sync::Arc<dyn quarantine::Publisher>,
     /// Sends frames to the other VMs.
     pub post: sync::Arc<dyn mesh::Sender>,
     /// Current members.
@@ -57,7 +57,7 @@
     }
 }
 
-impl quarantine::Spread for Direct {
+impl quarantine::Publisher for Direct {
     fn publish(&self, update: member::Update) {
         let view = self.view.borrow().clone();
         let stride = view.members.len().div_ceil(MAX_FIRST_RECEIVERS).max(1);
--- a/crates/geraniumgauge/src/quarantine/mod.rs
+++ b/crates/geraniumgauge/src/quarantine/mod.rs
@@ -23,8 +23,8 @@
 pub use mark::Mark;
 pub use mark::State;
 pub use service::Config;
+pub use service::Publisher;
 pub use service::Service;
-pub use service::Spread;
 
 /// Whether and how a request may run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -20,7 +20,7 @@
 use crate::timer;
 
 /// Sends marks to all VMs, at least by gossip.
-pub trait Spread: Send + Sync {
+pub trait Publisher: Send + Sync {
     /// Publishes an update of [`member::Topic::Mark`]. Must not block.
     fn publish(&self, update: member::Update);
 }
@@ -45,7 +45,7 @@
     pub(super) has_marks: atomic::AtomicBool,
     pub(super) next_token: atomic::AtomicU64,
     pub(super) store: sync::Arc<dyn store::Api>,
-    spread: sync::Arc<dyn Spread>,
+    publisher: sync::Arc<dyn Publisher>,
     pub(super) clock: clock::Clock,
     pub(super) writes: mpsc::Sender<persist::Write>,
     changes: watch::Sender<u64>,
@@ -59,7 +59,7 @@
     pub fn start(
         config: Config,
         store: sync::Arc<dyn store::Api>,
-        spread: sync::Arc<dyn Spread>,
+        publisher: sync::Arc<dyn Publisher>,
         clock: clock::Clock,
         timer: timer::Service,
         meter: &metrics::Meter,
@@ -71,7 +71,7 @@
             has_marks: atomic::AtomicBool::new(false),
             next_token: atomic::AtomicU64::new(clock.wall().0),
             store,
-            spread,
+            publisher,
             clock,
             writes,
             changes: watch::Sender::new(0),
@@ -205,7 +205,7 @@
             mark.state
         );
         let body = serde_json::to_vec(&mark).unwrap_or_default();
-        self.inner.spread.publish(member::Update {
+        self.inner.publisher.publish(member::Update {
             topic: member::Topic::Mark,
             key: mark.key(),
             version: mark.version,
--- a/crates/geraniumgauge/src/quarantine/tests/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/direct.rs
@@ -10,7 +10,7 @@
 use crate::mesh;
 use crate::mesh::message;
 use crate::quarantine;
-use crate::quarantine::Spread as _;
+use crate::quarantine::Publisher as _;
 
 #[derive(Default)]
 struct Sent(sync::Mutex<Vec<(ids::Vm, message::Mark)>>);
@@ -26,7 +26,7 @@
 
 struct Gossip;
 
-impl quarantine::Spread for Gossip {
+impl quarantine::Publisher for Gossip {
     fn publish(&self, _: member::Update) {}
 }
 
--- a/crates/geraniumgauge/src/quarantine/tests/service.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/service.rs
@@ -18,7 +18,7 @@
 #[derive(Default)]
 struct Published(sync::Mutex<Vec<member::Update>>);
 
-impl quarantine::Spread for Published {
+impl quarantine::Publisher for Published {
     fn publish(&self, update: member::Update) {
         self.0.lock().unwrap().push(update);
     }
--- a/crates/geraniumgauge/src/query/tests/service.rs
+++ b/crates/geraniumgauge/src/query/tests/service.rs
@@ -81,7 +81,7 @@
 
 struct Silent;
 
-impl quarantine::Spread for Silent {
+impl quarantine::Publisher for Silent {
     fn publish(&self, _: member::Update) {}
 }
 
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -95,7 +95,7 @@
     }
 }
 
-impl quarantine::Spread for member::Service {
+impl quarantine::Publisher for member::Service {
     fn publish(&self, rumour: member::Update) {
         self.publish(rumour);
     }
