--- a/crates/geraniumgauge/src/quarantine/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/broadcast.rs
@@ -18,7 +18,7 @@
 /// Above [`MAX_FIRST_RECEIVERS`] members the first receivers forward the mark to a group of
 /// members each, so that no VM sends thousands of frames. A VM that misses the
 /// frame is reached by gossip.
-pub struct Direct {
+pub struct Broadcast {
     /// Publishes the mark by gossip.
     pub gossip: sync::Arc<dyn quarantine::Publisher>,
     /// Sends frames to the other VMs.
@@ -27,7 +27,7 @@
     pub view: watch::Receiver<member::SharedView>,
 }
 
-impl Direct {
+impl Broadcast {
     /// Forwards a received mark to the members of this VM's group if the frame asks
     /// for it.
     pub fn relay(&self, mark: &message::Mark) {
@@ -57,7 +57,7 @@
     }
 }
 
-impl quarantine::Publisher for Direct {
+impl quarantine::Publisher for Broadcast {
     fn publish(&self, update: member::Update) {
         let view = self.view.borrow().clone();
         let stride = view.members.len().div_ceil(MAX_FIRST_RECEIVERS).max(1);
--- a/crates/geraniumgauge/src/quarantine/mod.rs
+++ b/crates/geraniumgauge/src/quarantine/mod.rs
@@ -8,8 +8,8 @@
 pub mod tracker;
 pub mod trial;
 
+mod broadcast;
 mod claim;
-mod direct;
 mod mark;
 mod persist;
 mod service;
@@ -17,9 +17,9 @@
 #[cfg(test)]
 mod tests;
 
+pub use broadcast::Broadcast;
 pub use claim::Denied;
 pub use claim::Trial;
-pub use direct::Direct;
 pub use mark::Mark;
 pub use mark::State;
 pub use service::Config;
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -169,7 +169,7 @@
     }
 
     /// Handles a mark that another VM sent directly. The caller must also pass it to
-    /// [`quarantine::Direct::relay`].
+    /// [`quarantine::Broadcast::relay`].
     pub fn receive_mark(&self, mark: &message::Mark) {
         self.receive_body(&mark.body);
     }
--- a/crates/geraniumgauge/src/quarantine/tests.rs
+++ b/crates/geraniumgauge/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
-mod direct;
+mod broadcast;
 mod service;
 mod simulation;
 mod tracker;
--- a/crates/geraniumgauge/src/quarantine/tests/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/broadcast.rs
@@ -34,7 +34,7 @@
     format!("vm-{number:04}").parse().unwrap()
 }
 
-fn direct(local: usize, count: usize, sent: &sync::Arc<Sent>) -> quarantine::Direct {
+fn broadcast(local: usize, count: usize, sent: &sync::Arc<Sent>) -> quarantine::Broadcast {
     let member = |number| member::Member {
         vm: vm(number),
         incarnation: ids::Incarnation(1),
@@ -44,7 +44,7 @@
     };
     let view = member::View::new(vm(local), (0..count).map(member).collect());
     let (_, view) = watch::channel(sync::Arc::new(view));
-    quarantine::Direct {
+    quarantine::Broadcast {
         gossip: sync::Arc::new(Gossip),
         post: sync::Arc::<Sent>::clone(sent),
         view,
@@ -58,7 +58,7 @@
 fn every_member_receives_a_mark_in_two_frames_at_most() {
     for count in [1, 8, 48, 49, 500, 2200] {
         let sent = sync::Arc::<Sent>::default();
-        direct(3 % count, count, &sent).publish(member::Update {
+        broadcast(3 % count, count, &sent).publish(member::Update {
             topic: member::Topic::Mark,
             key: "port/7".to_owned(),
             version: 1,
@@ -68,7 +68,7 @@
         assert!(first.len() <= 50, "{} frames from one VM", first.len());
         for (to, mark) in &first {
             let number: usize = to.as_str()[3..].parse().unwrap();
-            direct(number, count, &sent).relay(mark);
+            broadcast(number, count, &sent).relay(mark);
         }
         let second = sent.0.lock().unwrap();
         let all = first.iter().chain(second.iter()).map(|(to, _)| to.clone());
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -22,7 +22,7 @@
     pub(super) ledger: ledger::Service,
     pub(super) document: document::Service,
     pub(super) book: quarantine::Service,
-    pub(super) direct: sync::Arc<quarantine::Direct>,
+    pub(super) direct: sync::Arc<quarantine::Broadcast>,
 }
 
 /// Takes frames from the mesh. The mesh is there before the duties, which send
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -73,7 +73,7 @@
         let post: sync::Arc<dyn mesh::Sender> = sync::Arc::clone(&mesh) as _;
         let slo = self.slo();
         let record: sync::Arc<dyn slo::Record> = sync::Arc::new(slo.clone());
-        let direct = sync::Arc::new(quarantine::Direct {
+        let direct = sync::Arc::new(quarantine::Broadcast {
             gossip: sync::Arc::new(member.clone()),
             post: sync::Arc::clone(&post),
             view: member.view(),
@@ -149,7 +149,7 @@
         )
     }
 
-    fn quarantine(&self, spread: sync::Arc<quarantine::Direct>) -> quarantine::Service {
+    fn quarantine(&self, spread: sync::Arc<quarantine::Broadcast>) -> quarantine::Service {
         quarantine::Service::start(
             quarantine::Config {
                 vm: self.config.vm.clone(),
