--- a/crates/geraniumgauge/src/quarantine/broadcast.rs
+++ b/crates/geraniumgauge/src/quarantine/broadcast.rs
@@ -22,7 +22,7 @@
     /// Publishes the mark by gossip.
     pub gossip: sync::Arc<dyn quarantine::Publisher>,
     /// Sends frames to the other VMs.
-    pub post: sync::Arc<dyn mesh::Sender>,
+    pub sender: sync::Arc<dyn mesh::Sender>,
     /// Current members.
     pub view: watch::Receiver<member::SharedView>,
 }
@@ -51,7 +51,7 @@
     }
 
     fn send(&self, member: &member::Member, mark: message::Mark) {
-        if let Err(error) = self.post.send(&member.vm, message::Body::Mark(mark)) {
+        if let Err(error) = self.sender.send(&member.vm, message::Body::Mark(mark)) {
             log::debug!("mark not sent directly, left to gossip: {error}");
         }
     }
--- a/crates/geraniumgauge/src/quarantine/tests/broadcast.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/broadcast.rs
@@ -46,7 +46,7 @@
     let (_, view) = watch::channel(sync::Arc::new(view));
     quarantine::Broadcast {
         gossip: sync::Arc::new(Gossip),
-        post: sync::Arc::<Sent>::clone(sent),
+        sender: sync::Arc::<Sent>::clone(sent),
         view,
     }
 }
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -75,7 +75,7 @@
         let record: sync::Arc<dyn slo::Record> = sync::Arc::new(slo.clone());
         let direct = sync::Arc::new(quarantine::Broadcast {
             gossip: sync::Arc::new(member.clone()),
-            post: sync::Arc::clone(&post),
+            sender: sync::Arc::clone(&post),
             view: member.view(),
         });
         let book = self.quarantine(sync::Arc::clone(&direct));
