--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -131,7 +131,7 @@
         fingerprint: ids::Fingerprint,
         upstream: &ids::Upstream,
     ) {
-        self.lost_while(service, fingerprint, upstream, tracker::Run::Plain);
+        self.lost_while(service, fingerprint, upstream, tracker::Run::Concurrent);
     }
 
     /// Records that a connection to `upstream` was lost while it ran the request as
--- a/crates/geraniumgauge/src/quarantine/tests/simulation/upstreams.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation/upstreams.rs
@@ -66,7 +66,7 @@
                 service: service(),
                 fingerprint: state.fingerprint,
                 upstream: reply.upstream.parse().unwrap(),
-                run: tracker::Run::Plain,
+                run: tracker::Run::Concurrent,
             };
             self.handle_mark_event(state.coordinator, lost);
         }
--- a/crates/geraniumgauge/src/quarantine/tests/tracker.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/tracker.rs
@@ -70,7 +70,7 @@
 fn a_completed_trial_clears_here_and_elsewhere() {
     let mut here = tracker::Tracker::default();
     let mut there = tracker::Tracker::default();
-    let suspicion = published(here.handle(lost(QUERY, "a", tracker::Run::Plain), at(0)));
+    let suspicion = published(here.handle(lost(QUERY, "a", tracker::Run::Concurrent), at(0)));
     there.handle(tracker::Event::Received(suspicion.clone()), at(1));
     assert_eq!(verdict(&there, QUERY, at(1)), Verdict::Suspect);
     let clearance = published(here.handle(completed(QUERY), at(500)));
@@ -87,7 +87,7 @@
     tracker.handle(completed(QUERY), at(0));
     for upstream in 0..8 {
         let upstream = format!("u{upstream}");
-        tracker.handle(lost(QUERY, &upstream, tracker::Run::Plain), at(1000));
+        tracker.handle(lost(QUERY, &upstream, tracker::Run::Concurrent), at(1000));
     }
     assert_eq!(verdict(&tracker, QUERY, at(1000)), Verdict::Clear);
 }
@@ -99,11 +99,12 @@
     let mut here = tracker::Tracker::default();
     let mut there = tracker::Tracker::default();
     here.handle(completed(QUERY), at(0));
-    here.handle(lost(QUERY, "a", tracker::Run::Plain), at(1000));
+    here.handle(lost(QUERY, "a", tracker::Run::Concurrent), at(1000));
     assert_eq!(verdict(&here, QUERY, at(1000)), Verdict::Suspect);
     for (query, upstream) in [(8, "b"), (9, "c")] {
         let query = ids::Fingerprint(query);
-        let mark = published(there.handle(lost(query, upstream, tracker::Run::Plain), at(1001)));
+        let mark =
+            published(there.handle(lost(query, upstream, tracker::Run::Concurrent), at(1001)));
         here.handle(tracker::Event::Received(mark), at(1005));
     }
     assert_eq!(verdict(&here, QUERY, at(1005)), Verdict::Clear);
@@ -123,7 +124,7 @@
             .is_ok()
     );
     let other = ids::Fingerprint(8);
-    tracker.handle(lost(other, "b", tracker::Run::Plain), at(earliest));
+    tracker.handle(lost(other, "b", tracker::Run::Concurrent), at(earliest));
     assert!(
         tracker
             .check_trial_start(&service(), QUERY, at(earliest + 1))
--- a/crates/geraniumgauge/src/quarantine/tracker.rs
+++ b/crates/geraniumgauge/src/quarantine/tracker.rs
@@ -38,7 +38,7 @@
 pub enum Run {
     /// At the same time as other requests, as one call of a fan-out or as a
     /// registration.
-    Plain,
+    Concurrent,
     /// As a single call sent before the rest of its fan-out.
     Canary,
     /// As an isolated trial, alone on its upstream.
@@ -246,7 +246,7 @@
             _ => new_suspicion(&key, existing, now),
         };
         let list = match run {
-            Run::Plain => &mut mark.lost,
+            Run::Concurrent => &mut mark.lost,
             Run::Canary | Run::Trial => &mut mark.crashed,
         };
         mark::add(list, upstream);
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -197,7 +197,7 @@
     fn blame(&mut self, upstream: ids::Upstream, kind: message::Kind) {
         let run = match kind {
             message::Kind::Canary => tracker::Run::Canary,
-            _ => tracker::Run::Plain,
+            _ => tracker::Run::Concurrent,
         };
         self.judging = true;
         self.out.actions.push(Action::Lost { upstream, run });
