--- a/crates/geraniumgauge/src/quarantine/broadcast.rs
+++ b/crates/geraniumgauge/src/quarantine/broadcast.rs
@@ -15,9 +15,9 @@
 
 /// Sends marks directly to every VM. Gossip takes seconds to reach all VMs, but a
 /// caller may resend a request within milliseconds, so each mark is sent both ways.
-/// Above [`MAX_FIRST_RECEIVERS`] members the first receivers forward the mark to a group of
-/// members each, so that no VM sends thousands of frames. A VM that misses the
-/// frame is reached by gossip.
+/// Above `MAX_FIRST_RECEIVERS` members the first receivers forward the mark to a
+/// group of members each, so that no VM sends thousands of frames. A VM that misses
+/// the frame is reached by gossip.
 pub struct Broadcast {
     /// Publishes the mark by gossip.
     pub gossip: sync::Arc<dyn quarantine::Publisher>,
--- a/crates/geraniumgauge/src/quarantine/tests/service.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/service.rs
@@ -49,7 +49,7 @@
     "port".parse().unwrap()
 }
 
-async fn settle() {
+async fn wait_for_writes() {
     tokio::time::sleep(time::Duration::from_secs(2)).await;
 }
 
@@ -64,13 +64,13 @@
     let first = start("vm-1", &store, &published, &timer);
     first.lost(&service(), QUERY, &"a".parse().unwrap());
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Suspect);
-    settle().await;
+    wait_for_writes().await;
     let trial = first.trial(&service(), QUERY, None).await.unwrap();
     trial.finish(trial::End::Lost, Some(&"b".parse().unwrap()));
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Quarantined);
-    settle().await;
+    wait_for_writes().await;
     let second = start("vm-2", &store, &published, &timer);
-    settle().await;
+    wait_for_writes().await;
     assert_eq!(second.verdict(&service(), QUERY), Verdict::Quarantined);
     assert_eq!(second.list().len(), 1);
 }
@@ -88,12 +88,12 @@
         second.receive_update(update);
     }
     assert_eq!(second.verdict(&service(), QUERY), Verdict::Suspect);
-    settle().await;
+    wait_for_writes().await;
     let trial = first.trial(&service(), QUERY, None).await.unwrap();
     assert!(second.trial(&service(), QUERY, None).await.is_err());
     trial.finish(trial::End::Completed, None);
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Clear);
-    settle().await;
+    wait_for_writes().await;
     assert!(second.trial(&service(), QUERY, None).await.is_ok());
 }
 
@@ -106,7 +106,7 @@
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
     let first = start("vm-1", &store, &published, &timer);
     first.lost(&service(), QUERY, &"a".parse().unwrap());
-    settle().await;
+    wait_for_writes().await;
     store.fault(|faults| faults.down = true);
     assert!(first.trial(&service(), QUERY, None).await.is_err());
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Suspect);
--- a/crates/geraniumgauge/src/quarantine/tests/tracker.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/tracker.rs
@@ -138,7 +138,7 @@
         let marks: Vec<Mark> = seeds.iter().take(4).map(|seed| mark(*seed)).collect();
         let merge = |order: &[&Mark]| {
             let first = order.first().map(|mark| (*mark).clone());
-            order.iter().skip(1).fold(first, |held, mark| held.map(|held| held.merge(mark)))
+            order.iter().skip(1).fold(first, |merged, mark| merged.map(|merged| merged.merge(mark)))
         };
         let forward: Vec<&Mark> = marks.iter().collect();
         let backward: Vec<&Mark> = marks.iter().rev().collect();
@@ -182,16 +182,17 @@
     })
 }
 
-/// Two VMs that tried the same request at once could crash an upstream each.
+/// Two VMs that tried the same request at once could crash an upstream each, so the
+/// second one has to wait until the first claim is released.
 #[test]
 fn one_trial_runs_at_a_time() {
     let wall = at(0).wall;
     let ledger = trial::Ledger::default();
-    let trial::Start::Granted(held) = ledger.start(&claim(1, wall), wall) else {
+    let trial::Start::Granted(claimed) = ledger.start(&claim(1, wall), wall) else {
         panic!("the first trial may start");
     };
-    assert_eq!(held.start(&claim(2, wall), wall), trial::Start::Busy);
-    let free = held.release(&claim(1, wall)).unwrap();
+    assert_eq!(claimed.start(&claim(2, wall), wall), trial::Start::Busy);
+    let free = claimed.release(&claim(1, wall)).unwrap();
     assert!(matches!(
         free.start(&claim(2, wall), wall),
         trial::Start::Granted(_)
@@ -204,7 +205,8 @@
 #[test]
 fn trials_of_different_requests_run_at_the_same_time() {
     let wall = at(0).wall;
-    let trial::Start::Granted(held) = trial::Ledger::default().start(&claim(1, wall), wall) else {
+    let trial::Start::Granted(claimed) = trial::Ledger::default().start(&claim(1, wall), wall)
+    else {
         panic!("the first trial may start");
     };
     let other = trial::Claim {
@@ -212,17 +214,17 @@
         place: place("u-1", &["u-0"]),
         ..claim(2, wall)
     };
-    assert_eq!(held.start(&other, wall), trial::Start::Busy);
+    assert_eq!(claimed.start(&other, wall), trial::Start::Busy);
     let anywhere = trial::Claim {
         place: None,
         ..other.clone()
     };
-    assert_eq!(held.start(&anywhere, wall), trial::Start::Busy);
+    assert_eq!(claimed.start(&anywhere, wall), trial::Start::Busy);
     let apart = trial::Claim {
         place: place("u-2", &["u-3"]),
         ..other.clone()
     };
-    let trial::Start::Granted(both) = held.start(&apart, wall) else {
+    let trial::Start::Granted(both) = claimed.start(&apart, wall) else {
         panic!("a trial at another shard may start");
     };
     assert_eq!(both.claims.len(), 2);
@@ -239,11 +241,11 @@
     let suspicion = published(tracker.handle(lost(QUERY, "a", tracker::Run::Canary), at(0)));
     let mut ledger = trial::Ledger::default();
     ledger.merge(&suspicion, wall);
-    let trial::Start::Granted(held) = ledger.start(&claim(1, wall), wall) else {
+    let trial::Start::Granted(claimed) = ledger.start(&claim(1, wall), wall) else {
         panic!("the first trial may start");
     };
     let later = wall + trial::CLAIM_DURATION + time::Duration::from_millis(1);
-    let trial::Start::Quarantined(next) = held.start(&claim(2, later), later) else {
+    let trial::Start::Quarantined(next) = claimed.start(&claim(2, later), later) else {
         panic!("no second trial may start");
     };
     assert_eq!(
--- a/crates/geraniumgauge/src/quarantine/trial.rs
+++ b/crates/geraniumgauge/src/quarantine/trial.rs
@@ -127,9 +127,9 @@
 
     /// Removes `claim`. Returns `None` if it isn't in the ledger.
     pub fn release(&self, claim: &Claim) -> Option<Self> {
-        let place = self.claims.iter().position(|existing| existing == claim)?;
+        let index = self.claims.iter().position(|existing| existing == claim)?;
         let mut next = self.clone();
-        next.claims.remove(place);
+        next.claims.remove(index);
         Some(next)
     }
 
