--- a/crates/geraniumgauge/src/quarantine/tests.rs
+++ b/crates/geraniumgauge/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
-mod book;
-mod direct;
-mod fleet;
+mod broadcast;
 mod service;
+mod simulation;
+mod tracker;
--- a/crates/geraniumgauge/src/quarantine/tests/direct.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/broadcast.rs
@@ -1,4 +1,4 @@
-//! Marks sent directly.
+//! Tests of marks that are sent directly to every VM.
 
 use std::collections;
 use std::sync;
@@ -10,7 +10,7 @@
 use crate::mesh;
 use crate::mesh::message;
 use crate::quarantine;
-use crate::quarantine::Spread as _;
+use crate::quarantine::Publisher as _;
 
 #[derive(Default)]
 struct Sent(sync::Mutex<Vec<(ids::Vm, message::Mark)>>);
@@ -26,7 +26,7 @@
 
 struct Gossip;
 
-impl quarantine::Spread for Gossip {
+impl quarantine::Publisher for Gossip {
     fn publish(&self, _: member::Update) {}
 }
 
@@ -34,7 +34,7 @@
     format!("vm-{number:04}").parse().unwrap()
 }
 
-fn direct(local: usize, count: usize, sent: &sync::Arc<Sent>) -> quarantine::Direct {
+fn broadcast(local: usize, count: usize, sent: &sync::Arc<Sent>) -> quarantine::Broadcast {
     let member = |number| member::Member {
         vm: vm(number),
         incarnation: ids::Incarnation(1),
@@ -44,20 +44,21 @@
     };
     let view = member::View::new(vm(local), (0..count).map(member).collect());
     let (_, view) = watch::channel(sync::Arc::new(view));
-    quarantine::Direct {
+    quarantine::Broadcast {
         gossip: sync::Arc::new(Gossip),
-        post: sync::Arc::<Sent>::clone(sent),
+        sender: sync::Arc::<Sent>::clone(sent),
         view,
     }
 }
 
-/// A query crashes an upstream and is sent again a few milliseconds later at
-/// any of 2,200 VMs. Rumours take seconds; each VM must hear it in two frames.
+/// A query that crashed an upstream may be resent within milliseconds to any of
+/// 2,200 VMs, while gossip takes seconds. Every VM must receive the mark directly,
+/// over at most two hops.
 #[test]
-fn every_member_hears_a_mark_in_two_frames_at_most() {
+fn every_member_receives_a_mark_in_two_frames_at_most() {
     for count in [1, 8, 48, 49, 500, 2200] {
         let sent = sync::Arc::<Sent>::default();
-        direct(3 % count, count, &sent).publish(member::Update {
+        broadcast(3 % count, count, &sent).publish(member::Update {
             topic: member::Topic::Mark,
             key: "port/7".to_owned(),
             version: 1,
@@ -67,11 +68,11 @@
         assert!(first.len() <= 50, "{} frames from one VM", first.len());
         for (to, mark) in &first {
             let number: usize = to.as_str()[3..].parse().unwrap();
-            direct(number, count, &sent).relay(mark);
+            broadcast(number, count, &sent).relay(mark);
         }
         let second = sent.0.lock().unwrap();
         let all = first.iter().chain(second.iter()).map(|(to, _)| to.clone());
-        let heard: collections::BTreeSet<_> = all.chain([vm(3 % count)]).collect();
-        assert_eq!(heard.len(), count);
+        let receivers: collections::BTreeSet<_> = all.chain([vm(3 % count)]).collect();
+        assert_eq!(receivers.len(), count);
     }
 }
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -22,7 +22,7 @@
     pub(super) ledger: ledger::Service,
     pub(super) document: document::Service,
     pub(super) book: quarantine::Service,
-    pub(super) direct: sync::Arc<quarantine::Direct>,
+    pub(super) direct: sync::Arc<quarantine::Broadcast>,
 }
 
 /// Takes frames from the mesh. The mesh is there before the duties, which send
@@ -57,7 +57,7 @@
             message::Body::Pulled(pulled) => targets.document.pulled(from, pulled),
             message::Body::Mark(mark) => {
                 targets.direct.relay(&mark);
-                targets.book.received(&mark);
+                targets.book.receive_mark(&mark);
             }
             message::Body::Bye(_)
             | message::Body::Hello(_)
@@ -88,14 +88,14 @@
             () = stop.cancelled() => return,
         };
         match heard {
-            Ok(rumour) if rumour.topic == member::Topic::Mark => book.heard(&rumour),
+            Ok(rumour) if rumour.topic == member::Topic::Mark => book.receive_update(&rumour),
             Ok(_) | Err(broadcast::error::RecvError::Lagged(_)) => {}
             Err(broadcast::error::RecvError::Closed) => return,
         }
     }
 }
 
-impl quarantine::Spread for member::Service {
+impl quarantine::Publisher for member::Service {
     fn publish(&self, rumour: member::Update) {
         self.publish(rumour);
     }
