--- a/crates/daemon/src/args.rs
+++ b/crates/daemon/src/args.rs
@@ -3,12 +3,12 @@
 use std::ffi;
 use std::path;
 
-/// What the daemon is asked to do.
+/// Action that the command line selects.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Order {
-    /// Run with this settings file.
+pub(crate) enum Command {
+    /// Run a VM with this settings file.
     Run(path::PathBuf),
-    /// Check this settings file.
+    /// Check this settings file and exit.
     Check(path::PathBuf),
     /// Print the help page.
     Help,
@@ -16,38 +16,43 @@
     Version,
 }
 
-/// What is wrong with a command line.
+/// Error in the command line.
 #[derive(Debug, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub(crate) enum Error {
-    /// No settings file is named.
-    #[display("--settings FILE is missing; name the settings file")]
-    Missing,
-    /// Something that isn't known.
-    #[display("{what} isn't known; see the flags below")]
-    Unknown {
-        /// The argument.
-        what: String,
+    /// `--settings` is missing or has no value.
+    #[display("missing --settings FILE; give the path of the settings file")]
+    MissingSettings,
+    /// An argument that the daemon doesn't have.
+    #[display("unexpected argument {argument:?}; expected one of the flags below")]
+    UnexpectedArgument {
+        /// The argument as given.
+        argument: String,
     },
 }
 
-/// Each flag with its meaning.
+/// The flags and their descriptions.
 const FLAGS: &[(&str, &str)] = &[
-    ("--settings FILE", "the settings, JSON with comments"),
+    (
+        "--settings FILE",
+        "settings file of this VM, JSON with comments",
+    ),
     (
         "--check",
-        "only check the settings; print findings and exit with 2 where there are any",
+        "check the settings, print every error and exit with 2 if there is one",
     ),
     (
         "--help",
-        "print this page and each setting with its range and default",
+        "print this help and every setting with its range and default",
     ),
     ("--version", "print the version"),
 ];
 
-/// The flags, a line each.
+/// Returns the usage line, the flags and an example.
 pub(crate) fn usage() -> String {
-    let flags = FLAGS.iter().map(|(flag, doc)| format!("  {flag:<18}{doc}"));
+    let flags = FLAGS
+        .iter()
+        .map(|(flag, description)| format!("  {flag:<18}{description}"));
     let flags = flags.collect::<Vec<_>>().join("\n");
     format!(
         "usage: geraniumgauged --settings FILE [--check]\n\n{flags}\n\n\
@@ -55,27 +60,27 @@
     )
 }
 
-/// Reads the arguments after the program's name.
-pub(crate) fn read(args: Vec<ffi::OsString>) -> Result<Order, Error> {
+/// Parses the arguments after the program's name.
+pub(crate) fn read(args: Vec<ffi::OsString>) -> Result<Command, Error> {
     let mut args = pico_args::Arguments::from_vec(args);
     if args.contains(["-h", "--help"]) {
-        return Ok(Order::Help);
+        return Ok(Command::Help);
     }
     if args.contains("--version") {
-        return Ok(Order::Version);
+        return Ok(Command::Version);
     }
     let check = args.contains("--check");
     let path = args.value_from_os_str("--settings", |text| Ok::<_, Error>(text.into()));
-    let path: path::PathBuf = path.map_err(|_| Error::Missing)?;
+    let path: path::PathBuf = path.map_err(|_| Error::MissingSettings)?;
     if let Some(rest) = args.finish().first() {
-        return Err(Error::Unknown {
-            what: rest.to_string_lossy().into_owned(),
+        return Err(Error::UnexpectedArgument {
+            argument: rest.to_string_lossy().into_owned(),
         });
     }
     Ok(if check {
-        Order::Check(path)
+        Command::Check(path)
     } else {
-        Order::Run(path)
+        Command::Run(path)
     })
 }
 
--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -1,4 +1,4 @@
-//! The table of settings: names, ranges and meanings.
+//! Table of the settings: names, ranges and descriptions.
 
 use std::net;
 use std::time;
@@ -11,88 +11,88 @@
 
 type Field = jsonc::Field<settings::Settings>;
 
-/// Every setting, in the order of the help page.
+/// Every setting, in the order of the help text.
 pub(crate) static FIELDS: &[Field] = &[
     Field {
         path: "vm",
         required: true,
-        doc: "This VM's name, unique among the VMs.",
+        doc: "Name of this VM, unique among all VMs.",
         kind: jsonc::Kind::Text {
             form: "a name of letters, digits and . _ : -",
-            get: |kept| Some(kept.vm.to_string()),
-            set: |kept, text| jsonc::parse_into(&mut kept.vm, text),
+            get: |settings| Some(settings.vm.to_string()),
+            set: |settings, text| jsonc::parse_into(&mut settings.vm, text),
         },
     },
     Field {
         path: "data_centre",
         required: true,
-        doc: "The data centre it runs in, as the layouts name it.",
+        doc: "Data centre that this VM runs in, as named in the layouts.",
         kind: jsonc::Kind::Text {
             form: "a name of letters, digits and . _ : -",
-            get: |kept| Some(kept.data_centre.to_string()),
-            set: |kept, text| jsonc::parse_into(&mut kept.data_centre, text),
+            get: |settings| Some(settings.data_centre.to_string()),
+            set: |settings, text| jsonc::parse_into(&mut settings.data_centre, text),
         },
     },
     Field {
         path: "callers",
         required: true,
-        doc: "Where callers' HTTP requests are taken.",
+        doc: "Address of the HTTP listener for callers.",
         kind: jsonc::Kind::Text {
             form: "ip:port",
-            get: |kept| Some(kept.callers.to_string()),
-            set: |kept, text| keep(&mut kept.callers, address(text)),
+            get: |settings| Some(settings.callers.to_string()),
+            set: |settings, text| assign(&mut settings.callers, parse_address(text)),
         },
     },
     Field {
         path: "operators",
         required: true,
-        doc: "Where /healthz, /readyz and /metrics are served.",
+        doc: "Address of the HTTP listener for /healthz, /readyz and /metrics.",
         kind: jsonc::Kind::Text {
             form: "ip:port",
-            get: |kept| Some(kept.operators.to_string()),
-            set: |kept, text| keep(&mut kept.operators, address(text)),
+            get: |settings| Some(settings.operators.to_string()),
+            set: |settings, text| assign(&mut settings.operators, parse_address(text)),
         },
     },
     Field {
         path: "mesh",
         required: true,
-        doc: "Where other VMs reach this one: TCP and UDP on the same port.",
+        doc: "Address at which other VMs reach this one, TCP and UDP on the same port.",
         kind: jsonc::Kind::Text {
             form: "ip:port",
-            get: |kept| Some(kept.mesh.to_string()),
-            set: |kept, text| keep(&mut kept.mesh, address(text)),
+            get: |settings| Some(settings.mesh.to_string()),
+            set: |settings, text| assign(&mut settings.mesh, parse_address(text)),
         },
     },
     Field {
         path: "store",
         required: true,
-        doc: "The platform's object API.",
+        doc: "Base URL of the platform's object API.",
         kind: jsonc::Kind::Text {
             form: "http://ip:port",
-            get: |kept| Some(kept.store.clone()),
-            set: |kept, text| keep(&mut kept.store, url(text)),
+            get: |settings| Some(settings.store.clone()),
+            set: |settings, text| assign(&mut settings.store, parse_url(text)),
         },
     },
     Field {
         path: "seeds",
         required: false,
-        doc: "Mesh addresses to join by while the platform's list of VMs can't be had.",
+        doc: "Mesh addresses of VMs to join through while the platform's list of VMs is unavailable.",
         kind: jsonc::Kind::Texts {
             form: "ip:port",
-            get: |kept| kept.seeds.iter().map(ToString::to_string).collect(),
+            get: |settings| settings.seeds.iter().map(ToString::to_string).collect(),
             push: add_seed,
         },
     },
     Field {
         path: "log.level",
         required: false,
-        doc: "The least severe level that is logged.",
+        doc: "Least severe level that is logged.",
         kind: jsonc::Kind::Text {
             form: "one of error, warn, info, debug, trace, off",
-            get: |kept| Some(kept.log.level.to_string().to_lowercase()),
-            set: |kept, text| {
-                choose(
-                    &mut kept.log.level,
+            get: |settings| Some(settings.log.level.to_string().to_lowercase()),
+            set: |settings, text| {
+                parse_choice(
+                    &mut settings.log.level,
                     text,
                     "error, warn, info, debug, trace, off",
                 )
@@ -102,17 +102,18 @@
     Field {
         path: "log.file",
         required: false,
-        doc: "The file that JSON lines are added to; standard error where it is not set.",
+        doc: "File to append JSON log lines to; standard error if not set.",
         kind: jsonc::Kind::Text {
             form: "a path",
-            get: |kept| {
-                kept.log
+            get: |settings| {
+                settings
+                    .log
                     .file
                     .as_ref()
                     .map(|file| file.display().to_string())
             },
-            set: |kept, text| {
-                kept.log.file = Some(text.into());
+            set: |settings, text| {
+                settings.log.file = Some(text.into());
                 Ok(())
             },
         },
@@ -120,137 +121,148 @@
     Field {
         path: "stop.balancer_wait_ms",
         required: false,
-        doc: "How long requests are still taken after readiness is turned off, for the balancer to notice.",
+        doc: "Time for which requests are still accepted after /readyz reports not ready, for the load balancer to notice.",
         kind: jsonc::Kind::Whole {
             min: 0,
             max: 60_000,
             unit: "ms",
-            get: |kept| clock::millis(kept.stop.balancer_wait),
-            set: |kept, value| kept.stop.balancer_wait = time::Duration::from_millis(value),
+            get: |settings| clock::millis(settings.stop.balancer_wait),
+            set: |settings, value| settings.stop.balancer_wait = time::Duration::from_millis(value),
         },
     },
     Field {
         path: "stop.grace_ms",
         required: false,
-        doc: "How long requests under way may still take after that; above the longest deadline.",
+        doc: "Time that running requests then have to finish; set it above the longest deadline.",
         kind: jsonc::Kind::Whole {
             min: 100,
             max: 600_000,
             unit: "ms",
-            get: |kept| clock::millis(kept.stop.grace),
-            set: |kept, value| kept.stop.grace = time::Duration::from_millis(value),
+            get: |settings| clock::millis(settings.stop.grace),
+            set: |settings, value| settings.stop.grace = time::Duration::from_millis(value),
         },
     },
     Field {
         path: "limits.body_bytes",
         required: false,
-        doc: "Largest body of a request.",
+        doc: "Maximum size of a request body.",
         kind: jsonc::Kind::Whole {
             min: 1 << 10,
             max: 16 << 20,
             unit: "bytes",
-            get: |kept| kept.limits.body.0,
-            set: |kept, value| kept.limits.body = rate::Bytes(value),
+            get: |settings| settings.limits.body.0,
+            set: |settings, value| settings.limits.body = rate::Bytes(value),
         },
     },
     Field {
         path: "limits.query_bytes",
         required: false,
-        doc: "Largest query within the body of a search.",
+        doc: "Maximum size of the query of a search, which is part of its body.",
         kind: jsonc::Kind::Whole {
             min: 256,
             max: 16 << 20,
             unit: "bytes",
-            get: |kept| kept.limits.query.0,
-            set: |kept, value| kept.limits.query = rate::Bytes(value),
+            get: |settings| settings.limits.query.0,
+            set: |settings, value| settings.limits.query = rate::Bytes(value),
         },
     },
     Field {
         path: "limits.header_bytes",
         required: false,
-        doc: "Largest set of headers of a request.",
+        doc: "Maximum total size of the headers of a request.",
         kind: jsonc::Kind::Whole {
             min: 1 << 10,
             max: 1 << 20,
             unit: "bytes",
-            get: |kept| kept.limits.header.0,
-            set: |kept, value| kept.limits.header = rate::Bytes(value),
+            get: |settings| settings.limits.header.0,
+            set: |settings, value| settings.limits.header = rate::Bytes(value),
         },
     },
     Field {
         path: "limits.frame_bytes",
         required: false,
-        doc: "Largest frame between VMs; a body must fit in it.",
+        doc: "Maximum size of a frame between VMs; a request body must fit in one.",
         kind: jsonc::Kind::Whole {
             min: 128 << 10,
             max: 64 << 20,
             unit: "bytes",
-            get: |kept| kept.limits.frame.0,
-            set: |kept, value| kept.limits.frame = rate::Bytes(value),
+            get: |settings| settings.limits.frame.0,
+            set: |settings, value| settings.limits.frame = rate::Bytes(value),
         },
     },
     Field {
         path: "limits.requests",
         required: false,
-        doc: "Requests that run at once, of all services together; more are refused with 429.",
+        doc: "Maximum number of concurrent requests across all services; more are refused with 429.",
         kind: jsonc::Kind::Whole {
             min: 1,
             max: 100_000,
             unit: "requests",
-            get: |kept| u64::from(kept.limits.requests),
-            set: |kept, value| kept.limits.requests = u32::try_from(value).unwrap_or(u32::MAX),
+            get: |settings| u64::from(settings.limits.requests),
+            set: |settings, value| {
+                settings.limits.requests = u32::try_from(value).unwrap_or(u32::MAX)
+            },
         },
     },
     Field {
         path: "policy",
         required: false,
-        doc: "How fan-outs are run; all but full are baselines to measure against.",
+        doc: "How the calls of a search are placed and retried; no-hedge and direct are baselines for measurements.",
         kind: jsonc::Kind::Text {
             form: "one of full, no-hedge, direct",
-            get: |kept| Some(kept.policy.to_string()),
-            set: |kept, text| choose(&mut kept.policy, text, "full, no-hedge, direct"),
+            get: |settings| Some(settings.policy.to_string()),
+            set: |settings, text| {
+                parse_choice(&mut settings.policy, text, "full, no-hedge, direct")
+            },
         },
     },
 ];
 
-fn keep<V>(kept: &mut V, value: Result<V, String>) -> Result<(), String> {
-    *kept = value?;
+fn assign<V>(target: &mut V, value: Result<V, String>) -> Result<(), String> {
+    *target = value?;
     Ok(())
 }
 
-fn choose<V: std::str::FromStr>(kept: &mut V, text: &str, choices: &str) -> Result<(), String> {
+fn parse_choice<V: std::str::FromStr>(
+    target: &mut V,
+    text: &str,
+    choices: &str,
+) -> Result<(), String> {
     let value = text.parse();
-    keep(
-        kept,
-        value.map_err(|_| format!("{text:?} is no choice; give one of {choices}")),
+    assign(
+        target,
+        value.map_err(|_| format!("{text:?} is not a valid value; expected one of {choices}")),
     )
 }
 
-fn address(text: &str) -> Result<net::SocketAddr, String> {
+fn parse_address(text: &str) -> Result<net::SocketAddr, String> {
     let parsed = text.parse::<net::SocketAddr>();
-    let remedy = "give an IP number and a port, such as 127.0.0.1:7100 (names aren't looked up)";
-    let address = parsed.map_err(|_| format!("{text:?} is no ip:port; {remedy}"))?;
+    let remedy =
+        "give an IP address and a port, such as 127.0.0.1:7100 (host names are not resolved)";
+    let address =
+        parsed.map_err(|_| format!("{text:?} is not an address of the form ip:port; {remedy}"))?;
     if address.port() == 0 {
-        return Err("port 0 stands for any port; give the port".to_owned());
+        return Err("port 0 would bind an arbitrary port; give a fixed port".to_owned());
     }
     Ok(address)
 }
 
-fn url(text: &str) -> Result<String, String> {
+fn parse_url(text: &str) -> Result<String, String> {
     let base = text.strip_suffix('/').unwrap_or(text);
-    let remedy = "give http://, an IP number and a port, such as http://127.0.0.1:7000";
+    let remedy = "give http://, an IP address and a port, such as http://127.0.0.1:7000";
     let Some(host) = base.strip_prefix("http://") else {
-        return Err(format!("{text:?} is no http URL; {remedy}"));
+        return Err(format!("{text:?} is not an http:// URL; {remedy}"));
     };
-    address(host).map_err(|_| format!("{text:?} is no http URL by IP number; {remedy}"))?;
+    parse_address(host)
+        .map_err(|_| format!("{text:?} is not an http:// URL with an IP address; {remedy}"))?;
     Ok(base.to_owned())
 }
 
-fn add_seed(kept: &mut settings::Settings, text: &str) -> Result<(), String> {
-    let seed = address(text)?;
-    if kept.seeds.contains(&seed) {
+fn add_seed(settings: &mut settings::Settings, text: &str) -> Result<(), String> {
+    let seed = parse_address(text)?;
+    if settings.seeds.contains(&seed) {
         return Err(format!("{seed} is listed twice; list it once"));
     }
-    kept.seeds.push(seed);
+    settings.seeds.push(seed);
     Ok(())
 }
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Starts logging: JSON lines to standard error or to a file.
+//! Sets up logging: JSON lines to standard error or to a file.
 
 use std::io;
 use std::time;
@@ -7,27 +7,28 @@
 
 use crate::settings;
 
-/// Why logging can't start.
+/// Error of setting up logging.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub(crate) enum Error {
-    /// The file can't be opened.
-    #[display("log.file {file} can't be opened: {reason}; give a path that this user may write")]
+    /// The log file can't be opened.
+    #[display("failed to open log.file {file}: {reason}; give a path that this user can write")]
     File {
-        /// Its path.
+        /// Path of the log file.
         file: String,
-        /// What the system said.
+        /// Error that the system returned.
         reason: io::Error,
     },
-    /// Logging was set up before in this process.
-    #[display("logging is set up already")]
-    Twice,
+    /// A logger is already installed in this process.
+    #[display("logging is already initialized")]
+    AlreadyInitialized,
 }
 
-/// Starts logging as `settings` say.
+/// Installs the logger that `settings` describe.
 ///
 /// # Errors
-/// Where the file can't be opened or logging is set up already.
+/// Returns an error if the log file can't be opened or a logger is already
+/// installed.
 pub(crate) fn init(settings: &settings::Settings) -> Result<(), Error> {
     let vm = settings.vm.to_string();
     let dispatch = fern::Dispatch::new()
@@ -45,5 +46,5 @@
             reason,
         })?),
     };
-    dispatch.apply().map_err(|_| Error::Twice)
+    dispatch.apply().map_err(|_| Error::AlreadyInitialized)
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! One VM of geraniumgauge: reads its settings, runs the library's [`vm::Vm`],
-//! and stops gracefully on SIGTERM or SIGINT.
+//! The daemon: reads the settings of one VM, runs the library's [`vm::Vm`] and
+//! stops it gracefully on SIGTERM or SIGINT.
 
 mod args;
 mod fields;
@@ -13,53 +13,53 @@
 use geraniumgauge::vm;
 use tokio::signal::unix;
 
-/// The settings or the command line are wrong.
-const USAGE: u8 = 2;
-/// The VM can't run.
-const FAILED: u8 = 1;
+/// Exit code for an invalid command line or settings file.
+const EXIT_USAGE: u8 = 2;
+/// Exit code when logging, the runtime or the VM fails to start.
+const EXIT_FAILURE: u8 = 1;
 
 fn main() -> process::ExitCode {
-    let order = match args::read(std::env::args_os().skip(1).collect()) {
-        Ok(order) => order,
+    let command = match args::read(std::env::args_os().skip(1).collect()) {
+        Ok(command) => command,
         Err(error) => {
             eprintln!("geraniumgauged: {error}\n\n{}", args::usage());
-            return USAGE.into();
+            return EXIT_USAGE.into();
         }
     };
-    match order {
-        args::Order::Help => {
+    match command {
+        args::Command::Help => {
             println!("{}\n\n{}", args::usage(), settings::help());
             process::ExitCode::SUCCESS
         }
-        args::Order::Version => {
+        args::Command::Version => {
             println!("geraniumgauged {}", env!("CARGO_PKG_VERSION"));
             process::ExitCode::SUCCESS
         }
-        args::Order::Check(path) => match settings::Settings::read(&path) {
+        args::Command::Check(path) => match settings::Settings::read(&path) {
             Ok(_) => {
                 println!("{}: no findings", path.display());
                 process::ExitCode::SUCCESS
             }
-            Err(findings) => print(&findings),
+            Err(findings) => print_findings(&findings),
         },
-        args::Order::Run(path) => match settings::Settings::read(&path) {
+        args::Command::Run(path) => match settings::Settings::read(&path) {
             Ok(settings) => start(&settings),
-            Err(findings) => print(&findings),
+            Err(findings) => print_findings(&findings),
         },
     }
 }
 
-fn print(findings: &[finding::Finding]) -> process::ExitCode {
+fn print_findings(findings: &[finding::Finding]) -> process::ExitCode {
     for finding in findings {
         eprintln!("{finding}");
     }
-    USAGE.into()
+    EXIT_USAGE.into()
 }
 
 fn start(settings: &settings::Settings) -> process::ExitCode {
     if let Err(error) = logs::init(settings) {
         eprintln!("geraniumgauged: {error}");
-        return FAILED.into();
+        return EXIT_FAILURE.into();
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -67,8 +67,8 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            log::error!("the runtime can't start: {error}");
-            return FAILED.into();
+            log::error!("failed to start the async runtime: {error}");
+            return EXIT_FAILURE.into();
         }
     };
     match runtime.block_on(run(settings)) {
@@ -76,13 +76,13 @@
         Err(error) => {
             log::error!("{error}");
             eprintln!("geraniumgauged: {error}");
-            FAILED.into()
+            EXIT_FAILURE.into()
         }
     }
 }
 
 async fn run(settings: &settings::Settings) -> Result<(), vm::Error> {
-    let vm = vm::Vm::start(config(settings)).await?;
+    let vm = vm::Vm::start(vm_config(settings)).await?;
     let addresses = vm.addresses();
     log::info!(
         "listening: callers {}, operators {}, mesh {}",
@@ -90,19 +90,21 @@
         addresses.operators,
         addresses.mesh
     );
-    signalled().await;
+    wait_for_stop_signal().await;
     vm.stop().await;
     Ok(())
 }
 
-/// Waits for SIGTERM or SIGINT. Where neither can be listened for, it waits for
-/// ever: the process then ends at once on the signal, as the system does it.
-async fn signalled() {
-    let listen = |kind| unix::signal(kind).ok();
-    let term = listen(unix::SignalKind::terminate());
-    let int = listen(unix::SignalKind::interrupt());
+/// Waits for SIGTERM or SIGINT. If either handler can't be installed, this never
+/// returns; a signal without a handler then ends the process at once.
+async fn wait_for_stop_signal() {
+    let install = |kind| unix::signal(kind).ok();
+    let term = install(unix::SignalKind::terminate());
+    let int = install(unix::SignalKind::interrupt());
     let (Some(mut term), Some(mut int)) = (term, int) else {
-        log::error!("signals can't be listened for; stops won't be graceful");
+        log::error!(
+            "failed to install handlers for SIGTERM and SIGINT; the VM won't stop gracefully"
+        );
         return std::future::pending().await;
     };
     tokio::select! {
@@ -111,9 +113,9 @@
     }
 }
 
-fn config(settings: &settings::Settings) -> vm::Config {
-    let (name, centre) = (settings.vm.clone(), settings.data_centre.clone());
-    let mut config = vm::Config::new(name, centre, settings.store.clone());
+fn vm_config(settings: &settings::Settings) -> vm::Config {
+    let (name, data_centre) = (settings.vm.clone(), settings.data_centre.clone());
+    let mut config = vm::Config::new(name, data_centre, settings.store.clone());
     config.callers = settings.callers;
     config.operators = settings.operators;
     config.mesh = settings.mesh;
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,8 +1,8 @@
-//! The daemon's settings: JSON with comments, read once at the start.
+//! The daemon's settings: JSON with comments, read once at startup.
 //!
-//! [`FIELDS`] is the one place for names, ranges and meanings; defaults are
-//! those of [`Settings::blank`]. A process learns its addresses and data centre
-//! here and nowhere else.
+//! [`FIELDS`] defines the names, ranges and descriptions of all settings,
+//! [`Settings::defaults`] their defaults. A process gets its addresses and data
+//! centre only from here.
 
 use std::fs;
 use std::io;
@@ -18,87 +18,90 @@
 
 use crate::fields::FIELDS;
 
-/// How this process is set up.
+/// Settings of one VM.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Settings {
     /// This VM's name.
     pub(crate) vm: ids::Vm,
-    /// Where it runs.
+    /// Data centre that this VM runs in.
     pub(crate) data_centre: ids::DataCentre,
-    /// Address for callers, HTTP.
+    /// Address of the HTTP listener for callers.
     pub(crate) callers: net::SocketAddr,
-    /// Address for operators, HTTP.
+    /// Address of the HTTP listener for operators.
     pub(crate) operators: net::SocketAddr,
-    /// Address for other VMs: TCP for links and UDP for probes.
+    /// Address for other VMs: TCP for mesh links, UDP for probes.
     pub(crate) mesh: net::SocketAddr,
-    /// Base URL of the platform's object API, without a slash at the end.
+    /// Base URL of the platform's object API, without a trailing slash.
     pub(crate) store: String,
-    /// Mesh addresses to join by while the platform's list can't be had.
+    /// Mesh addresses of VMs to join through while the platform's list of VMs is
+    /// unavailable.
     pub(crate) seeds: Vec<net::SocketAddr>,
-    /// What is logged, and where to.
+    /// Logging settings.
     pub(crate) log: Log,
-    /// How a stop goes.
+    /// Waits during a graceful stop.
     pub(crate) stop: Stop,
-    /// Sizes and counts beyond which input is refused.
+    /// Limits above which input is refused.
     pub(crate) limits: Limits,
-    /// How fan-outs are run.
+    /// How the calls of a search are placed and retried.
     pub(crate) policy: query::Policy,
 }
 
-/// What is logged, and where to.
+/// Logging settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Log {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub(crate) level: log::LevelFilter,
-    /// File to add to; `None` for standard error.
+    /// Log file, opened for appending; `None` for standard error.
     pub(crate) file: Option<path::PathBuf>,
 }
 
-/// How a stop goes.
+/// Waits during a graceful stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Stop {
-    /// From turning readiness off until new requests are refused: the balancer
-    /// needs this long to notice.
+    /// Time from reporting not ready until new requests are refused, in which the
+    /// load balancer notices the change.
     pub(crate) balancer_wait: time::Duration,
-    /// Longest wait for requests under way after that.
+    /// Longest wait for running requests after that.
     pub(crate) grace: time::Duration,
 }
 
-/// Sizes and counts beyond which input is refused.
+/// Limits above which input is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Limits {
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub(crate) body: rate::Bytes,
-    /// Largest `query` within a search.
+    /// Maximum size of the `query` of a search.
     pub(crate) query: rate::Bytes,
-    /// Largest set of request headers.
+    /// Maximum total size of the headers of a request.
     pub(crate) header: rate::Bytes,
-    /// Largest frame between VMs.
+    /// Maximum size of a mesh frame.
     pub(crate) frame: rate::Bytes,
-    /// Requests of callers that run at once, of all services together.
+    /// Maximum number of concurrent caller requests across all services.
     pub(crate) requests: u32,
 }
 
-const NOWHERE: net::SocketAddr =
+/// Placeholder for an address that the file must set.
+const UNSET_ADDRESS: net::SocketAddr =
     net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::UNSPECIFIED), 0);
 
 impl Settings {
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// Everything wrong with it, in the order of the text.
+    /// Returns every finding, ordered by position in the file.
     pub(crate) fn read(path: &path::Path) -> Result<Self, Vec<finding::Finding>> {
         let name = path.display().to_string();
-        let text = fs::read_to_string(path).map_err(|error| vec![unreadable(&name, &error)])?;
+        let text =
+            fs::read_to_string(path).map_err(|error| vec![unreadable_file(&name, &error)])?;
         Self::parse(&name, &text)
     }
 
-    /// Checks `text`; `file` names it in the findings.
+    /// Parses and checks `text`; findings refer to it as `file`.
     ///
     /// # Errors
-    /// Everything wrong with it, in the order of the text.
+    /// Returns every finding, ordered by position in the text.
     pub(crate) fn parse(file: &str, text: &str) -> Result<Self, Vec<finding::Finding>> {
-        let mut settings = Self::blank();
+        let mut settings = Self::defaults();
         let mut reading = jsonc::read(file, text, FIELDS, &mut settings);
         settings.check_addresses(&mut reading);
         settings.check_limits(&mut reading);
@@ -109,9 +112,9 @@
         Err(reading.findings)
     }
 
-    /// The defaults, with placeholders for what every file must give.
-    fn blank() -> Self {
-        #[expect(clippy::expect_used, reason = "constants that the tests read")]
+    /// Returns the defaults, with placeholders for the required settings.
+    fn defaults() -> Self {
+        #[expect(clippy::expect_used, reason = "constant names, covered by tests")]
         let (vm, data_centre) = (
             "unset".parse().expect("a valid name"),
             "unset".parse().expect("a valid name"),
@@ -119,9 +122,9 @@
         Self {
             vm,
             data_centre,
-            callers: NOWHERE,
-            operators: NOWHERE,
-            mesh: NOWHERE,
+            callers: UNSET_ADDRESS,
+            operators: UNSET_ADDRESS,
+            mesh: UNSET_ADDRESS,
             store: String::new(),
             seeds: Vec::new(),
             log: Log {
@@ -143,68 +146,77 @@
         }
     }
 
-    /// Two listeners on one address: the second one's bind fails at the start,
-    /// or callers reach the operators' pages.
+    /// Adds a finding for listeners that share an address, and for a mesh address
+    /// that other VMs can't connect to. Of two listeners on one address the second
+    /// would fail to bind, or callers would reach the operators' pages.
     fn check_addresses(&self, reading: &mut jsonc::Reading) {
         let listeners = [
             ("callers", self.callers),
             ("operators", self.operators),
             ("mesh", self.mesh),
         ];
-        let set = listeners.iter().filter(|(_, address)| *address != NOWHERE);
-        let set: Vec<_> = set.collect();
-        for (index, (name, address)) in set.iter().enumerate() {
-            let earlier = set[..index]
+        let assigned = listeners
+            .iter()
+            .filter(|(_, address)| *address != UNSET_ADDRESS);
+        let assigned: Vec<_> = assigned.collect();
+        for (index, (name, address)) in assigned.iter().enumerate() {
+            let earlier = assigned[..index]
                 .iter()
-                .find(|(_, other)| clash(*other, *address));
+                .find(|(_, other)| overlap(*other, *address));
             if let Some((other, _)) = earlier {
-                let problem = format!("{address} is the address of {other} too");
-                reading.add(name, problem, "give each its own port");
+                let problem = format!("{address} is already used by {other}");
+                reading.add(name, problem, "give each listener its own port");
             }
         }
-        if self.mesh.ip().is_unspecified() && self.mesh != NOWHERE {
+        if self.mesh.ip().is_unspecified() && self.mesh != UNSET_ADDRESS {
             let problem = format!("other VMs can't connect to {}", self.mesh.ip());
-            reading.add("mesh", problem, "give the VM's own IP number");
+            reading.add("mesh", problem, "give this VM's own IP address");
         }
     }
 
-    /// A query is part of a body and a body must fit in a frame to the home.
+    /// Adds a finding for a query limit above the body limit, and for a frame limit
+    /// too small for a body: bodies are sent to the home VM in one frame.
     fn check_limits(&self, reading: &mut jsonc::Reading) {
         let Limits {
             body, query, frame, ..
         } = self.limits;
         if query > body {
-            let problem = format!("{query} exceed limits.body_bytes, {body}");
-            reading.add("limits.query_bytes", problem, "lower it or raise the other");
+            let problem = format!("{query} exceeds limits.body_bytes ({body})");
+            reading.add(
+                "limits.query_bytes",
+                problem,
+                "lower it or raise limits.body_bytes",
+            );
         }
-        if frame.0 < body.0.saturating_add(FRAME_MARGIN) {
+        if frame.0 < body.0.saturating_add(FRAME_OVERHEAD_BYTES) {
             let problem = format!("a body of {body} doesn't fit in a frame of {frame}");
-            let remedy = format!("give at least limits.body_bytes + {FRAME_MARGIN}");
+            let remedy = format!("give at least limits.body_bytes + {FRAME_OVERHEAD_BYTES}");
             reading.add("limits.frame_bytes", problem, remedy);
         }
     }
 }
 
-/// What a frame holds besides a caller's body, in bytes.
-const FRAME_MARGIN: u64 = 64 << 10;
+/// Bytes reserved in a frame for everything but the caller's body.
+const FRAME_OVERHEAD_BYTES: u64 = 64 << 10;
 
-fn clash(a: net::SocketAddr, b: net::SocketAddr) -> bool {
+/// Reports whether sockets can't be bound to both addresses.
+fn overlap(a: net::SocketAddr, b: net::SocketAddr) -> bool {
     let any = a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() == b.port() && (any || a.ip() == b.ip())
 }
 
-fn unreadable(name: &str, error: &io::Error) -> finding::Finding {
+fn unreadable_file(name: &str, error: &io::Error) -> finding::Finding {
     finding::Finding {
         place: finding::Place::of(name, "", 0),
         path: String::new(),
-        problem: format!("the file can't be read: {error}"),
-        remedy: "give the path of a settings file that this user may read".to_owned(),
+        problem: format!("failed to read the file: {error}"),
+        remedy: "give the path of a settings file that this user can read".to_owned(),
     }
 }
 
-/// A page that names each setting with its type, range, default and meaning.
+/// Returns a list of all settings with type, range, default and description.
 pub(crate) fn help() -> String {
-    jsonc::help(FIELDS, &Settings::blank())
+    jsonc::help(FIELDS, &Settings::defaults())
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/tests/args.rs
+++ b/crates/daemon/src/tests/args.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn parse(text: &str) -> Result<Order, Error> {
+fn parse(text: &str) -> Result<Command, Error> {
     read(text.split_whitespace().map(ffi::OsString::from).collect())
 }
 
@@ -8,16 +8,19 @@
 fn flags_are_read_in_any_order() {
     assert_eq!(
         parse("--check --settings a.json"),
-        Ok(Order::Check("a.json".into()))
+        Ok(Command::Check("a.json".into()))
+    );
+    assert_eq!(
+        parse("--settings a.json"),
+        Ok(Command::Run("a.json".into()))
     );
-    assert_eq!(parse("--settings a.json"), Ok(Order::Run("a.json".into())));
 }
 
 #[test]
-fn what_is_not_known_is_named() {
-    let unknown = Err(Error::Unknown {
-        what: "--chekc".to_owned(),
+fn an_unexpected_argument_and_missing_settings_are_errors() {
+    let unexpected = Err(Error::UnexpectedArgument {
+        argument: "--chekc".to_owned(),
     });
-    assert_eq!(parse("--settings a.json --chekc"), unknown);
-    assert_eq!(parse("--check"), Err(Error::Missing));
+    assert_eq!(parse("--settings a.json --chekc"), unexpected);
+    assert_eq!(parse("--check"), Err(Error::MissingSettings));
 }
--- a/crates/daemon/src/tests/settings.rs
+++ b/crates/daemon/src/tests/settings.rs
@@ -7,10 +7,10 @@
     let settings = Settings::parse("example", EXAMPLE).unwrap();
     assert_eq!(settings.vm.as_str(), "kowhai-1");
     assert_eq!(settings.seeds.len(), 2);
-    let blank = Settings::blank();
-    assert_eq!(settings.limits, blank.limits);
-    assert_eq!(settings.stop, blank.stop);
-    assert_eq!(settings.log, blank.log);
+    let defaults = Settings::defaults();
+    assert_eq!(settings.limits, defaults.limits);
+    assert_eq!(settings.stop, defaults.stop);
+    assert_eq!(settings.log, defaults.log);
 }
 
 fn findings(text: &str) -> Vec<String> {
@@ -18,21 +18,21 @@
     found.iter().map(ToString::to_string).collect()
 }
 
-/// Story: an operator copies a line and forgets the port. One listener fails
-/// to bind at the start, or callers are served the operators' pages. The clash
-/// is found before anything is bound.
+/// An operator copies a listener's line and forgets to change the port: one
+/// listener would fail to bind, or callers would be served the operators' pages.
+/// The check must report this before anything is bound.
 #[test]
-fn addresses_that_clash_are_findings() {
+fn listeners_on_one_address_are_findings() {
     let text = EXAMPLE.replace("127.0.0.1:7201", "0.0.0.0:7101");
     let found = findings(&text);
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(
-        found[0].starts_with("s.jsonc:7:16: operators: 0.0.0.0:7101 is the address of callers too")
+        found[0].starts_with("s.jsonc:7:16: operators: 0.0.0.0:7101 is already used by callers")
     );
 }
 
 #[test]
-fn names_any_port_and_a_mesh_on_every_address_are_refused() {
+fn host_names_port_0_wildcard_mesh_and_repeated_seeds_are_findings() {
     let text = EXAMPLE
         .replace("http://127.0.0.1:7000", "http://store:7000")
         .replace("127.0.0.1:7101", "127.0.0.1:0")
@@ -40,7 +40,7 @@
         .replace("127.0.0.1:7303", "127.0.0.1:7302");
     let found = findings(&text).join("\n");
     for part in [
-        "store: \"http://store:7000\" is no http URL by IP number",
+        "store: \"http://store:7000\" is not an http:// URL with an IP address",
         "callers: port 0",
         "mesh: other VMs can't connect to 0.0.0.0",
         "seeds[1]: 127.0.0.1:7302 is listed twice",
@@ -50,17 +50,17 @@
 }
 
 #[test]
-fn limits_that_exclude_each_other_are_findings() {
+fn a_frame_limit_too_small_for_a_body_is_a_finding() {
     let text = EXAMPLE.replace("\"body_bytes\": 1048576", "\"body_bytes\": 4194304");
     let found = findings(&text);
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].contains("limits.frame_bytes: a body of 4194304 B"));
 }
 
-/// Story: the form that the help page shows for a setting must be one that it
-/// takes; a policy was shown as `no-hedge` and taken as `NoHedge` only.
+/// Every value that the help shows must be accepted: a policy was once shown as
+/// `no-hedge` but only `NoHedge` was accepted.
 #[test]
-fn every_policy_that_is_offered_is_taken() {
+fn every_policy_in_the_help_is_accepted() {
     for policy in ["full", "no-hedge", "direct"] {
         let text = EXAMPLE.replacen('{', &format!("{{ \"policy\": \"{policy}\","), 1);
         let settings = Settings::parse("s", &text).unwrap();
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_a_finding() {
+fn a_missing_file_is_a_finding() {
     let found = Settings::read(path::Path::new("no/such/file")).unwrap_err();
-    assert!(found[0].to_string().contains("can't be read"));
+    assert!(found[0].to_string().contains("failed to read the file"));
 }
 
 #[test]
