--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,4 +1,4 @@
-//! `apply SERVICE FILE`.
+//! The verb `apply SERVICE FILE`.
 
 use std::time;
 
@@ -6,25 +6,27 @@
 use geraniumgauge::ids;
 use geraniumgauge::store;
 
-use crate::call;
 use crate::check;
 use crate::failure;
+use crate::invocation;
 use crate::show;
 use crate::status;
 
-const WAIT_S: u64 = 10;
-/// How often the status is read while waiting.
-const LOOK: time::Duration = time::Duration::from_millis(250);
+/// Default of `--wait`, in seconds.
+const DEFAULT_WAIT_S: u64 = 10;
+/// Delay between two reads of the status while waiting.
+const STATUS_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Checks, writes over the version read, and waits until it is in force.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let service = call.service()?;
-    let base = call.value::<ids::ObjectVersion>("--if-version")?;
-    let wait = call.value::<u64>("--wait")?.unwrap_or(WAIT_S);
-    let file = call.argument(1).to_owned();
+/// Checks the document, writes it if nobody else has written since, and waits until
+/// it is in force.
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let service = invocation.service()?;
+    let base = invocation.value::<ids::ObjectVersion>("--if-version")?;
+    let wait = invocation.value::<u64>("--wait")?.unwrap_or(DEFAULT_WAIT_S);
+    let file = invocation.argument(1).to_owned();
     let text = check::read(&file)?;
     let document = document::parse(&file, &text).map_err(failure::Failure::unwritten)?;
-    let store = call.store()?;
+    let store = invocation.store()?;
     let edit = Edit {
         service,
         text,
@@ -32,11 +34,11 @@
         base,
     };
     let version = write(&store, &edit).await?;
-    println!("documents/{} is written as version {version}", edit.service);
+    println!("wrote documents/{} as version {version}", edit.service);
     if wait == 0 {
         return Ok(());
     }
-    follow(
+    wait_until_in_force(
         &store,
         &edit.service,
         version,
@@ -45,16 +47,16 @@
     .await
 }
 
-/// One operator's edit.
+/// A document to be written.
 pub(crate) struct Edit {
     service: ids::Service,
     text: String,
     document: document::Document,
-    /// The version that it is based on, where the operator names it.
+    /// Version that the edit is based on, if given by `--if-version`.
     base: Option<ids::ObjectVersion>,
 }
 
-/// Writes the text where nobody else has written meanwhile.
+/// Writes the text if the stored version is the one that the edit is based on.
 pub(crate) async fn write(
     store: &dyn store::Api,
     edit: &Edit,
@@ -63,7 +65,7 @@
     let base = match edit.base {
         Some(base) => base,
         None => {
-            let present = show::object(store, &key).await?;
+            let present = show::read_object(store, &key).await?;
             present.map(|object| object.version).unwrap_or_default()
         }
     };
@@ -82,22 +84,25 @@
     }
 }
 
-/// Failure: the reply to the write is lost. The operator can't tell whether the
-/// edit took effect, and a second one would meet a conflict with the first.
-/// Reading it back tells.
+/// Reads the document back after the reply to the write was lost, to find out
+/// whether the edit took effect. Applying it again without this check could
+/// conflict with the operator's own write.
 async fn read_back(
     store: &dyn store::Api,
     edit: &Edit,
     key: &str,
 ) -> Result<ids::ObjectVersion, failure::Failure> {
-    let present = show::object(store, key).await?;
+    let present = show::read_object(store, key).await?;
     let same = present.filter(|object| object.body == edit.text.as_bytes());
     same.map(|object| object.version).ok_or_else(|| {
-        let message = format!("{key}: the reply was lost and the store doesn't hold your text");
-        failure::Failure::Refused(format!("{message}; apply it again"))
+        let message =
+            format!("{key}: the reply to the write was lost and the store doesn't hold your text");
+        failure::Failure::Other(format!("{message}; apply it again"))
     })
 }
 
+/// Returns the failure for a conflict with another write; the message shows how the
+/// stored document differs from the edit.
 async fn conflict(
     store: &dyn store::Api,
     edit: &Edit,
@@ -105,40 +110,40 @@
     current: ids::ObjectVersion,
 ) -> failure::Failure {
     let service = &edit.service;
-    let theirs = show::object(store, &document::text_key(service)).await;
-    let what = match theirs {
+    let stored = show::read_object(store, &document::text_key(service)).await;
+    let details = match stored {
         Ok(Some(object)) => differences(edit, &object),
-        Ok(None) => "  it is gone from the store".to_owned(),
-        Err(error) => format!("  it can't be read: {error}"),
+        Ok(None) => "  the stored document was deleted".to_owned(),
+        Err(error) => format!("  the stored document can't be read: {error}"),
     };
-    failure::Failure::Refused(format!(
-        "conflict: documents/{service} is at version {current}, your edit is of version {base}; \
-         nothing was written\nthe present document, compared with yours:\n{what}\n\
-         take over what you want to keep, then: geraniumgauge apply {service} FILE \
+    failure::Failure::Other(format!(
+        "conflict: documents/{service} is at version {current}, your edit is based on version \
+         {base}; nothing was written\nthe stored document, compared with yours:\n{details}\n\
+         merge what you want to keep, then run: geraniumgauge apply {service} FILE \
          --if-version {current}"
     ))
 }
 
-fn differences(edit: &Edit, present: &store::Object) -> String {
-    let text = String::from_utf8_lossy(&present.body);
-    let Ok(theirs) = document::parse("present", &text) else {
-        return "  it has findings of its own: see `geraniumgauge status`".to_owned();
+fn differences(edit: &Edit, stored: &store::Object) -> String {
+    let text = String::from_utf8_lossy(&stored.body);
+    let Ok(stored) = document::parse("stored", &text) else {
+        return "  the stored document has findings: see `geraniumgauge status`".to_owned();
     };
-    let fields = document::differences(&theirs, &edit.document);
+    let fields = document::differences(&stored, &edit.document);
     if fields.is_empty() {
         return "  the same values".to_owned();
     }
     let line = |field: &document::Difference| {
         format!(
-            "  {}: {} there, {} in yours",
+            "  {}: {} in the store, {} in yours",
             field.path, field.was, field.now
         )
     };
     fields.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Waits until the keeper has taken `version` into account and all VMs apply it.
-async fn follow(
+/// Waits until a keeper has accepted `version` and all VMs apply it.
+async fn wait_until_in_force(
     store: &dyn store::Api,
     service: &ids::Service,
     version: ids::ObjectVersion,
@@ -147,11 +152,11 @@
     let until = tokio::time::Instant::now() + wait;
     let mut accepted = None;
     while tokio::time::Instant::now() < until {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
         let Ok(Some(found)) = status::read(store, service).await else {
             continue;
         };
-        match judge(found, version)? {
+        match progress(found, version)? {
             Progress::Waiting => {}
             Progress::Accepted(status) => accepted = Some(status),
             Progress::InForce(status) => {
@@ -162,28 +167,34 @@
         }
     }
     let Some(status) = accepted else {
-        return Err(failure::Failure::Refused(format!(
-            "version {version} is written, but no keeper has looked at it within {} s; look \
+        return Err(failure::Failure::Other(format!(
+            "version {version} is written, but no keeper has checked it within {} s; check \
              later: geraniumgauge status {service}",
             wait.as_secs()
         )));
     };
     println!(
-        "accepted as generation {}, in force at {} of {} VMs so far; look later: \
+        "accepted as generation {}, in force at {} of {} VMs so far; check later: \
          geraniumgauge status {service}",
         status.generation, status.in_force, status.vms
     );
     Ok(())
 }
 
+/// How far a written version is on its way to being in force.
 #[derive(Debug)]
 enum Progress {
+    /// No keeper has checked the version yet.
     Waiting,
+    /// The version is accepted, but not all VMs apply it yet.
     Accepted(document::Status),
+    /// All VMs apply the version.
     InForce(document::Status),
 }
 
-fn judge(
+/// Compares the status with the `version` that was written. Fails if the document
+/// was refused, if the store was set back, or if a later version was written.
+fn progress(
     status: document::Status,
     version: ids::ObjectVersion,
 ) -> Result<Progress, failure::Failure> {
@@ -191,8 +202,8 @@
         let later = status.document.version().filter(|seen| *seen > version);
         return later.map_or(Ok(Progress::Waiting), |later| {
             let message = format!("version {later} was written after yours, version {version}");
-            Err(failure::Failure::Refused(format!(
-                "{message}; look what is in force: geraniumgauge show {}",
+            Err(failure::Failure::Other(format!(
+                "{message}; see what is in force: geraniumgauge show {}",
                 status.service
             )))
         });
@@ -200,11 +211,11 @@
     match &status.document {
         document::Verdict::Refused { findings, .. } => Err(failure::Failure::Findings {
             findings: findings.clone(),
-            ending: "a document accepted before stays in force; mend them and apply again",
+            consequence: "a document accepted before stays in force; fix them and apply again",
         }),
-        document::Verdict::SetBack { .. } => Err(failure::Failure::Refused(format!(
-            "the store was set back to an older state while this was written, and version \
-             {version} was not taken for an edit; apply it again"
+        document::Verdict::SetBack { .. } => Err(failure::Failure::Other(format!(
+            "the store was set back to an older state during the write, and version {version} \
+             was not treated as an edit; apply it again"
         ))),
         document::Verdict::Vanished => Ok(Progress::Waiting),
         document::Verdict::Accepted { .. } if status.in_force >= status.vms => {
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -1,36 +1,37 @@
-//! `burn SERVICE`.
+//! The verb `burn SERVICE`.
 
 use std::fs;
 
 use geraniumgauge::slo;
 use geraniumgauge::time;
 
-use crate::call;
 use crate::failure;
+use crate::invocation;
 use crate::status;
 use crate::table;
 
 /// Prints the burn report, or writes it as a page or a plot.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let service = call.service()?;
-    let output = call.value::<String>("--output")?;
-    let draw = output
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let service = invocation.service()?;
+    let output = invocation.value::<String>("--output")?;
+    let render = output
         .as_deref()
-        .map(|file| drawing(&call, file))
+        .map(|file| renderer(&invocation, file))
         .transpose()?;
-    let store = call.store()?;
+    let store = invocation.store()?;
     let now = time::Clock::start().wall();
-    status::known(&store, &service).await?;
+    status::require_accepted(&store, &service).await?;
     let report = slo::report(&store, &service, now).await?;
-    if let (Some(file), Some(draw)) = (output, draw) {
-        let drawn = draw(&report).map_err(|error| failure::Failure::Refused(error.to_string()))?;
-        fs::write(&file, drawn).map_err(|error| {
-            failure::Failure::Refused(format!("{file} can't be written: {error}; check the path"))
+    if let (Some(file), Some(render)) = (output, render) {
+        let rendered =
+            render(&report).map_err(|error| failure::Failure::Other(error.to_string()))?;
+        fs::write(&file, rendered).map_err(|error| {
+            failure::Failure::Other(format!("failed to write {file}: {error}; check the path"))
         })?;
-        println!("{file} is written");
+        println!("wrote {file}");
         return Ok(());
     }
-    if call.has("--json") {
+    if invocation.has("--json") {
         println!("{}", table::json(&report));
     } else {
         println!("{}", text(&report));
@@ -38,46 +39,48 @@
     Ok(())
 }
 
-type Draw = fn(&slo::Report) -> Result<String, slo::PageError>;
+type Render = fn(&slo::Report) -> Result<String, slo::PageError>;
 
-fn drawing(call: &call::Call, file: &str) -> Result<Draw, failure::Failure> {
+/// Returns the renderer for the extension of `file`.
+fn renderer(invocation: &invocation::Invocation, file: &str) -> Result<Render, failure::Failure> {
     match file.rsplit('.').next() {
         Some("html") => Ok(slo::page),
         Some("svg") => Ok(slo::plot),
-        _ => Err(call.usage(format!(
-            "--output {file}: give a name that ends in .html or .svg"
+        _ => Err(invocation.usage_error(format!(
+            "--output {file}: unknown extension; give a name that ends in .html or .svg"
         ))),
     }
 }
 
-/// The report as a person reads it.
+/// Formats the report for the terminal.
 fn text(report: &slo::Report) -> String {
-    let mut heads = vec!["objective", "target"];
-    heads.extend(slo::WINDOWS.map(|(name, _)| name));
-    heads.push("budget left");
+    let mut headers = vec!["objective", "target"];
+    headers.extend(slo::WINDOWS.map(|(name, _)| name));
+    headers.push("budget left");
     let rows = report.indicators.iter().map(row).collect();
     let mut lines = vec![
         format!(
-            "{}: burn rates; 1 spends exactly the budget",
+            "{}: burn rates; at 1 the budget is used up exactly",
             report.service
         ),
-        table::table(&heads, rows),
+        table::table(&headers, rows),
     ];
     if report.generation.0 == 0 {
-        lines.push("no accepted document: the objectives are defaults".to_owned());
+        lines.push("no accepted document: the objectives are the defaults".to_owned());
     }
     let fast = report.indicators.iter().filter(|indicator| indicator.fast);
     lines.extend(fast.map(|indicator| {
         format!(
-            "{} burns fast: over {} times the budget's rate in 5 min and 1 h; look now",
+            "{} burns fast: over {} times the budget's rate in 5 min and 1 h; act now",
             indicator.name,
             slo::FAST
         )
     }));
-    lines.push(missing(report));
+    lines.push(missing_shards(report));
     lines.join("\n")
 }
 
+/// Formats one indicator as a row of the table.
 fn row(indicator: &slo::Indicator) -> Vec<String> {
     let mut row = vec![indicator.name.to_owned(), indicator.objective.to_string()];
     row.extend(
@@ -90,14 +93,21 @@
     row
 }
 
-fn missing(report: &slo::Report) -> String {
+fn missing_shards(report: &slo::Report) -> String {
     if report.missing.is_empty() {
         return "no shard was missing in 3 days".to_owned();
     }
     let parts: Vec<_> = report
         .missing
         .iter()
-        .map(|one| format!("{} {} ({:.0} %)", one.reason, one.shards, one.part * 100.0))
+        .map(|missing| {
+            format!(
+                "{} {} ({:.0} %)",
+                missing.reason,
+                missing.shards,
+                missing.part * 100.0
+            )
+        })
         .collect();
     format!("missing shards in 3 days, by reason: {}", parts.join(", "))
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,17 +1,17 @@
-//! `check FILE`.
+//! The verb `check FILE`.
 
 use std::fs;
 
 use geraniumgauge::document;
 
-use crate::call;
 use crate::failure;
+use crate::invocation;
 
-/// Prints every finding of a document or a layout.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let file = call.argument(0);
+/// Checks a document or a layout and prints every finding.
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let file = invocation.argument(0);
     let text = read(file)?;
-    if call.has("--layout") {
+    if invocation.has("--layout") {
         let layout = document::parse_layout(file, &text).map_err(failure::Failure::unwritten)?;
         let (version, shards) = (layout.version, layout.shards.len());
         println!("{file}: no findings; layout version {version} of {shards} shards");
@@ -22,9 +22,9 @@
     Ok(())
 }
 
-/// The text of a file of the operator's.
+/// Reads an operator's file.
 pub(crate) fn read(file: &str) -> Result<String, failure::Failure> {
     fs::read_to_string(file).map_err(|error| {
-        failure::Failure::Refused(format!("{file} can't be read: {error}; check the path"))
+        failure::Failure::Other(format!("failed to read {file}: {error}; check the path"))
     })
 }
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,51 +1,54 @@
-//! Why a command ends without success.
+//! Errors that end a command.
 
 use geraniumgauge::finding;
 use geraniumgauge::store;
 
-/// Why a command ends without success; its text says what to do next.
+/// Error that ends a command; its message says what to do next.
 #[derive(Debug)]
 #[derive(derive_more::Display)]
 pub(crate) enum Failure {
-    /// The command line can't be understood.
+    /// The command line is invalid.
     #[display("geraniumgauge: {message}\n\n{usage}")]
     Usage {
-        /// What is wrong.
+        /// Description of the error.
         message: String,
-        /// The help text that applies.
+        /// Help text of the verb, or of the whole command if there is no verb.
         usage: String,
     },
-    /// A text has findings.
-    #[display("{}; {ending}", list(findings))]
+    /// A document or a layout has findings.
+    #[display("{}; {consequence}", format_findings(findings))]
     Findings {
-        /// Everything wrong with it.
+        /// All findings in the text.
         findings: Vec<finding::Finding>,
-        /// What that means for what is in force.
-        ending: &'static str,
+        /// What the findings mean for the document in force, and what to do.
+        consequence: &'static str,
     },
-    /// Refused, in conflict, or nothing to show.
+    /// Any other failure, such as a conflict, a missing status or an unreadable file.
     #[display("geraniumgauge: {_0}")]
-    Refused(String),
-    /// The store failed.
+    Other(String),
+    /// A call of the store failed.
     #[display("geraniumgauge: {_0}; {}", remedy(_0))]
     Store(store::Error),
 }
 
 impl Failure {
-    /// The exit code: 2 for usage, else 1.
+    /// Returns the exit code: 2 for usage errors, 1 otherwise.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Self::Usage { .. } => 2,
-            Self::Findings { .. } | Self::Refused(_) | Self::Store(_) => 1,
+            Self::Findings { .. } | Self::Other(_) | Self::Store(_) => 1,
         }
     }
 }
 
 impl Failure {
-    /// Findings of a text that was not written.
+    /// Returns the failure for a text that was not written because of its findings.
     pub(crate) fn unwritten(findings: Vec<finding::Finding>) -> Self {
-        let ending = "mend them; nothing was written";
-        Self::Findings { findings, ending }
+        let consequence = "nothing was written; fix them and try again";
+        Self::Findings {
+            findings,
+            consequence,
+        }
     }
 }
 
@@ -55,21 +58,21 @@
     }
 }
 
-fn list(findings: &[finding::Finding]) -> String {
+fn format_findings(findings: &[finding::Finding]) -> String {
     let lines: Vec<_> = findings.iter().map(ToString::to_string).collect();
     let count = lines.len();
-    let things = if count == 1 { "finding" } else { "findings" };
-    format!("{}\n{count} {things}", lines.join("\n"))
+    let noun = if count == 1 { "finding" } else { "findings" };
+    format!("{}\n{count} {noun}", lines.join("\n"))
 }
 
 fn remedy(error: &store::Error) -> &'static str {
     match error {
         store::Error::Unavailable { .. } => {
-            "check --store and try again; VMs go on with what is in force"
+            "check --store and try again; VMs keep using what is in force"
         }
         store::Error::Unconfirmed { .. } => "run `geraniumgauge show` to see what the store holds",
-        store::Error::Conflict { .. } => "read it again and try again",
-        store::Error::Missing { .. } => "check the service's name",
-        store::Error::Refused { .. } => "this is a fault of the stored object; report it",
+        store::Error::Conflict { .. } => "read the object again and retry",
+        store::Error::Missing { .. } => "check the name of the service",
+        store::Error::Refused { .. } => "the stored object is faulty; report it",
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,13 +1,13 @@
-//! The operators' command.
+//! The operators' command line.
 //!
-//! It talks to the platform's object API only: documents go in and what is in
-//! force is read back, whatever VMs run or don't.
+//! It talks only to the platform's object API: it writes documents and reads what
+//! is in force, and works whether or not VMs are running.
 
 mod apply;
 mod burn;
-mod call;
 mod check;
 mod failure;
+mod invocation;
 mod marks;
 mod show;
 mod status;
--- a/crates/cli/src/marks.rs
+++ b/crates/cli/src/marks.rs
@@ -1,4 +1,4 @@
-//! Requests of a service that are held to crash upstreams.
+//! Marks of a service's requests that are suspected of crashing upstreams.
 
 use geraniumgauge::ids;
 use geraniumgauge::quarantine;
@@ -10,8 +10,8 @@
 use crate::failure;
 use crate::table;
 
-/// The marks that hold at `now`. VMs keep them in the store; one that was set
-/// in the last second may be missing.
+/// Reads the marks of `service` that are in effect at `now`. VMs write marks to
+/// the store with a delay, so one set in the last second may be missing.
 pub(crate) async fn read(
     store: &store::Client,
     service: &ids::Service,
@@ -23,37 +23,39 @@
         Err(store::Error::Missing { .. }) => return Ok(Vec::new()),
         Err(error) => return Err(error.into()),
     };
-    let held: trial::Ledger = serde_json::from_slice(&object.body).map_err(|error| {
-        failure::Failure::Refused(format!("{key} can't be read: {error}; VMs write it again"))
+    let ledger: trial::Ledger = serde_json::from_slice(&object.body).map_err(|error| {
+        failure::Failure::Other(format!(
+            "failed to parse {key}: {error}; try again later: VMs rewrite it"
+        ))
     })?;
-    Ok(holding(held.marks, now))
+    Ok(in_effect(ledger.marks, now))
 }
 
-fn holding(marks: Vec<quarantine::Mark>, now: time::Wall) -> Vec<quarantine::Mark> {
-    let holds = |mark: &quarantine::Mark| mark.verdict(now) != quarantine::Verdict::Clear;
-    marks.into_iter().filter(holds).collect()
+fn in_effect(marks: Vec<quarantine::Mark>, now: time::Wall) -> Vec<quarantine::Mark> {
+    let not_clear = |mark: &quarantine::Mark| mark.verdict(now) != quarantine::Verdict::Clear;
+    marks.into_iter().filter(not_clear).collect()
 }
 
-/// The marks as a person reads them; nothing where there are none.
+/// Formats the marks as a titled table; returns no lines if there are none.
 pub(crate) fn text(marks: &[quarantine::Mark], now: time::Wall) -> Vec<String> {
     if marks.is_empty() {
         return Vec::new();
     }
-    let heads = ["request", "state", "upstreams lost", "since", "for another"];
+    let headers = ["request", "state", "upstreams lost", "since", "expires in"];
     let row = |mark: &quarantine::Mark| {
         let lost = mark.crashed.iter().chain(&mark.lost);
         vec![
             mark.fingerprint.to_string(),
             mark.state.to_string(),
             lost.map(ToString::to_string).collect::<Vec<_>>().join(", "),
-            format!("{} ago", table::age(now.since(mark.since))),
-            table::age(mark.until.since(now)),
+            format!("{} ago", table::duration(now.since(mark.since))),
+            table::duration(mark.until.since(now)),
         ]
     };
     let rows = marks.iter().map(row).collect();
     vec![
-        "requests held to crash upstreams:".to_owned(),
-        table::table(&heads, rows),
+        "requests suspected of crashing upstreams:".to_owned(),
+        table::table(&headers, rows),
     ]
 }
 
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,38 +1,40 @@
-//! `show SERVICE`.
+//! The verb `show SERVICE`.
 
 use geraniumgauge::document;
 use geraniumgauge::document::keeper;
 use geraniumgauge::ids;
 use geraniumgauge::store;
 
-use crate::call;
 use crate::failure;
+use crate::invocation;
 use crate::status;
 
-/// Prints the document's text under a comment with its version and generation,
-/// so that what is printed can be edited and applied.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let service = call.service()?;
-    let store = call.store()?;
-    let text = object(&store, &document::text_key(&service)).await?;
-    let accepted = accepted(&store, &service).await?;
+/// Prints the document's text below a comment with its version and generation. The
+/// output is a valid document: it can be edited and applied.
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let service = invocation.service()?;
+    let store = invocation.store()?;
+    let text = read_object(&store, &document::text_key(&service)).await?;
+    let accepted = read_accepted(&store, &service).await?;
     match (text, accepted) {
-        (None, None) => Err(status::unknown(&store, &service).await),
+        (None, None) => Err(status::missing(&store, &service).await),
         (Some(text), accepted) => {
-            print!("{}", page(&service, &text, accepted.as_ref()));
+            print!("{}", annotate(&service, &text, accepted.as_ref()));
             Ok(())
         }
         (None, Some(accepted)) => {
             let generation = accepted.generation;
-            println!("// documents/{service} is gone; this is generation {generation}, in force");
+            println!(
+                "// documents/{service} was deleted; generation {generation} below is in force"
+            );
             println!("{}", crate::table::json(&accepted.document));
             Ok(())
         }
     }
 }
 
-/// The object at `key`, where there is one.
-pub(crate) async fn object(
+/// Reads the object at `key`; `None` if it doesn't exist.
+pub(crate) async fn read_object(
     store: &dyn store::Api,
     key: &str,
 ) -> Result<Option<store::Object>, failure::Failure> {
@@ -43,17 +45,18 @@
     }
 }
 
-/// The accepted record of a service.
-async fn accepted(
+/// Reads the accepted document of a service; `None` if nothing is accepted.
+async fn read_accepted(
     store: &dyn store::Api,
     service: &ids::Service,
 ) -> Result<Option<keeper::Accepted>, failure::Failure> {
-    let object = object(store, &document::accepted_key(service)).await?;
-    // One that can't be read is written anew by the keeper.
+    let object = read_object(store, &document::accepted_key(service)).await?;
+    // A record that can't be parsed is ignored: the keeper rewrites it.
     Ok(object.and_then(|object| serde_json::from_slice(&object.body).ok()))
 }
 
-fn page(
+/// Returns `text` below a comment with its version and whether it is in force.
+fn annotate(
     service: &ids::Service,
     text: &store::Object,
     accepted: Option<&keeper::Accepted>,
@@ -67,13 +70,15 @@
             "// refused; generation {} is in force: see `geraniumgauge status {service}`\n",
             accepted.generation
         ),
-        (Ok(mine), Some(accepted)) => differing(accepted, mine),
+        (Ok(document), Some(accepted)) => compare(accepted, document),
     };
-    let head = format!("// documents/{service}, version {version}\n{state}");
-    format!("{}{}\n", head, without_head(&body).trim_end())
+    let header = format!("// documents/{service}, version {version}\n{state}");
+    format!("{}{}\n", header, without_header(&body).trim_end())
 }
 
-fn differing(accepted: &keeper::Accepted, text: &document::Document) -> String {
+/// Returns a comment that says whether `text` is in force, and lists the fields in
+/// which it differs from the accepted document.
+fn compare(accepted: &keeper::Accepted, text: &document::Document) -> String {
     let generation = accepted.generation;
     let differences = document::differences(&accepted.document, text);
     if differences.is_empty() {
@@ -83,20 +88,20 @@
         .iter()
         .map(|difference| format!("//   {difference}\n"))
         .collect();
-    format!("// not in force; generation {generation} is, and differs in:\n{lines}")
+    format!("// not in force; generation {generation} is in force and differs in:\n{lines}")
 }
 
-/// The text without the comment that an earlier `show` put above it.
-fn without_head(text: &str) -> &str {
+/// Returns `text` without the comment that an earlier `show` put above it.
+fn without_header(text: &str) -> &str {
     let mut rest = text;
     while let Some(line) = rest.lines().next() {
-        let ours = line.starts_with("// documents/")
+        let from_show = line.starts_with("// documents/")
             || line.starts_with("// accepted as generation")
             || line.starts_with("// not in force; generation")
             || line.starts_with("// nothing is accepted yet")
             || line.starts_with("// refused; generation")
             || line.starts_with("//   ");
-        if !ours {
+        if !from_show {
             break;
         }
         rest = rest
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `status SERVICE`.
+//! The verb `status SERVICE`.
 
 use geraniumgauge::document;
 use geraniumgauge::finding;
@@ -8,26 +8,27 @@
 use geraniumgauge::store::Api as _;
 use geraniumgauge::time;
 
-use crate::call;
 use crate::failure;
+use crate::invocation;
 use crate::marks;
 use crate::table;
 
-/// A status that nobody has refreshed for so long tells of the past.
-const STALE_S: u64 = 150;
+/// Age in seconds above which a status counts as stale. Keepers rewrite it at least
+/// every 60 s.
+const STALE_AFTER_S: u64 = 150;
 
 /// Prints what is in force and what was refused.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let service = call.service()?;
-    let store = call.store()?;
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let service = invocation.service()?;
+    let store = invocation.store()?;
     let status = match read(&store, &service).await? {
         Some(status) => status,
-        None => return Err(unknown(&store, &service).await),
+        None => return Err(missing(&store, &service).await),
     };
     let now = time::Clock::start().wall();
     let marks = marks::read(&store, &service, now).await?;
-    if call.has("--json") {
-        println!("{}", table::json(&Shown { status, marks }));
+    if invocation.has("--json") {
+        println!("{}", table::json(&Output { status, marks }));
         return Ok(());
     }
     println!("{}", text(&status, now));
@@ -37,15 +38,15 @@
     Ok(())
 }
 
-/// A status with what is held against requests, for other programs.
+/// JSON output: the status and the marks of the service's requests.
 #[derive(serde::Serialize)]
-struct Shown {
+struct Output {
     #[serde(flatten)]
     status: document::Status,
     marks: Vec<quarantine::Mark>,
 }
 
-/// The status of a service, where a keeper has written one.
+/// Reads the status of a service; `None` if no keeper has written one.
 pub(crate) async fn read(
     store: &dyn store::Api,
     service: &ids::Service,
@@ -58,26 +59,27 @@
     };
     let status = serde_json::from_slice(&object.body);
     status.map(Some).map_err(|error| {
-        let message = format!("{key} can't be read: {error}; a keeper writes it again within 60 s");
-        failure::Failure::Refused(message)
+        let message = format!("failed to parse {key}: {error}; a keeper rewrites it within 60 s");
+        failure::Failure::Other(message)
     })
 }
 
-/// Fails where nothing is accepted for a service: a mistyped name must not read
-/// like a service without faults.
-pub(crate) async fn known(
+/// Fails if no document is accepted for a service. Without this check a mistyped
+/// name would look like a service without problems.
+pub(crate) async fn require_accepted(
     store: &store::Client,
     service: &ids::Service,
 ) -> Result<(), failure::Failure> {
     match store.get(&document::accepted_key(service)).await {
         Ok(_) => Ok(()),
-        Err(store::Error::Missing { .. }) => Err(unknown(store, service).await),
+        Err(store::Error::Missing { .. }) => Err(missing(store, service).await),
         Err(error) => Err(error.into()),
     }
 }
 
-/// The failure that a service has no status, with those that have one.
-pub(crate) async fn unknown(store: &store::Client, service: &ids::Service) -> failure::Failure {
+/// Returns the failure for a service without a status; the message lists the
+/// services that have one.
+pub(crate) async fn missing(store: &store::Client, service: &ids::Service) -> failure::Failure {
     let listing = match store.list(document::STATUS).await {
         Ok(listing) => listing,
         Err(error) => return error.into(),
@@ -86,15 +88,15 @@
     let names: Vec<_> = names
         .filter_map(|key| key.strip_prefix(document::STATUS))
         .collect();
-    let known = if names.is_empty() {
-        "no service has one: is any VM running?".to_owned()
+    let others = if names.is_empty() {
+        "no service has one: check that a VM is running".to_owned()
     } else {
-        format!("services with one: {}", names.join(", "))
+        format!("services with a status: {}", names.join(", "))
     };
-    failure::Failure::Refused(format!("{service} has no status; {known}"))
+    failure::Failure::Other(format!("{service} has no status; {others}"))
 }
 
-/// A status as a person reads it.
+/// Formats a status for the terminal.
 pub(crate) fn text(status: &document::Status, now: time::Wall) -> String {
     let age = now.since(status.written);
     let mut lines = vec![format!(
@@ -113,73 +115,81 @@
     if !status.unconfirmed.is_empty() {
         let names: Vec<_> = status.unconfirmed.iter().map(ToString::to_string).collect();
         lines.push(format!(
-            "started while the store was out, and apply what the other VMs told: {}",
+            "started while the store was unavailable and apply what other VMs sent, not yet \
+             confirmed by the store: {}",
             names.join(", ")
         ));
     }
-    lines.extend(verdict(status));
-    lines.extend(listed("the layout was refused:", &status.layout_findings));
+    lines.extend(verdict_lines(status));
+    lines.extend(findings_lines(
+        "the layout was refused:",
+        &status.layout_findings,
+    ));
     if status.layout.0 == 0 {
         let service = &status.service;
         lines.push(format!(
-            "no layout: write layouts/{service}, or every request is refused"
+            "no layout: every request is refused until layouts/{service} is written"
         ));
     }
     lines.push(format!(
         "written by {} {} ago",
         status.keeper,
-        table::age(age)
+        table::duration(age)
     ));
-    if age.as_secs() > STALE_S {
+    if age.as_secs() > STALE_AFTER_S {
         lines.push(
-            "nobody has refreshed this: the VMs can't reach the store, or none runs; \
-             what is in force stays so"
+            "this status is stale: the VMs can't reach the store, or none is running; \
+             what is in force stays in force"
                 .to_owned(),
         );
     }
     lines.join("\n")
 }
 
+/// Returns a suffix that names the VMs that don't apply what is in force; empty if
+/// there are none.
 fn behind(status: &document::Status) -> String {
     if status.behind.is_empty() {
         return String::new();
     }
     let names: Vec<_> = status.behind.iter().map(ToString::to_string).collect();
-    format!("; not yet or not heard of at {}", names.join(", "))
+    format!("; not in force or no report at {}", names.join(", "))
 }
 
-fn verdict(status: &document::Status) -> Vec<String> {
+fn verdict_lines(status: &document::Status) -> Vec<String> {
     match &status.document {
         document::Verdict::Accepted { version } => {
             vec![format!("document version {version}: accepted")]
         }
         document::Verdict::Refused { version, findings } => {
-            let stays = if status.generation.0 == 0 {
+            let consequence = if status.generation.0 == 0 {
                 "nothing was accepted before, so every request is refused"
             } else {
-                "the one accepted before stays in force"
+                "the document accepted before stays in force"
             };
-            let head = format!("document version {version}: refused, {stays}");
-            listed(&head, findings)
+            let heading = format!("document version {version}: refused, {consequence}");
+            findings_lines(&heading, findings)
         }
         document::Verdict::Vanished => vec![
-            "the document is gone from the store; what was accepted stays in force: apply it \
+            "the document was deleted from the store; the accepted one stays in force: apply it \
              again, or apply it with \"retired\": true to end the service"
                 .to_owned(),
         ],
         document::Verdict::SetBack { version, .. } => vec![format!(
-            "document version {version} is of an older state of the store and changed nothing: \
-             compare it by `show`, and apply what is wanted"
+            "document version {version} is from an older state of the store and was not applied: \
+             compare it with what is in force by `geraniumgauge show`, and apply the document \
+             you want"
         )],
     }
 }
 
-fn listed(head: &str, findings: &[finding::Finding]) -> Vec<String> {
+/// Returns `heading` and the indented findings; empty if there are none.
+fn findings_lines(heading: &str, findings: &[finding::Finding]) -> Vec<String> {
     if findings.is_empty() {
         return Vec::new();
     }
     let lines = findings.iter().map(|finding| format!("  {finding}"));
-    std::iter::once(head.to_owned()).chain(lines).collect()
+    std::iter::once(heading.to_owned()).chain(lines).collect()
 }
 
 #[cfg(test)]
--- a/crates/cli/src/tests/apply.rs
+++ b/crates/cli/src/tests/apply.rs
@@ -10,9 +10,9 @@
     }
 }
 
-/// Story: two operators edit the same service at once. The second one's write
-/// would silently undo the first one's; it must be refused, and say what the
-/// present document holds and how to go on.
+/// Two operators edit the same service at the same time: the second write would
+/// silently undo the first. It must be refused with a message that shows the
+/// stored values and how to continue.
 #[tokio::test]
 async fn the_second_of_two_racing_operators_gets_a_conflict() {
     let store = store::Fake::new();
@@ -23,16 +23,16 @@
     assert_eq!(failure.code(), 1);
     let text = failure.to_string();
     assert!(
-        text.contains("deadline_ms: 600 there, 700 in yours"),
+        text.contains("deadline_ms: 600 in the store, 700 in yours"),
         "{text}"
     );
     assert!(text.contains(&format!("--if-version {second}")), "{text}");
 }
 
-/// Story: the store's reply is lost. The operator must learn whether the edit
-/// took effect, and must not be told of a conflict with their own write.
+/// The store's reply to a write is lost: the operator must learn whether the edit
+/// took effect, and must not get a conflict with their own write.
 #[tokio::test]
-async fn a_lost_reply_is_settled_by_reading_back() {
+async fn a_lost_reply_is_resolved_by_reading_back() {
     let store = store::Fake::new();
     store.fault(|faults| faults.lose_replies = 1);
     assert!(write(&store, &edit(500, None)).await.is_ok());
@@ -59,17 +59,20 @@
 }
 
 #[test]
-fn an_older_verdict_is_waited_out_and_a_later_one_ends_the_wait() {
+fn an_older_verdict_keeps_waiting_and_a_later_one_fails() {
     let version = ids::ObjectVersion(5);
     let accepted = |version| {
         status(document::Verdict::Accepted {
             version: ids::ObjectVersion(version),
         })
     };
-    assert!(matches!(judge(accepted(4), version), Ok(Progress::Waiting)));
     assert!(matches!(
-        judge(accepted(5), version),
+        progress(accepted(4), version),
+        Ok(Progress::Waiting)
+    ));
+    assert!(matches!(
+        progress(accepted(5), version),
         Ok(Progress::InForce(_))
     ));
-    assert!(judge(accepted(6), version).is_err());
+    assert!(progress(accepted(6), version).is_err());
 }
--- a/crates/cli/src/tests/burn.rs
+++ b/crates/cli/src/tests/burn.rs
@@ -4,7 +4,7 @@
 use geraniumgauge::query;
 
 #[test]
-fn the_report_names_what_burns_and_the_worst_reason() {
+fn the_report_shows_fast_burns_and_missing_shards_by_reason() {
     let now = time::Wall(400_000_000);
     let mut series = slo::Series::default();
     let counts = series.at(now);
--- a/crates/cli/src/tests/marks.rs
+++ b/crates/cli/src/tests/marks.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const MINUTE: u64 = 60_000;
+const MINUTE_MS: u64 = 60_000;
 
 fn mark(state: quarantine::State, until: u64) -> quarantine::Mark {
     quarantine::Mark {
@@ -10,24 +10,24 @@
         version: 1,
         crashed: vec!["desk-0-1".parse().unwrap()],
         lost: Vec::new(),
-        since: time::Wall(MINUTE),
+        since: time::Wall(MINUTE_MS),
         until: time::Wall(until),
     }
 }
 
-/// Story: a team finds its shards missing as `quarantined` and asks `status`
-/// why. It must read which request it is, what it took down and until when;
-/// marks that were cleared or have expired would only mislead.
+/// A team whose shards are missing as `quarantined` runs `status` to find out why.
+/// It must see the request, the upstreams lost and when the mark expires; cleared
+/// and expired marks would mislead.
 #[test]
-fn only_marks_that_hold_are_shown() {
+fn only_marks_in_effect_are_shown() {
     let marks = vec![
-        mark(quarantine::State::Quarantined, 10 * MINUTE),
-        mark(quarantine::State::Suspect, 2 * MINUTE),
-        mark(quarantine::State::Clear, 10 * MINUTE),
+        mark(quarantine::State::Quarantined, 10 * MINUTE_MS),
+        mark(quarantine::State::Suspect, 2 * MINUTE_MS),
+        mark(quarantine::State::Clear, 10 * MINUTE_MS),
     ];
-    let held = holding(marks, time::Wall(4 * MINUTE));
-    assert_eq!(held.len(), 1);
-    let text = text(&held, time::Wall(4 * MINUTE)).join("\n");
+    let in_effect = in_effect(marks, time::Wall(4 * MINUTE_MS));
+    assert_eq!(in_effect.len(), 1);
+    let text = text(&in_effect, time::Wall(4 * MINUTE_MS)).join("\n");
     for part in ["77", "quarantined", "desk-0-1", "3 min ago", "6 min"] {
         assert!(text.contains(part), "{part} is missing in\n{text}");
     }
--- a/crates/cli/src/tests/show.rs
+++ b/crates/cli/src/tests/show.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Story: an operator saves what `show` prints, edits and applies it, and does
-/// so again. The comments above must not pile up, and other comments must stay.
+/// An operator repeatedly saves the output of `show`, edits and applies it. The
+/// comments that `show` adds must not accumulate, and other comments must stay.
 #[test]
 fn what_is_shown_can_be_applied_and_shown_again() {
     let service = "desk".parse().unwrap();
@@ -10,10 +10,10 @@
         version: ids::ObjectVersion(5),
         body: text.into(),
     };
-    let first = page(&service, &object, None);
+    let first = annotate(&service, &object, None);
     assert!(document::parse("d", &first).is_ok());
     object.body = first.clone().into();
-    assert_eq!(page(&service, &object, None), first);
+    assert_eq!(annotate(&service, &object, None), first);
     assert!(first.ends_with(text));
 }
 
@@ -29,6 +29,6 @@
         considered: ids::ObjectVersion(3),
         document: document::parse("d", "{\"team\": \"a\"}").unwrap(),
     };
-    let shown = page(&service, &object, Some(&accepted));
+    let shown = annotate(&service, &object, Some(&accepted));
     assert!(shown.contains("//   deadline_ms: 1000 -> 700"), "{shown}");
 }
--- a/crates/cli/src/tests/status.rs
+++ b/crates/cli/src/tests/status.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_refused_edit_is_told_with_its_places() {
+fn a_refused_document_is_shown_with_its_findings() {
     let findings = document::parse("documents/desk", "{\"team\": 3}").unwrap_err();
     let status = document::Status {
         service: "desk".parse().unwrap(),
@@ -23,12 +23,12 @@
     let text = text(&status, time::Wall(1000 + 200_000));
     for part in [
         "desk: generation 4",
-        "in force at 7 of 8 VMs; not yet or not heard of at vm-3",
+        "in force at 7 of 8 VMs; not in force or no report at vm-3",
         "version 9: refused",
         "documents/desk:1:10: team: a number stands here",
         "no layout",
         "written by vm-1 3 min ago",
-        "nobody has refreshed this",
+        "this status is stale",
     ] {
         assert!(text.contains(part), "{part} is not in\n{text}");
     }
--- a/crates/cli/src/tests/verbs.rs
+++ b/crates/cli/src/tests/verbs.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn call(line: &str) -> Result<call::Call, failure::Failure> {
+fn parse(line: &str) -> Result<invocation::Invocation, failure::Failure> {
     let mut words = line.split(' ');
     let name = words.next().unwrap();
     let verb = VERBS.iter().find(|verb| verb.name == name).unwrap();
@@ -8,21 +8,21 @@
     read(verb, pico_args::Arguments::from_vec(rest), None)
 }
 
-/// Each verb's example must be a call that its own table reads.
+/// The example of each verb must be a valid command line.
 #[test]
-fn the_examples_are_valid_calls() {
+fn the_examples_are_valid_command_lines() {
     for verb in VERBS {
         let line = verb.example.split(" > ").next().unwrap();
         let line = line.strip_prefix("geraniumgauge ").unwrap();
-        assert!(call(line).is_ok(), "{line}");
-        assert!(page().contains(verb.example));
+        assert!(parse(line).is_ok(), "{line}");
+        assert!(help().contains(verb.example));
     }
 }
 
 #[test]
-fn what_the_table_does_not_hold_is_a_usage_error() {
+fn unknown_verbs_and_flags_and_wrong_argument_counts_are_usage_errors() {
     for line in ["status", "status a b", "status a --jsn", "apply a b --wait"] {
-        let failure = call(line).err().unwrap();
+        let failure = parse(line).err().unwrap();
         assert_eq!(failure.code(), 2, "{line}");
         assert!(failure.to_string().contains("Example:"), "{line}");
     }
--- a/crates/cli/src/tests/vms.rs
+++ b/crates/cli/src/tests/vms.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Story: a VM dies and the platform still lists it as live. An operator who
-/// reads that all documents are in force there looks for the fault elsewhere.
+/// A VM dies while the platform still lists it as live. If the table said that all
+/// documents are in force there, the operator would look for the fault elsewhere.
 #[test]
-fn a_listed_vm_that_no_other_sees_is_told_apart() {
+fn a_listed_vm_that_others_do_not_see_is_shown_as_not_seen() {
     let listed = ["a", "b"].map(|name| store::Vm {
         vm: name.parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
@@ -20,15 +20,15 @@
         written: time::Wall(0),
         vms: vms.into_iter().collect(),
     };
-    let lines = lines(listed.to_vec(), Some(&reported));
-    let told: Vec<_> = lines
+    let entries = entries(listed.to_vec(), Some(&reported));
+    let descriptions: Vec<_> = entries
         .iter()
-        .map(|line| told(line.reports.as_ref()))
+        .map(|entry| describe_report(entry.reports.as_ref()))
         .collect();
     assert_eq!(
-        told,
-        ["the other VMs don't see it", "all in force", "no report"]
+        descriptions,
+        ["not seen by other VMs", "all in force", "no report"]
     );
-    assert_eq!(lines[2].platform, "not listed");
-    assert!(text(&lines, None, time::Wall(0)).contains("no VM has reported"));
+    assert_eq!(entries[2].platform, "not listed");
+    assert!(text(&entries, None, time::Wall(0)).contains("no VM has reported"));
 }
--- a/crates/cli/src/unsettled.rs
+++ b/crates/cli/src/unsettled.rs
@@ -1,25 +1,25 @@
-//! `unsettled SERVICE`.
+//! The verb `unsettled SERVICE`.
 
 use geraniumgauge::ledger;
 use geraniumgauge::time;
 
-use crate::call;
 use crate::failure;
+use crate::invocation;
 use crate::status;
 use crate::table;
 
-/// Lists registrations whose end isn't known.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let service = call.service()?;
-    let store = call.store()?;
-    status::known(&store, &service).await?;
+/// Lists claimed registrations whose outcome is unknown.
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let service = invocation.service()?;
+    let store = invocation.store()?;
+    status::require_accepted(&store, &service).await?;
     let found = ledger::unsettled(&store, &service).await?;
-    if call.has("--json") {
+    if invocation.has("--json") {
         println!("{}", table::json(&found));
         return Ok(());
     }
     if found.is_empty() {
-        println!("{service}: every registration that was claimed is settled");
+        println!("{service}: every claimed registration is settled");
         return Ok(());
     }
     let now = time::Clock::start().wall();
@@ -27,15 +27,15 @@
         vec![
             claim.key.to_string(),
             claim.request.to_string(),
-            table::age(now.since(claim.since)),
+            table::duration(now.since(claim.since)),
             claim.upstream.to_string(),
         ]
     });
-    let heads = ["key", "request", "claimed for", "upstream"];
-    println!("{}", table::table(&heads, rows.collect()));
+    let headers = ["key", "request", "claimed for", "upstream"];
+    println!("{}", table::table(&headers, rows.collect()));
     println!(
-        "{} claimed, end unknown: ask the upstream whether it ran; under these keys nothing \
-         will run again",
+        "{} claimed, outcome unknown: ask the upstream whether the registration ran; nothing \
+         will run again under these keys",
         found.len()
     );
     Ok(())
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -1,5 +1,5 @@
-//! The table of verbs: names, arguments, flags and examples, and the reading of
-//! the command line by it.
+//! The table of verbs with their arguments, flags and examples, and the parser of
+//! the command line that uses it.
 
 use std::ffi;
 use std::future;
@@ -7,9 +7,9 @@
 
 use crate::apply;
 use crate::burn;
-use crate::call;
 use crate::check;
 use crate::failure;
+use crate::invocation;
 use crate::show;
 use crate::status;
 use crate::unsettled;
@@ -28,14 +28,14 @@
 /// One flag of a verb.
 struct Flag {
     name: &'static str,
-    /// The name of its value; `None` for a switch.
+    /// Placeholder of its value in the help; `None` for a switch.
     value: Option<&'static str>,
     default: &'static str,
     about: &'static str,
 }
 
 type Outcome = Result<(), failure::Failure>;
-type Run = fn(call::Call) -> pin::Pin<Box<dyn future::Future<Output = Outcome>>>;
+type Run = fn(invocation::Invocation) -> pin::Pin<Box<dyn future::Future<Output = Outcome>>>;
 
 const JSON: Flag = Flag {
     name: "--json",
@@ -49,7 +49,7 @@
     Verb {
         name: "check",
         arguments: &["FILE"],
-        about: "Check a document without writing it; every finding is printed.",
+        about: "Check a document without writing it, and print every finding.",
         flags: &[Flag {
             name: "--layout",
             value: None,
@@ -57,7 +57,7 @@
             about: "check FILE as a layout instead",
         }],
         example: "geraniumgauge check port-inspection.jsonc",
-        run: |call| Box::pin(check::run(call)),
+        run: |invocation| Box::pin(check::run(invocation)),
     },
     Verb {
         name: "apply",
@@ -67,18 +67,20 @@
             Flag {
                 name: "--if-version",
                 value: Some("N"),
-                default: "the version read at the start",
-                about: "write only over this version, as `show` printed it; 0 for a new service",
+                default: "the stored version when the command starts",
+                about: "write only if the stored document has this version, as printed by `show` \
+                        (0 for a new service)",
             },
             Flag {
                 name: "--wait",
                 value: Some("SECONDS"),
                 default: "10",
-                about: "how long to wait for acceptance and for all VMs; 0 not at all",
+                about: "how long to wait until the document is accepted and in force at all VMs \
+                        (0 to not wait)",
             },
         ],
         example: "geraniumgauge apply port-inspection port-inspection.jsonc --if-version 41",
-        run: |call| Box::pin(apply::run(call)),
+        run: |invocation| Box::pin(apply::run(invocation)),
     },
     Verb {
         name: "show",
@@ -86,7 +88,7 @@
         about: "Print a service's document with its version and generation.",
         flags: &[],
         example: "geraniumgauge show port-inspection > port-inspection.jsonc",
-        run: |call| Box::pin(show::run(call)),
+        run: |invocation| Box::pin(show::run(invocation)),
     },
     Verb {
         name: "status",
@@ -94,125 +96,139 @@
         about: "Show what is in force, at how many VMs, and what was refused.",
         flags: &[JSON],
         example: "geraniumgauge status port-inspection",
-        run: |call| Box::pin(status::run(call)),
+        run: |invocation| Box::pin(status::run(invocation)),
     },
     Verb {
         name: "burn",
         arguments: &["SERVICE"],
-        about: "Show how fast a service spends the budgets of its objectives.",
+        about: "Show how fast a service uses up the error budgets of its objectives.",
         flags: &[
             JSON,
             Flag {
                 name: "--output",
                 value: Some("FILE"),
                 default: "none",
-                about: "write a page (.html) or a plot (.svg) instead",
+                about: "write the report to FILE as a page (.html) or a plot (.svg) instead",
             },
         ],
         example: "geraniumgauge burn port-inspection --output burn.html",
-        run: |call| Box::pin(burn::run(call)),
+        run: |invocation| Box::pin(burn::run(invocation)),
     },
     Verb {
         name: "unsettled",
         arguments: &["SERVICE"],
-        about: "List registrations that were claimed and whose end isn't known.",
+        about: "List registrations that were claimed and whose outcome is unknown.",
         flags: &[JSON],
         example: "geraniumgauge unsettled label-printing --json",
-        run: |call| Box::pin(unsettled::run(call)),
+        run: |invocation| Box::pin(unsettled::run(invocation)),
     },
     Verb {
         name: "vms",
         arguments: &[],
-        about: "List the platform's VMs beside what they report.",
+        about: "Show the platform's list of VMs and what each VM reports.",
         flags: &[JSON],
         example: "geraniumgauge vms",
-        run: |call| Box::pin(vms::run(call)),
+        run: |invocation| Box::pin(vms::run(invocation)),
     },
 ];
 
-/// Reads the command line and runs its verb.
+/// Parses the command line and runs its verb.
 pub(crate) fn run(arguments: Vec<ffi::OsString>) -> Outcome {
     let mut input = pico_args::Arguments::from_vec(arguments);
-    let help = input.contains(["-h", "--help"]);
+    let help_requested = input.contains(["-h", "--help"]);
     if input.contains("--version") {
         println!("geraniumgauge {}", env!("CARGO_PKG_VERSION"));
         return Ok(());
     }
     let store = input
         .opt_value_from_str("--store")
-        .map_err(|error| usage(error, None))?;
-    let name = input.subcommand().map_err(|error| usage(error, None))?;
+        .map_err(|error| usage_error(error, None))?;
+    let name = input
+        .subcommand()
+        .map_err(|error| usage_error(error, None))?;
     let Some(name) = name else {
-        if help {
-            println!("{}", page());
+        if help_requested {
+            println!("{}", help());
             return Ok(());
         }
-        return Err(usage("give a verb", None));
+        return Err(usage_error(
+            "missing verb; expected one of the verbs below",
+            None,
+        ));
     };
     let verb = VERBS.iter().find(|verb| verb.name == name);
-    let verb = verb.ok_or_else(|| usage(format!("there is no verb {name:?}"), None))?;
-    if help {
-        println!("{}", verb.page());
+    let verb = verb.ok_or_else(|| {
+        usage_error(
+            format!("unknown verb {name:?}; expected one of the verbs below"),
+            None,
+        )
+    })?;
+    if help_requested {
+        println!("{}", verb.help());
         return Ok(());
     }
-    let call = read(verb, input, store)?;
+    let invocation = read(verb, input, store)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|error| failure::Failure::Refused(error.to_string()))?;
-    runtime.block_on((verb.run)(call))
+    let runtime = runtime.map_err(|error| failure::Failure::Other(error.to_string()))?;
+    runtime.block_on((verb.run)(invocation))
 }
 
 fn read(
     verb: &'static Verb,
     mut input: pico_args::Arguments,
     store: Option<String>,
-) -> Result<call::Call, failure::Failure> {
-    let wrong = |error: pico_args::Error| usage(error, Some(verb));
+) -> Result<invocation::Invocation, failure::Failure> {
+    let invalid_flag = |error: pico_args::Error| usage_error(error, Some(verb));
     let mut flags = Vec::new();
     for flag in verb.flags {
         let value: Option<String> = match flag.value {
             None => input.contains(flag.name).then(String::new),
-            Some(_) => input.opt_value_from_str(flag.name).map_err(wrong)?,
+            Some(_) => input.opt_value_from_str(flag.name).map_err(invalid_flag)?,
         };
         flags.extend(value.map(|value| (flag.name, value)));
     }
     let mut arguments = Vec::new();
     for argument in input.finish() {
-        let text = argument
-            .into_string()
-            .map_err(|text| usage(format!("{} is no UTF-8", text.display()), Some(verb)))?;
+        let text = argument.into_string().map_err(|text| {
+            usage_error(
+                format!("argument {} is not valid UTF-8", text.display()),
+                Some(verb),
+            )
+        })?;
         if text.starts_with('-') && text.len() > 1 {
-            return Err(usage(format!("there is no flag {text}"), Some(verb)));
+            return Err(usage_error(format!("unknown flag {text}"), Some(verb)));
         }
         arguments.push(text);
     }
     if arguments.len() != verb.arguments.len() {
-        let wanted = verb.arguments.join(" ");
-        let wanted = if wanted.is_empty() {
+        let expected = verb.arguments.join(" ");
+        let expected = if expected.is_empty() {
             "no arguments"
         } else {
-            &wanted
+            &expected
         };
-        let message = format!("give {wanted}; {} were given", arguments.len());
-        return Err(usage(message, Some(verb)));
+        let message = format!("expected {expected}; arguments given: {}", arguments.len());
+        return Err(usage_error(message, Some(verb)));
     }
-    Ok(call::Call {
+    Ok(invocation::Invocation {
         arguments,
         flags,
         store,
-        help: verb.page(),
+        help: verb.help(),
     })
 }
 
-fn usage(message: impl std::fmt::Display, verb: Option<&Verb>) -> failure::Failure {
+fn usage_error(message: impl std::fmt::Display, verb: Option<&Verb>) -> failure::Failure {
     failure::Failure::Usage {
         message: message.to_string(),
-        usage: verb.map_or_else(page, Verb::page),
+        usage: verb.map_or_else(help, Verb::help),
     }
 }
 
 impl Verb {
+    /// Returns the verb with its arguments and flags on one line.
     fn synopsis(&self) -> String {
         let mut words = vec!["geraniumgauge".to_owned(), self.name.to_owned()];
         words.extend(self.arguments.iter().map(|name| (*name).to_owned()));
@@ -223,7 +239,8 @@
         words.join(" ")
     }
 
-    fn page(&self) -> String {
+    /// Returns the help text of the verb.
+    fn help(&self) -> String {
         let mut page = format!("{}\n\n  {}\n", self.synopsis(), self.about);
         for flag in self.flags {
             let value = flag
@@ -244,18 +261,19 @@
     }
 }
 
-/// The help text of the whole command.
-fn page() -> String {
+/// Returns the help text of the whole command.
+fn help() -> String {
     let mut page = String::from("Operates geraniumgauge through the platform's object API.\n\n");
     for verb in VERBS {
         let (synopsis, about, example) = (verb.synopsis(), verb.about, verb.example);
         page.push_str(&format!("  {synopsis}\n      {about}\n      {example}\n"));
     }
     page.push_str(&format!(
-        "\n  --store URL\n      the platform's object API; default: the environment's {store}\n\n\
-         Exit status: 0 fine, 1 refused, conflict or store failure, 2 usage.\n\
-         `geraniumgauge VERB --help` tells more.",
-        store = call::STORE,
+        "\n  --store URL\n      base URL of the platform's object API; \
+         default: environment variable {store}\n\n\
+         Exit status: 0 success, 1 refusal, conflict or store failure, 2 usage error.\n\
+         See `geraniumgauge VERB --help` for details.",
+        store = invocation::STORE_VARIABLE,
     ));
     page
 }
--- a/crates/cli/src/vms.rs
+++ b/crates/cli/src/vms.rs
@@ -1,4 +1,4 @@
-//! `vms`.
+//! The verb `vms`.
 
 use std::collections;
 
@@ -8,47 +8,49 @@
 use geraniumgauge::store::Api as _;
 use geraniumgauge::time;
 
-use crate::call;
 use crate::failure;
+use crate::invocation;
 use crate::show;
 use crate::table;
 
-/// One VM as the platform lists it and as the keeper hears from it.
+/// What the platform and the keeper know of one VM.
 #[derive(Debug)]
 #[derive(serde::Serialize)]
-struct Line {
+struct Entry {
     vm: ids::Vm,
     data_centre: Option<ids::DataCentre>,
     address: Option<String>,
-    /// What the platform says.
+    /// State of the VM in the platform's list: `live`, `leaving` or `not listed`.
     platform: &'static str,
-    /// What the keeper hears; `None` where the VM isn't in its view.
+    /// Last report of the VM to the keeper; `None` if the VM isn't in the keeper's view.
     reports: Option<document::Report>,
-    /// It gathers the reports and writes the status objects.
+    /// Set for the keeper, which collects the reports and writes the status objects.
     keeper: bool,
 }
 
-/// Prints the platform's list beside what VMs report.
-pub(crate) async fn run(call: call::Call) -> Result<(), failure::Failure> {
-    let store = call.store()?;
+/// Prints the platform's list of VMs with the report of each VM.
+pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
+    let store = invocation.store()?;
     let listed = store.vms().await?;
-    let object = show::object(&store, document::REPORTED).await?;
-    // One that can't be read is written anew by the keeper within a minute.
+    let object = show::read_object(&store, document::REPORTED).await?;
+    // An object that can't be parsed is ignored: the keeper rewrites it within a
+    // minute.
     let reported = object.and_then(|object| serde_json::from_slice(&object.body).ok());
-    let lines = lines(listed, reported.as_ref());
-    if call.has("--json") {
-        println!("{}", table::json(&lines));
+    let entries = entries(listed, reported.as_ref());
+    if invocation.has("--json") {
+        println!("{}", table::json(&entries));
     } else {
         let now = time::Clock::start().wall();
-        println!("{}", text(&lines, reported.as_ref(), now));
+        println!("{}", text(&entries, reported.as_ref(), now));
     }
     Ok(())
 }
 
-fn lines(listed: Vec<store::Vm>, reported: Option<&document::Reported>) -> Vec<Line> {
-    let mut lines = collections::BTreeMap::new();
+/// Merges the platform's list with the reports, sorted by the name of the VM.
+fn entries(listed: Vec<store::Vm>, reported: Option<&document::Reported>) -> Vec<Entry> {
+    let mut entries = collections::BTreeMap::new();
     for vm in listed {
-        let line = Line {
+        let entry = Entry {
             vm: vm.vm.clone(),
             data_centre: Some(vm.data_centre),
             address: Some(vm.address.to_string()),
@@ -56,12 +58,12 @@
             reports: None,
             keeper: false,
         };
-        lines.insert(vm.vm, line);
+        entries.insert(vm.vm, entry);
     }
-    let seen = reported.into_iter().flat_map(|reported| &reported.vms);
-    for (vm, report) in seen {
-        // The platform's list lags: a VM may be seen that it doesn't show.
-        let line = lines.entry(vm.clone()).or_insert_with(|| Line {
+    let reports = reported.into_iter().flat_map(|reported| &reported.vms);
+    for (vm, report) in reports {
+        // The platform's list lags, so the keeper may see a VM that isn't on it.
+        let entry = entries.entry(vm.clone()).or_insert_with(|| Entry {
             vm: vm.clone(),
             data_centre: None,
             address: None,
@@ -69,27 +71,29 @@
             reports: None,
             keeper: false,
         });
-        line.reports = Some(report.clone());
-        line.keeper = reported.is_some_and(|reported| reported.keeper == *vm);
+        entry.reports = Some(report.clone());
+        entry.keeper = reported.is_some_and(|reported| reported.keeper == *vm);
     }
-    lines.into_values().collect()
+    entries.into_values().collect()
 }
 
-fn text(lines: &[Line], reported: Option<&document::Reported>, now: time::Wall) -> String {
-    let rows = lines.iter().map(|line| {
+/// Formats the list as a table.
+fn text(entries: &[Entry], reported: Option<&document::Reported>, now: time::Wall) -> String {
+    let rows = entries.iter().map(|entry| {
         vec![
-            line.vm.to_string(),
-            line.data_centre
+            entry.vm.to_string(),
+            entry
+                .data_centre
                 .as_ref()
                 .map(ToString::to_string)
                 .unwrap_or_default(),
-            line.address.clone().unwrap_or_default(),
-            line.platform.to_owned(),
-            told(line.reports.as_ref()),
-            if line.keeper { "keeper" } else { "" }.to_owned(),
+            entry.address.clone().unwrap_or_default(),
+            entry.platform.to_owned(),
+            describe_report(entry.reports.as_ref()),
+            if entry.keeper { "keeper" } else { "" }.to_owned(),
         ]
     });
-    let heads = [
+    let headers = [
         "vm",
         "data centre",
         "mesh",
@@ -97,22 +101,28 @@
         "documents",
         "",
     ];
-    let table = table::table(&heads, rows.collect());
-    let listed = lines.iter().filter(|line| line.address.is_some()).count();
+    let table = table::table(&headers, rows.collect());
+    let listed = entries
+        .iter()
+        .filter(|entry| entry.address.is_some())
+        .count();
     let Some(reported) = reported else {
         return format!("{table}\n{listed} listed; no VM has reported: none is ready yet");
     };
-    let (seen, age) = (reported.vms.len(), table::age(now.since(reported.written)));
+    let (seen, age) = (
+        reported.vms.len(),
+        table::duration(now.since(reported.written)),
+    );
     format!(
         "{table}\n{listed} listed, {seen} in the view of {}, {age} ago",
         reported.keeper
     )
 }
 
-/// What a VM reports, as a person reads it.
-fn told(report: Option<&document::Report>) -> String {
+/// Describes a VM's report for the table.
+fn describe_report(report: Option<&document::Report>) -> String {
     let Some(report) = report else {
-        return "the other VMs don't see it".to_owned();
+        return "not seen by other VMs".to_owned();
     };
     if !report.heard {
         return "no report".to_owned();
@@ -120,7 +130,7 @@
     let behind: Vec<_> = report.behind.iter().map(ToString::to_string).collect();
     match (behind.is_empty(), report.unconfirmed) {
         (true, false) => "all in force".to_owned(),
-        (true, true) => "all in force, as other VMs told".to_owned(),
+        (true, true) => "all in force, not yet confirmed by the store".to_owned(),
         (false, _) => format!("behind: {}", behind.join(", ")),
     }
 }
--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -76,7 +76,7 @@
     Field {
         path: "seeds",
         required: false,
-        doc: "Mesh addresses of VMs to join through while the platform's list of VMs is unavailable.",
+        doc: "Mesh addresses of VMs to join through while the platform's list is unavailable.",
         kind: jsonc::Kind::Texts {
             form: "ip:port",
             get: |settings| settings.seeds.iter().map(ToString::to_string).collect(),
@@ -121,7 +121,8 @@
     Field {
         path: "stop.balancer_wait_ms",
         required: false,
-        doc: "Time for which requests are still accepted after /readyz reports not ready, for the load balancer to notice.",
+        doc: "Time for which requests are still accepted after /readyz reports not ready, for the \
+              load balancer to notice.",
         kind: jsonc::Kind::Whole {
             min: 0,
             max: 60_000,
@@ -193,7 +194,7 @@
     Field {
         path: "limits.requests",
         required: false,
-        doc: "Maximum number of concurrent requests across all services; more are refused with 429.",
+        doc: "Maximum number of concurrent requests of all services; more are refused with 429.",
         kind: jsonc::Kind::Whole {
             min: 1,
             max: 100_000,
@@ -207,7 +208,8 @@
     Field {
         path: "policy",
         required: false,
-        doc: "How the calls of a search are placed and retried; no-hedge and direct are baselines for measurements.",
+        doc: "How the calls of a search are placed and retried; no-hedge and direct are baselines \
+              for measurements.",
         kind: jsonc::Kind::Text {
             form: "one of full, no-hedge, direct",
             get: |settings| Some(settings.policy.to_string()),
