--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -126,7 +126,7 @@
 
 fn differences(edit: &Edit, stored: &store::Object) -> String {
     let text = String::from_utf8_lossy(&stored.body);
-    let Ok(stored) = document::parse("stored", &text) else {
+    let Ok(stored) = document::parse("present", &text) else {
         return "  the stored document has findings: see `geraniumgauge status`".to_owned();
     };
     let fields = document::differences(&stored, &edit.document);
@@ -181,7 +181,7 @@
     Ok(())
 }
 
-/// How far a written version is on its way to being in force.
+/// Progress of a written version towards being in force.
 #[derive(Debug)]
 enum Progress {
     /// No keeper has checked the version yet.
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -20,7 +20,7 @@
     Findings {
         /// All findings in the text.
         findings: Vec<finding::Finding>,
-        /// What the findings mean for the document in force, and what to do.
+        /// Consequence for the document in force, and what to do about the findings.
         consequence: &'static str,
     },
     /// Any other failure, such as a conflict, a missing status or an unreadable file.
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -17,7 +17,7 @@
     let text = read_object(&store, &document::text_key(&service)).await?;
     let accepted = read_accepted(&store, &service).await?;
     match (text, accepted) {
-        (None, None) => Err(status::missing(&store, &service).await),
+        (None, None) => Err(status::missing_status(&store, &service).await),
         (Some(text), accepted) => {
             print!("{}", annotate(&service, &text, accepted.as_ref()));
             Ok(())
@@ -70,7 +70,7 @@
             "// refused; generation {} is in force: see `geraniumgauge status {service}`\n",
             accepted.generation
         ),
-        (Ok(document), Some(accepted)) => compare(accepted, document),
+        (Ok(document), Some(accepted)) => acceptance_comment(accepted, document),
     };
     let header = format!("// documents/{service}, version {version}\n{state}");
     format!("{}{}\n", header, without_header(&body).trim_end())
@@ -78,7 +78,7 @@
 
 /// Returns a comment that says whether `text` is in force, and lists the fields in
 /// which it differs from the accepted document.
-fn compare(accepted: &keeper::Accepted, text: &document::Document) -> String {
+fn acceptance_comment(accepted: &keeper::Accepted, text: &document::Document) -> String {
     let generation = accepted.generation;
     let differences = document::differences(&accepted.document, text);
     if differences.is_empty() {
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -23,7 +23,7 @@
     let store = invocation.store()?;
     let status = match read(&store, &service).await? {
         Some(status) => status,
-        None => return Err(missing(&store, &service).await),
+        None => return Err(missing_status(&store, &service).await),
     };
     let now = time::Clock::start().wall();
     let marks = marks::read(&store, &service, now).await?;
@@ -72,14 +72,17 @@
 ) -> Result<(), failure::Failure> {
     match store.get(&document::accepted_key(service)).await {
         Ok(_) => Ok(()),
-        Err(store::Error::Missing { .. }) => Err(missing(store, service).await),
+        Err(store::Error::Missing { .. }) => Err(missing_status(store, service).await),
         Err(error) => Err(error.into()),
     }
 }
 
 /// Returns the failure for a service without a status; the message lists the
 /// services that have one.
-pub(crate) async fn missing(store: &store::Client, service: &ids::Service) -> failure::Failure {
+pub(crate) async fn missing_status(
+    store: &store::Client,
+    service: &ids::Service,
+) -> failure::Failure {
     let listing = match store.list(document::STATUS).await {
         Ok(listing) => listing,
         Err(error) => return error.into(),
@@ -110,7 +113,7 @@
         "in force at {} of {} VMs{}",
         status.in_force,
         status.vms,
-        behind(status)
+        behind_suffix(status)
     ));
     if !status.unconfirmed.is_empty() {
         let names: Vec<_> = status.unconfirmed.iter().map(ToString::to_string).collect();
@@ -148,7 +151,7 @@
 
 /// Returns a suffix that names the VMs that don't apply what is in force; empty if
 /// there are none.
-fn behind(status: &document::Status) -> String {
+fn behind_suffix(status: &document::Status) -> String {
     if status.behind.is_empty() {
         return String::new();
     }
--- a/crates/cli/src/vms.rs
+++ b/crates/cli/src/vms.rs
@@ -13,7 +13,7 @@
 use crate::show;
 use crate::table;
 
-/// What the platform and the keeper know of one VM.
+/// One VM in the output, combined from the platform's list and the keeper's reports.
 #[derive(Debug)]
 #[derive(serde::Serialize)]
 struct Entry {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -42,7 +42,7 @@
     pub(crate) stop: Stop,
     /// Limits above which input is refused.
     pub(crate) limits: Limits,
-    /// How the calls of a search are placed and retried.
+    /// Policy by which the calls of a search are placed and retried.
     pub(crate) policy: query::Policy,
 }
 
