--- a/crates/geraniumgauge/src/ledger/book.rs
+++ b/crates/geraniumgauge/src/ledger/admission.rs
@@ -1,17 +1,17 @@
-//! What the ledger asks about requests that crash upstreams.
+//! Admission of registrations that may crash upstreams.
 
 use crate::ids;
 use crate::quarantine;
 use crate::query;
 
-/// Says whether a registration may run.
+/// Decides whether a registration may run.
 #[async_trait::async_trait]
-pub trait Book: Send + Sync {
-    /// The right to run a suspect, or `None` where the registration may run
-    /// freely. Asked before the claim.
+pub trait Admission: Send + Sync {
+    /// Returns the isolated trial in which a suspect may run, or `None` if the
+    /// registration needs none. Called before the claim.
     ///
     /// # Errors
-    /// Where it may not run now, or not at all; nothing has run.
+    /// If the registration may not run now, or not at all; nothing has run.
     async fn admit(
         &self,
         service: &ids::Service,
@@ -20,7 +20,7 @@
 }
 
 #[async_trait::async_trait]
-impl Book for quarantine::Service {
+impl Admission for quarantine::Service {
     async fn admit(
         &self,
         service: &ids::Service,
@@ -33,7 +33,7 @@
                 Ok(trial) => Ok(Some(trial)),
                 Err(quarantine::Denied::Quarantined) => Err(quarantined()),
                 Err(quarantine::Denied::Later { after }) => {
-                    let text = "the record may crash upstreams and has to wait for a trial";
+                    let text = "the record may crash upstreams and must wait for an isolated trial";
                     let refusal = query::Refusal::not_run(query::Code::Unavailable, text);
                     Err(refusal.retry_after(after))
                 }
@@ -43,6 +43,7 @@
 }
 
 fn quarantined() -> query::Refusal {
-    let text = "the record is held to crash upstreams; see its mark before sending it again";
+    let text =
+        "the record is quarantined for crashing upstreams; see its mark before sending it again";
     query::Refusal::not_run(query::Code::Quarantined, text)
 }
--- a/crates/geraniumgauge/src/ledger/bucket.rs
+++ b/crates/geraniumgauge/src/ledger/bucket.rs
@@ -1,4 +1,4 @@
-//! Hands changes to the task of one bucket.
+//! Handle for submitting changes to the task of one bucket.
 
 use std::sync;
 use std::time;
@@ -10,59 +10,63 @@
 use crate::ids;
 use crate::ledger::change;
 use crate::ledger::head;
-use crate::ledger::meter;
+use crate::ledger::instruments;
 use crate::ledger::worker;
 use crate::store;
 use crate::time as clock;
 use crate::timer;
 
-/// What a bucket's task works with.
+/// Everything that a bucket's task depends on.
 #[derive(Clone)]
-pub(super) struct Parts {
+pub(super) struct Context {
     pub(super) vm: ids::Vm,
     pub(super) service: ids::Service,
     pub(super) slot: u64,
     pub(super) store: sync::Arc<dyn store::Api>,
     pub(super) clock: clock::Clock,
     pub(super) timer: timer::Service,
-    pub(super) meter: meter::Meter,
+    pub(super) instruments: instruments::Instruments,
     pub(super) catalog: document::Catalog,
 }
 
-/// What a bucket's task is asked for.
-pub(super) enum Ask {
+/// A command to a bucket's task.
+pub(super) enum Command {
+    /// Applies a change, and sends its verdict.
     Submit(
         change::Ticket,
         change::Change,
         oneshot::Sender<change::Verdict>,
     ),
+    /// Abandons a claim whose submitter no longer waits.
     Abandon(change::Ticket, ids::Key, head::Entry),
+    /// Notifies the sender once no change is queued.
     Drained(oneshot::Sender<()>),
 }
 
-/// Hands changes to one bucket's task; cheap to clone.
+/// Submits changes to one bucket's task; cheap to clone.
 #[derive(Clone)]
 pub(super) struct Bucket {
-    asks: mpsc::UnboundedSender<Ask>,
+    commands: mpsc::UnboundedSender<Command>,
     tickets: sync::Arc<sync::atomic::AtomicU64>,
     timer: timer::Service,
 }
 
 impl Bucket {
     /// Starts the bucket's task.
-    pub(super) fn start(parts: Parts) -> Self {
-        let (asks, waiting) = mpsc::unbounded_channel();
-        let timer = parts.timer.clone();
-        tokio::spawn(worker::Worker::new(parts, waiting).run());
+    pub(super) fn start(context: Context) -> Self {
+        let (commands, queued) = mpsc::unbounded_channel();
+        let timer = context.timer.clone();
+        tokio::spawn(worker::Worker::new(context, queued).run());
         Self {
-            asks,
+            commands,
             tickets: sync::Arc::default(),
             timer,
         }
     }
 
-    /// Creates a claim. Where it isn't granted within `within`, it is given up:
-    /// recorded as not run if it came to be, and never sent by this caller.
+    /// Creates a claim. If no verdict arrives within `within`, the claim is
+    /// abandoned: the caller must not send the record, and a claim that was created
+    /// nevertheless is recorded as not run.
     pub(super) async fn claim(
         &self,
         key: &ids::Key,
@@ -75,16 +79,16 @@
             biased;
             Ok(verdict) = verdict => verdict,
             _ = self.timer.sleep(within) => {
-                let ask = Ask::Abandon(ticket, key.clone(), entry.clone());
-                let _ = self.asks.send(ask);
-                let reason = "the claim was not recorded in time".to_owned();
+                let command = Command::Abandon(ticket, key.clone(), entry.clone());
+                let _ = self.commands.send(command);
+                let reason = "the claim was not stored in time".to_owned();
                 change::Verdict::Failed(reason)
             }
         }
     }
 
-    /// Records where a claim stands. Tried until it succeeds, whether the
-    /// receiver is waited for or not.
+    /// Records the state of a claim. Retried until it succeeds, even if the receiver
+    /// is dropped.
     pub(super) fn settle(
         &self,
         key: &ids::Key,
@@ -93,10 +97,10 @@
         self.submit(change::Change::Settle(key.clone(), entry)).1
     }
 
-    /// What is recorded of a key.
-    pub(super) async fn look(&self, key: &ids::Key, within: time::Duration) -> change::Verdict {
-        let (_, verdict) = self.submit(change::Change::Look(key.clone()));
-        let late = || change::Verdict::Failed("the store took too long".to_owned());
+    /// Looks up what is recorded for a key.
+    pub(super) async fn look_up(&self, key: &ids::Key, within: time::Duration) -> change::Verdict {
+        let (_, verdict) = self.submit(change::Change::Lookup(key.clone()));
+        let late = || change::Verdict::Failed("the store did not reply in time".to_owned());
         tokio::select! {
             biased;
             verdict = verdict => verdict.unwrap_or_else(|_| late()),
@@ -104,10 +108,10 @@
         }
     }
 
-    /// Waits until nothing waits for the store.
+    /// Waits until no change is queued.
     pub(super) async fn drained(&self) {
         let (done, wait) = oneshot::channel();
-        if self.asks.send(Ask::Drained(done)).is_ok() {
+        if self.commands.send(Command::Drained(done)).is_ok() {
             let _ = wait.await;
         }
     }
@@ -118,8 +122,8 @@
     ) -> (change::Ticket, oneshot::Receiver<change::Verdict>) {
         let number = self.tickets.fetch_add(1, sync::atomic::Ordering::Relaxed);
         let ticket = change::Ticket(number);
-        let (tell, verdict) = oneshot::channel();
-        let _ = self.asks.send(Ask::Submit(ticket, change, tell));
+        let (sender, verdict) = oneshot::channel();
+        let _ = self.commands.send(Command::Submit(ticket, change, sender));
         (ticket, verdict)
     }
 }
--- a/crates/geraniumgauge/src/ledger/change.rs
+++ b/crates/geraniumgauge/src/ledger/change.rs
@@ -1,4 +1,4 @@
-//! Changes to a bucket, and what each does to its head.
+//! Changes to a bucket, and how each is applied to its head.
 
 use std::collections;
 
@@ -7,84 +7,85 @@
 use crate::ledger::key;
 use crate::time;
 
-/// About what an entry without its result takes, in bytes.
-const ENTRY: usize = 512;
+/// Estimated size of an entry without its result, in bytes.
+const ENTRY_BYTES: usize = 512;
 
-/// Names one change that was submitted.
+/// Identifies one submitted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Ticket(pub(super) u64);
 
-/// A change to the bucket, or a question.
+/// A change to the bucket, or a lookup in it.
 #[derive(Debug, Clone)]
 pub(super) enum Change {
-    /// Create a claim.
+    /// Creates a claim.
     Claim(ids::Key, head::Entry),
-    /// Replace a claim's state, where the same token still holds it.
+    /// Replaces the state of a claim if it is still held by the same token.
     Settle(ids::Key, head::Entry),
-    /// What is recorded of a key.
-    Look(ids::Key),
-    /// Entries that were written to a page leave the head.
-    Move(head::Page, Vec<(ids::Key, head::Token)>),
-    /// Timed keys up to this time are forgotten.
+    /// Looks up what is recorded for a key.
+    Lookup(ids::Key),
+    /// Removes entries from the head that were written to a page.
+    PageOut(head::Page, Vec<(ids::Key, head::Token)>),
+    /// Deletes timed keys up to this time.
     Expire(time::Wall),
-    /// Pages are replaced by one with the hashes of their keys.
-    Bury(Vec<String>, head::Page),
+    /// Replaces pages by one page with the hashes of their keys.
+    Compact(Vec<String>, head::Page),
 }
 
 impl Change {
-    /// About what it adds to a head, in bytes.
+    /// Estimates how many bytes the change adds to a head.
     pub(super) fn size(&self) -> usize {
         match self {
             Self::Claim(_, entry) | Self::Settle(_, entry) => {
                 let result = entry.result.as_ref();
-                ENTRY + result.map_or(0, |result| result.get().len())
+                ENTRY_BYTES + result.map_or(0, |result| result.get().len())
             }
             _ => 0,
         }
     }
 }
 
-/// What came of a change.
+/// The result of a change.
 #[derive(Debug, Clone)]
 pub(super) enum Verdict {
-    /// The claim is in the store and its submitter may send.
+    /// The claim is in the store, and its submitter may send the record.
     Granted,
     /// The key has a claim already.
     Taken(head::Entry),
-    /// The key stands for another body.
-    Different,
-    /// The key is too old to tell.
+    /// The key was claimed with another body.
+    BodyMismatch,
+    /// The key is older than the window, so whether it ran is unknown.
     Expired,
     /// The key is in this page.
     Paged(head::Page),
-    /// The bucket takes no more.
+    /// The bucket accepts no more claims.
     Full,
-    /// Nothing is recorded of the key.
-    Unseen,
-    /// The change is in the store.
+    /// Nothing is recorded for the key.
+    Unrecorded,
+    /// The change is in the store, or no longer applies.
     Settled,
-    /// The pages that are no longer listed.
+    /// The change is in the store, and these pages are no longer listed.
     Dropped(Vec<head::Page>),
-    /// The store can't be had; the change has had no effect.
+    /// The store is unavailable; the change had no effect.
     Failed(String),
 }
 
+/// The effect of a change on the head.
 pub(super) enum Applied {
     /// The head has changed.
     Changed(Verdict),
-    /// The head holds it already, or can't take it.
-    Same(Verdict),
-    /// What is known of the head may be out of date.
+    /// The head already contains the change, or doesn't accept it.
+    Unchanged(Verdict),
+    /// The head must be read again, since the cached one may be stale.
     Refresh,
-    /// This page must be read first.
+    /// This page must be read before the change can be applied.
     Load(head::Page),
 }
 
-/// Hashes of the keys in each page that was read.
+/// Hashes of the keys in each page that was read, by the page's store key.
 pub(super) type Indexes = collections::HashMap<String, collections::HashSet<u128>>;
 
-/// Applies one change. `fresh` says that `head` was just read or written, and
-/// `size` is its size in bytes.
+/// Applies one change to `head`, which is `size` bytes long. `fresh` is set if
+/// `head` was just read or written, so that it needs no further read.
 pub(super) fn apply(
     head: &mut head::Head,
     change: &Change,
@@ -95,10 +96,10 @@
     match change {
         Change::Claim(key, entry) => claim(head, key, entry, fresh, size, indexes),
         Change::Settle(key, entry) => settle(head, key, entry),
-        Change::Look(key) => look(head, key, fresh, indexes),
-        Change::Move(page, moved) => move_out(head, page, moved),
+        Change::Lookup(key) => look_up(head, key, fresh, indexes),
+        Change::PageOut(page, moved) => page_out(head, page, moved),
         Change::Expire(cutoff) => Applied::Changed(Verdict::Dropped(head.expire(*cutoff))),
-        Change::Bury(old, page) => bury(head, old, page),
+        Change::Compact(old, page) => compact(head, old, page),
     }
 }
 
@@ -112,31 +113,32 @@
 ) -> Applied {
     if let Some(present) = head.entries.get(key) {
         if present.token == entry.token && present.state == head::State::Claimed {
-            return Applied::Same(Verdict::Granted);
+            return Applied::Unchanged(Verdict::Granted);
         }
         if present.fingerprint != entry.fingerprint {
-            return Applied::Same(Verdict::Different);
+            return Applied::Unchanged(Verdict::BodyMismatch);
         }
         match present.state {
             head::State::NotRun => {}
             head::State::Claimed if !fresh => return Applied::Refresh,
-            _ => return Applied::Same(Verdict::Taken(present.clone())),
+            _ => return Applied::Unchanged(Verdict::Taken(present.clone())),
         }
-    } else if let Some(found) = older(head, key, indexes) {
+    } else if let Some(found) = find_expired_or_paged(head, key, indexes) {
         return found;
     }
-    if size > head::FULL {
-        return Applied::Same(Verdict::Full);
+    if size > head::MAX_HEAD_BYTES {
+        return Applied::Unchanged(Verdict::Full);
     }
     head.entries.insert(key.clone(), entry.clone());
     Applied::Changed(Verdict::Granted)
 }
 
-/// Looks beyond the head's own entries. `None` where the key is nowhere.
-fn older(head: &head::Head, key: &ids::Key, indexes: &Indexes) -> Option<Applied> {
+/// Checks a key that isn't among the head's entries against the expiry floor and
+/// the pages. Returns `None` if nothing is recorded for it.
+fn find_expired_or_paged(head: &head::Head, key: &ids::Key, indexes: &Indexes) -> Option<Applied> {
     let timed = key::time(key);
     if timed.is_some_and(|time| time <= head.floor) {
-        return Some(Applied::Same(Verdict::Expired));
+        return Some(Applied::Unchanged(Verdict::Expired));
     }
     let hash = key::hash(key);
     for page in head.pages.iter().filter(|page| page.may_hold(timed)) {
@@ -144,20 +146,20 @@
             return Some(Applied::Load(page.clone()));
         };
         if index.contains(&hash) {
-            return Some(Applied::Same(Verdict::Paged(page.clone())));
+            return Some(Applied::Unchanged(Verdict::Paged(page.clone())));
         }
     }
     None
 }
 
-fn look(head: &head::Head, key: &ids::Key, fresh: bool, indexes: &Indexes) -> Applied {
+fn look_up(head: &head::Head, key: &ids::Key, fresh: bool, indexes: &Indexes) -> Applied {
     if !fresh {
         return Applied::Refresh;
     }
     if let Some(present) = head.entries.get(key) {
-        return Applied::Same(Verdict::Taken(present.clone()));
+        return Applied::Unchanged(Verdict::Taken(present.clone()));
     }
-    older(head, key, indexes).unwrap_or(Applied::Same(Verdict::Unseen))
+    find_expired_or_paged(head, key, indexes).unwrap_or(Applied::Unchanged(Verdict::Unrecorded))
 }
 
 fn settle(head: &mut head::Head, key: &ids::Key, entry: &head::Entry) -> Applied {
@@ -168,10 +170,10 @@
         *present = entry.clone();
         return Applied::Changed(Verdict::Settled);
     }
-    Applied::Same(Verdict::Settled)
+    Applied::Unchanged(Verdict::Settled)
 }
 
-fn move_out(
+fn page_out(
     head: &mut head::Head,
     page: &head::Page,
     moved: &[(ids::Key, head::Token)],
@@ -186,7 +188,7 @@
         }
     }
     if head.entries.len() == before {
-        return Applied::Same(Verdict::Settled);
+        return Applied::Unchanged(Verdict::Settled);
     }
     if page.count > 0 {
         head.pages.push(page.clone());
@@ -194,11 +196,11 @@
     Applied::Changed(Verdict::Settled)
 }
 
-fn bury(head: &mut head::Head, old: &[String], page: &head::Page) -> Applied {
+fn compact(head: &mut head::Head, old: &[String], page: &head::Page) -> Applied {
     let listed = |id: &String| head.pages.iter().any(|page| page.id == *id);
     if !old.iter().all(listed) {
-        // Another VM has done it.
-        return Applied::Same(Verdict::Dropped(Vec::new()));
+        // Another VM has already compacted them.
+        return Applied::Unchanged(Verdict::Dropped(Vec::new()));
     }
     let gone = |page: &mut head::Page| old.contains(&page.id);
     let dropped = head.pages.extract_if(.., gone).collect();
--- a/crates/geraniumgauge/src/ledger/claim.rs
+++ b/crates/geraniumgauge/src/ledger/claim.rs
@@ -1,4 +1,5 @@
-//! The claimant's part of a registration: claim, send, record, tell.
+//! The claimant of a registration: creates the claim, sends the record, stores
+//! its outcome and replies to the coordinator.
 
 use std::time;
 
@@ -6,7 +7,7 @@
 use crate::home;
 use crate::ids;
 use crate::ledger::change;
-use crate::ledger::entry;
+use crate::ledger::coordinator;
 use crate::ledger::head;
 use crate::ledger::key;
 use crate::ledger::pages;
@@ -18,20 +19,21 @@
 use crate::query;
 use crate::time as clock;
 
-/// Percent of the time left that the claim may take; the rest is for the work.
-const CLAIM_PART: u32 = 70;
-/// How long the caller waits for the outcome to be recorded before it is told.
-const RECORD: time::Duration = time::Duration::from_millis(100);
-/// How long after the deadline a home may still tell how a record ended.
-const LATE: time::Duration = time::Duration::from_secs(5);
-/// Longest look at the record of a key that may not run now.
-const LOOK: time::Duration = time::Duration::from_millis(300);
-/// When to come back after a refusal for the store's sake.
-const STORE_AGAIN: time::Duration = time::Duration::from_secs(1);
-/// When to ask for the end of a registration that is being run.
-const RUNNING_AGAIN: time::Duration = time::Duration::from_millis(500);
+/// Percent of the time left that creating the claim may take; the rest is left
+/// for running the record.
+const CLAIM_TIME_PERCENT: u32 = 70;
+/// Maximum time that the reply is delayed until the outcome is stored.
+const MAX_RECORDING_DELAY: time::Duration = time::Duration::from_millis(100);
+/// Time after the deadline in which a home's reply is still accepted.
+const LATE_REPLY_WINDOW: time::Duration = time::Duration::from_secs(5);
+/// Timeout for looking up a key whose record may not run now.
+const LOOKUP_TIMEOUT: time::Duration = time::Duration::from_millis(300);
+/// Delay suggested to the caller when the store is unavailable.
+const STORE_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
+/// Delay suggested to the caller when the key's registration is still running.
+const RUNNING_RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// One registration at its claimant.
+/// One registration at the claimant.
 struct Job {
     service: ids::Service,
     key: ids::Key,
@@ -42,50 +44,56 @@
     trial: Option<quarantine::Trial>,
 }
 
-/// Why no claim is made.
-enum Unfit {
+/// The reason why no claim is created.
+enum Unclaimed {
+    /// The registration is refused.
     Refused(query::Refusal),
     /// The key has a claim already.
     Recorded(head::Entry),
 }
 
-impl From<query::Refusal> for Unfit {
+impl From<query::Refusal> for Unclaimed {
     fn from(refusal: query::Refusal) -> Self {
         Self::Refused(refusal)
     }
 }
 
 impl service::Service {
-    /// Claims and runs a registration of a bucket, here or for another entry.
-    pub(super) async fn claim_for(&self, register: message::Register) -> entry::Told {
+    /// Claims and runs a registration, whether this VM or another one coordinates it.
+    pub(super) async fn claim_for(&self, register: message::Register) -> coordinator::Outcome {
         let left = time::Duration::from_micros(register.time_left_us);
-        let job = match self.job(register, left).await {
+        let job = match self.prepare(register, left).await {
             Ok(job) => job,
-            Err(Unfit::Refused(refusal)) => return Err(refusal),
-            Err(Unfit::Recorded(entry)) => return self.repeat(entry),
+            Err(Unclaimed::Refused(refusal)) => return Err(refusal),
+            Err(Unclaimed::Recorded(entry)) => return self.repeat(entry),
         };
         let bucket = self.bucket(&job.service, key::slot(&job.key));
-        let within = left * CLAIM_PART / 100;
+        let within = left * CLAIM_TIME_PERCENT / 100;
         match bucket.claim(&job.key, &job.entry, within).await {
-            change::Verdict::Granted => self.granted(job).await,
+            change::Verdict::Granted => self.run_claimed(job).await,
             verdict => self.not_granted(&job.key, verdict).await,
         }
     }
 
-    /// Everything that can be refused before the claim.
-    async fn job(&self, register: message::Register, left: time::Duration) -> Result<Job, Unfit> {
-        let service: ids::Service = register.service.parse().map_err(unreadable)?;
-        let key: ids::Key = register.key.parse().map_err(unreadable)?;
-        let request: ids::Request = register.request.parse().map_err(unreadable)?;
+    /// Prepares the claim of a registration, and makes all checks that can refuse it
+    /// before the claim.
+    async fn prepare(
+        &self,
+        register: message::Register,
+        left: time::Duration,
+    ) -> Result<Job, Unclaimed> {
+        let service: ids::Service = register.service.parse().map_err(invalid)?;
+        let key: ids::Key = register.key.parse().map_err(invalid)?;
+        let request: ids::Request = register.request.parse().map_err(invalid)?;
         let deadline = self.inner.clock.now() + left;
         let in_force = self.in_force(&service)?;
         self.check_age(&key, &in_force)?;
         let plan = plan::Plan::new(&service, &key, &register.body, &in_force)?;
-        let upstream = plan.replicas.first().ok_or_else(bare)?.clone();
-        let admitted = self.inner.book.admit(&service, plan.fingerprint).await;
+        let upstream = plan.replicas.first().ok_or_else(no_replica)?.clone();
+        let admitted = self.inner.admission.admit(&service, plan.fingerprint).await;
         let trial = match admitted {
             Ok(trial) => trial,
-            Err(refusal) => return Err(self.recorded(&service, &key, refusal).await),
+            Err(refusal) => return Err(self.find_claim(&service, &key, refusal).await),
         };
         self.earn(&service, in_force.document.budgets.retry);
         let config = &self.inner.config;
@@ -110,26 +118,27 @@
         })
     }
 
-    /// A record that crashed its upstream may have run under this key. Refused
-    /// as not run, its caller would register it under a new key; so a claim that
-    /// there is goes first.
-    async fn recorded(
+    /// Looks up an existing claim of a key whose record was not admitted. The record
+    /// may have run under this key before it crashed its upstream; if the caller
+    /// were answered that it did not run, it would register it under a new key.
+    async fn find_claim(
         &self,
         service: &ids::Service,
         key: &ids::Key,
         refusal: query::Refusal,
-    ) -> Unfit {
+    ) -> Unclaimed {
         let bucket = self.bucket(service, key::slot(key));
-        match bucket.look(key, LOOK).await {
+        match bucket.look_up(key, LOOKUP_TIMEOUT).await {
             change::Verdict::Taken(entry) if entry.state != head::State::NotRun => {
-                Unfit::Recorded(entry)
+                Unclaimed::Recorded(entry)
             }
-            _ => Unfit::Refused(refusal),
+            _ => Unclaimed::Refused(refusal),
         }
     }
 
-    /// Refuses timed keys that are out of their window. The bucket's own floor
-    /// is what keeps them from running again; this only tells the caller early.
+    /// Refuses timed keys that are in the future or outside the window. For the latter
+    /// this is only an early check: the floor of the bucket's head prevents them from
+    /// running again.
     fn check_age(
         &self,
         key: &ids::Key,
@@ -139,8 +148,8 @@
             return Ok(());
         };
         let wall = self.inner.clock.wall();
-        if time > wall + pages::SKEW {
-            let text = "the key's time lies in the future; check the clock that made it";
+        if time > wall + pages::MAX_CLOCK_SKEW {
+            let text = "the key's time is in the future; check the clock that generated it";
             return Err(query::Refusal::not_run(query::Code::BadRequest, text));
         }
         if wall.since(time) > in_force.document.ledger_window {
@@ -149,86 +158,89 @@
         Ok(())
     }
 
-    async fn not_granted(&self, key: &ids::Key, verdict: change::Verdict) -> entry::Told {
+    async fn not_granted(&self, key: &ids::Key, verdict: change::Verdict) -> coordinator::Outcome {
         match verdict {
             change::Verdict::Taken(entry) => self.repeat(entry),
             change::Verdict::Paged(page) => match self.entry(key, &page).await {
                 Ok(Some(entry)) => self.repeat(entry),
-                Ok(None) => Err(forgotten()),
+                Ok(None) => Err(result_deleted()),
                 Err(reason) => Err(query::Refusal::unknown(query::Code::Unavailable, reason)),
             },
-            change::Verdict::Different => {
-                let text = "the key stands for another record; use a new key for a new record";
+            change::Verdict::BodyMismatch => {
+                let text = "the key was used for another record; use a new key for a new record";
                 Err(query::Refusal::not_run(query::Code::Conflict, text))
             }
             change::Verdict::Expired => Err(expired()),
             change::Verdict::Full => {
-                let text = "too many claims of the service have no known end; see `unsettled`";
+                let text =
+                    "too many claims of the service have an unknown outcome; see `unsettled`";
                 Err(query::Refusal::not_run(query::Code::Unavailable, text))
             }
             change::Verdict::Failed(reason) => {
                 let refusal = query::Refusal::not_run(query::Code::Unavailable, reason);
-                Err(refusal.retry_after(STORE_AGAIN))
+                Err(refusal.retry_after(STORE_RETRY_DELAY))
             }
             _ => Err(query::Refusal::not_run(
                 query::Code::Internal,
-                "the claim came to no end",
+                "the bucket returned an unexpected verdict on the claim",
             )),
         }
     }
 
-    /// Answers from the record.
-    fn repeat(&self, entry: head::Entry) -> entry::Told {
+    /// Answers a repeated registration from the recorded entry.
+    fn repeat(&self, entry: head::Entry) -> coordinator::Outcome {
         match (entry.state, entry.result) {
             (head::State::Done, Some(result)) => {
-                self.inner.meter.repeat("done");
+                self.inner.instruments.repeat("done");
                 Ok(result)
             }
-            (head::State::Done, None) => Err(forgotten()),
+            (head::State::Done, None) => Err(result_deleted()),
             (head::State::Claimed, _) => {
-                self.inner.meter.repeat("claimed");
-                let text = "the key is being run, or its end isn't known; read the key back";
+                self.inner.instruments.repeat("claimed");
+                let text =
+                    "the registration is running or its outcome is unknown; read the key's state";
                 let refusal = query::Refusal::unknown(query::Code::Conflict, text);
-                Err(refusal.retry_after(RUNNING_AGAIN))
+                Err(refusal.retry_after(RUNNING_RETRY_DELAY))
             }
             (head::State::NotRun, _) => {
-                self.inner.meter.repeat("not_run");
-                let text = "the claim was given up before it was sent";
+                self.inner.instruments.repeat("not_run");
+                let text = "the claim was abandoned before the record was sent";
                 Err(query::Refusal::not_run(query::Code::Unavailable, text))
             }
         }
     }
 
-    async fn granted(&self, job: Job) -> entry::Told {
-        self.inner.meter.claim();
-        let (tell, told) = tokio::sync::oneshot::channel();
+    /// Runs a claimed record in its own task, and waits for it until the deadline.
+    async fn run_claimed(&self, job: Job) -> coordinator::Outcome {
+        self.inner.instruments.claim();
+        let (sender, outcome) = tokio::sync::oneshot::channel();
         let left = self.inner.clock.now().until(job.deadline);
         let this = self.clone();
         let running = self.run();
         tokio::spawn(async move {
             let _running = running;
-            this.send(job, tell).await;
+            this.send(job, sender).await;
         });
         tokio::select! {
             biased;
-            Ok(told) = told => told,
+            Ok(outcome) = outcome => outcome,
             _ = self.inner.timer.sleep(left) => {
-                self.inner.meter.unsettled();
-                let text = "the deadline passed while it ran; read the key back";
+                self.inner.instruments.unsettled();
+                let text = "the deadline passed while the record ran; read the key's state";
                 Err(query::Refusal::unknown(query::Code::Deadline, text))
             }
         }
     }
 
-    /// Sends the record under its claim, records the outcome, then tells.
-    async fn send(&self, mut job: Job, tell: tokio::sync::oneshot::Sender<entry::Told>) {
+    /// Sends the record under its claim, stores the outcome, then reports it.
+    async fn send(&self, mut job: Job, sender: tokio::sync::oneshot::Sender<coordinator::Outcome>) {
         if let Some(trial) = &mut job.trial {
             trial.begin();
         }
-        let (sending, end) = self.attempts(&job).await;
-        let upstream = sending.upstream().clone();
+        let (delivery, end) = self.deliver(&job).await;
+        let upstream = delivery.upstream().clone();
         if let Some(trial) = job.trial.take() {
-            trial.finish(sending.trial_end(&end), Some(&upstream));
+            trial.finish(delivery.trial_end(&end), Some(&upstream));
         }
         let moved = job.entry.upstream != upstream;
         let entry = head::Entry {
@@ -236,10 +248,10 @@
             ..job.entry
         };
         let bucket = self.bucket(&job.service, key::slot(&job.key));
-        let (entry, told) = match end {
+        let (entry, outcome) = match end {
             send::End::Done(body) => {
                 let result = result(&body);
-                let kept = (result.get().len() <= head::MAX_RESULT).then(|| result.clone());
+                let kept = (result.get().len() <= head::MAX_RESULT_BYTES).then(|| result.clone());
                 let entry = head::Entry {
                     state: head::State::Done,
                     result: kept,
@@ -252,11 +264,11 @@
                 (head::Entry { state, ..entry }, Err(refusal))
             }
             send::End::Unknown(refusal) => {
-                self.inner.meter.unsettled();
+                self.inner.instruments.unsettled();
                 if moved {
                     drop(bucket.settle(&job.key, entry));
                 }
-                let _ = tell.send(Err(refusal));
+                let _ = sender.send(Err(refusal));
                 return;
             }
         };
@@ -264,31 +276,32 @@
         tokio::select! {
             biased;
             _ = recorded => {}
-            _ = self.inner.timer.sleep(RECORD) => {}
+            _ = self.inner.timer.sleep(MAX_RECORDING_DELAY) => {}
         }
-        let _ = tell.send(told);
+        let _ = sender.send(outcome);
     }
 
-    async fn attempts(&self, job: &Job) -> (send::Sending, send::End) {
+    async fn deliver(&self, job: &Job) -> (send::Delivery, send::End) {
         let mut replicas = job.plan.replicas.iter().cloned();
         let first = replicas.next().unwrap_or(job.entry.upstream.clone());
-        // A suspect runs as one lone trial: no other replica is tried.
+        // A suspect runs in one isolated trial, so no other replica is tried.
         let others = if job.trial.is_some() { 0 } else { usize::MAX };
-        let mut sending = send::Sending::new(first, replicas.take(others), job.deadline);
-        let mut action = sending.start(self.inner.clock.now());
+        let mut delivery = send::Delivery::new(first, replicas.take(others), job.deadline);
+        let mut action = delivery.start(self.inner.clock.now());
         loop {
             match action {
-                send::Action::End(end) => return (sending, end),
+                send::Action::End(end) => return (delivery, end),
                 send::Action::Send(upstream, home) => {
                     let event = self.attempt_at(job, &upstream, home).await;
                     let pay = || self.pay(&job.service);
-                    action = sending.on(event, self.inner.clock.now(), pay);
+                    action = delivery.on(event, self.inner.clock.now(), pay);
                 }
             }
         }
     }
 
-    /// One attempt: hands the record to a home of the upstream and waits.
+    /// Makes one attempt: sends the record to a home of the upstream and waits for
+    /// its reply.
     async fn attempt_at(
         &self,
         job: &Job,
@@ -313,10 +326,10 @@
             layout: job.plan.layout.0,
             trial: job.trial.is_some(),
         };
-        let mut slot = self.inner.records.wait(attempt, home.clone());
+        let mut waiter = self.inner.sent_records.wait(attempt, home.clone());
         if self
             .inner
-            .post
+            .sender
             .send(&home, message::Body::Record(record))
             .is_err()
         {
@@ -324,11 +337,11 @@
         }
         tokio::select! {
             biased;
-            reply = slot.answer() => match reply {
+            reply = waiter.reply() => match reply {
                 Some(reply) => send::Event::Reply(reply.outcome(), reply.body),
                 None => send::Event::Lost,
             },
-            _ = self.inner.timer.sleep(left + LATE) => send::Event::Lost,
+            _ = self.inner.timer.sleep(left + LATE_REPLY_WINDOW) => send::Event::Lost,
         }
     }
 
@@ -348,7 +361,7 @@
     }
 }
 
-/// The upstream's result; what is no JSON is kept as a JSON string.
+/// Converts the upstream's result to JSON; other text becomes a JSON string.
 fn result(body: &[u8]) -> Box<serde_json::value::RawValue> {
     let text = String::from_utf8_lossy(body).into_owned();
     serde_json::value::RawValue::from_string(text.clone())
@@ -356,23 +369,24 @@
         .unwrap_or_else(|_| serde_json::value::RawValue::NULL.to_owned())
 }
 
-fn unreadable(error: ids::Error) -> query::Refusal {
+fn invalid(error: ids::Error) -> query::Refusal {
     query::Refusal::not_run(query::Code::BadRequest, error.to_string())
 }
 
-fn bare() -> query::Refusal {
+fn no_replica() -> query::Refusal {
     let text = "the shard has no replica";
     query::Refusal::not_run(query::Code::Unavailable, text)
 }
 
-/// Whether a request with this key ran before isn't known any more.
+/// Refuses a key outside the window. Whether a request with it ran before is no
+/// longer known.
 fn expired() -> query::Refusal {
     let text = "the key is older than the service's ledger window, so it is not run now; \
                 whether it ran before is no longer known";
     query::Refusal::unknown(query::Code::Conflict, text)
 }
 
-fn forgotten() -> query::Refusal {
-    let text = "the key is done, but its result is no longer kept";
+fn result_deleted() -> query::Refusal {
+    let text = "the key's registration is done, but its result is no longer kept";
     query::Refusal::unknown(query::Code::Conflict, text)
 }
--- a/crates/geraniumgauge/src/ledger/commit.rs
+++ b/crates/geraniumgauge/src/ledger/commit.rs
@@ -1,9 +1,9 @@
-//! Commits many claims and outcomes of one bucket with one conditional update.
+//! Group commit: writes many claims and outcomes of one bucket with one
+//! conditional update.
 //!
-//! A state machine without I/O: its worker carries out [`Action`]s one at a
-//! time and hands back what came of them. A claim is granted only after a
-//! write with its token took effect, which the store's reply or a later read
-//! shows.
+//! A state machine without I/O: its worker executes [`Action`]s one at a time and
+//! passes back their results. A claim is granted only after a write with its
+//! token took effect, as shown by the store's reply or by a later read.
 
 use std::collections;
 
@@ -13,18 +13,18 @@
 use crate::ledger::key;
 use crate::store;
 
-/// Most changes in one update.
-const GROUP: usize = 256;
-/// Bytes of results that one update adds, about; with [`head::FULL`] it keeps
-/// a head below the largest object that the store takes.
-const GROUP_BYTES: usize = 192 * 1024;
-/// Most changes that wait; beyond it claims are refused at once.
-const QUEUE: usize = 4096;
-/// Failures of the store in a row after which claims are refused. One is borne:
-/// a single lost connection is no outage.
-const PATIENCE: u32 = 2;
+/// Maximum number of changes in one update.
+const MAX_UPDATE_CHANGES: usize = 256;
+/// Approximate maximum of bytes that one update adds to the head. Together with
+/// [`head::MAX_HEAD_BYTES`] it keeps a head below the store's maximum object size.
+const MAX_UPDATE_BYTES: usize = 192 * 1024;
+/// Maximum number of queued changes; claims beyond it are refused at once.
+const MAX_QUEUED_CHANGES: usize = 4096;
+/// Number of consecutive store failures at which claims are refused. A single
+/// failure is tolerated, since one lost connection is no outage.
+const FAILURES_BEFORE_REFUSAL: u32 = 2;
 
-/// What the worker does next.
+/// What the worker has to do next.
 #[derive(Debug)]
 pub(super) enum Action {
     /// Read the head.
@@ -33,78 +33,86 @@
     Write(bytes::Bytes, store::Condition),
     /// Read a page.
     Load(head::Page),
-    /// Wait a little, or for another change.
-    Pause,
+    /// Wait for the backoff delay after a failure.
+    Backoff,
     /// Wait for a change.
     Idle,
 }
 
-/// A change that waits. One that was part of a write without a reply stays
-/// until another write succeeds, even where a read shows the object as it was:
-/// the lost write may only be late, and can't take effect once the object has
-/// moved on. Applied again to the same state, it always makes that write.
+/// A queued change. One that was part of a write without a reply stays queued
+/// until another write succeeds, even if a read shows the object unchanged: the
+/// earlier write may only be delayed, and can no longer take effect once the
+/// object has a new version. Applying the change again to the unchanged object
+/// always produces that write.
 #[derive(Debug)]
 struct Pending {
     ticket: change::Ticket,
     change: change::Change,
-    /// It was part of a write whose reply was lost.
-    doubted: bool,
+    /// Set when it was part of a write whose reply was lost.
+    unconfirmed: bool,
 }
 
+/// The head as last read or written.
 #[derive(Debug)]
-struct Known {
+struct Cached {
     version: ids::ObjectVersion,
     head: head::Head,
     size: usize,
-    /// Read or written since there was last nothing to do.
+    /// Set when it was read or written since the queue was last empty.
     fresh: bool,
 }
 
+/// A write that the worker is executing, with the state and the verdicts that
+/// take effect if it succeeds.
 #[derive(Debug)]
-struct Flight {
+struct Update {
     changes: Vec<Pending>,
     verdicts: Vec<(change::Ticket, change::Verdict)>,
     head: head::Head,
     size: usize,
 }
 
-/// Changes to one bucket that wait, and what is known of it.
+/// The queued changes to one bucket and the cached state of its head.
 #[derive(Debug, Default)]
 pub(super) struct Commit {
-    known: Option<Known>,
-    /// The highest version seen: a read of an older one is out of date.
-    high: ids::ObjectVersion,
+    cached: Option<Cached>,
+    /// The highest version seen; a read of a lower one is stale.
+    max_version: ids::ObjectVersion,
     queue: collections::VecDeque<Pending>,
-    flight: Option<Flight>,
+    update: Option<Update>,
     failures: u32,
-    pause: bool,
-    settled: u64,
+    backoff: bool,
+    resolved: u64,
     indexes: collections::HashMap<String, collections::HashSet<u128>>,
     verdicts: Vec<(change::Ticket, change::Verdict)>,
 }
 
 impl Commit {
-    /// Takes a change.
+    /// Queues a change.
     pub(super) fn submit(&mut self, ticket: change::Ticket, change: change::Change) {
-        let claim = matches!(change, change::Change::Claim(..) | change::Change::Look(_));
-        if claim && self.queue.len() >= QUEUE {
-            let reason = "too many claims wait for the store".to_owned();
+        let claim = matches!(
+            change,
+            change::Change::Claim(..) | change::Change::Lookup(_)
+        );
+        if claim && self.queue.len() >= MAX_QUEUED_CHANGES {
+            let reason = "too many claims are waiting for the store".to_owned();
             self.verdicts
                 .push((ticket, change::Verdict::Failed(reason)));
             return;
         }
-        let doubted = false;
+        let unconfirmed = false;
         self.queue.push_back(Pending {
             ticket,
             change,
-            doubted,
+            unconfirmed,
         });
     }
 
-    /// The submitter of a claim has given up and will not send. A claim that
-    /// can't be in the store is dropped; any other is recorded as not run.
+    /// Abandons a claim whose submitter has given up and will not send the record.
+    /// A claim that can't be in the store is dropped; any other is recorded as
+    /// not run.
     pub(super) fn abandon(&mut self, ticket: change::Ticket, key: ids::Key, entry: head::Entry) {
-        let unsent = |pending: &Pending| pending.ticket == ticket && !pending.doubted;
+        let unsent = |pending: &Pending| pending.ticket == ticket && !pending.unconfirmed;
         if let Some(at) = self.queue.iter().position(unsent) {
             self.queue.remove(at);
             return;
@@ -116,68 +124,68 @@
         );
     }
 
-    /// Verdicts since the last call.
-    pub(super) fn verdicts(&mut self) -> Vec<(change::Ticket, change::Verdict)> {
+    /// Returns the verdicts since the last call.
+    pub(super) fn take_verdicts(&mut self) -> Vec<(change::Ticket, change::Verdict)> {
         std::mem::take(&mut self.verdicts)
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no change is queued or being written.
     pub(super) fn is_idle(&self) -> bool {
-        self.queue.is_empty() && self.flight.is_none()
+        self.queue.is_empty() && self.update.is_none()
     }
 
-    /// Whether a write is likely to come next.
-    pub(super) fn is_due(&self) -> bool {
-        let changes = |pending: &Pending| !matches!(pending.change, change::Change::Look(_));
-        self.known.is_some() && self.queue.iter().any(changes)
+    /// Returns whether the next action is probably a write.
+    pub(super) fn expects_write(&self) -> bool {
+        let changes = |pending: &Pending| !matches!(pending.change, change::Change::Lookup(_));
+        self.cached.is_some() && self.queue.iter().any(changes)
     }
 
-    /// Lost replies that were settled since the last call.
-    pub(super) fn settled(&mut self) -> u64 {
-        std::mem::take(&mut self.settled)
+    /// Returns the number of unconfirmed writes resolved since the last call.
+    pub(super) fn take_resolved(&mut self) -> u64 {
+        std::mem::take(&mut self.resolved)
     }
 
-    /// Whether the store has failed often enough to refuse claims.
+    /// Returns whether the store has failed often enough to refuse claims.
     pub(super) fn is_failing(&self) -> bool {
-        self.failures >= PATIENCE
+        self.failures >= FAILURES_BEFORE_REFUSAL
     }
 
-    /// The head as last known, with its size in bytes.
+    /// Returns the cached head and its size in bytes.
     pub(super) fn head(&self) -> Option<(&head::Head, usize)> {
-        let known = self.known.as_ref()?;
-        Some((&known.head, known.size))
+        let cached = self.cached.as_ref()?;
+        Some((&cached.head, cached.size))
     }
 
-    /// What to do next.
+    /// Returns the next action.
     pub(super) fn next(&mut self) -> Action {
-        if std::mem::take(&mut self.pause) && !self.is_idle() {
-            return Action::Pause;
+        if std::mem::take(&mut self.backoff) && !self.is_idle() {
+            return Action::Backoff;
         }
         loop {
             if self.is_idle() {
-                self.aged();
+                self.mark_stale();
                 return Action::Idle;
             }
-            if let Some(action) = self.group() {
+            if let Some(action) = self.prepare_update() {
                 return action;
             }
         }
     }
 
-    /// Applies what waits to a copy of the head. `None` where nothing has to
-    /// be written.
-    fn group(&mut self) -> Option<Action> {
-        let Some(known) = &self.known else {
+    /// Applies queued changes to a copy of the head. Returns `None` if they don't
+    /// have to be written.
+    fn prepare_update(&mut self) -> Option<Action> {
+        let Some(cached) = &self.cached else {
             return Some(Action::Read);
         };
-        let mut head = known.head.clone();
-        let (base, fresh, size) = (known.version, known.fresh, known.size);
+        let mut head = cached.head.clone();
+        let (base, fresh, size) = (cached.version, cached.fresh, cached.size);
         let mut verdicts = Vec::new();
         let mut changed = false;
         let mut taken = 0;
         let mut bytes = 0;
-        for pending in self.queue.iter().take(GROUP) {
-            if bytes > GROUP_BYTES {
+        for pending in self.queue.iter().take(MAX_UPDATE_CHANGES) {
+            if bytes > MAX_UPDATE_BYTES {
                 break;
             }
             bytes += pending.change.size();
@@ -187,7 +195,7 @@
                     changed = true;
                     verdicts.push((pending.ticket, verdict));
                 }
-                change::Applied::Same(verdict) => verdicts.push((pending.ticket, verdict)),
+                change::Applied::Unchanged(verdict) => verdicts.push((pending.ticket, verdict)),
                 change::Applied::Refresh => return Some(Action::Read),
                 change::Applied::Load(page) => return Some(Action::Load(page)),
             }
@@ -195,14 +203,14 @@
         }
         let changes: Vec<_> = self.queue.drain(..taken).collect();
         if !changed {
-            self.settled += doubted(&changes);
+            self.resolved += count_unconfirmed(&changes);
             self.verdicts.extend(verdicts);
-            self.aged();
+            self.mark_stale();
             return None;
         }
         let body = serde_json::to_vec(&head).unwrap_or_default();
         let size = body.len();
-        self.flight = Some(Flight {
+        self.update = Some(Update {
             changes,
             verdicts,
             head,
@@ -215,25 +223,25 @@
         Some(Action::Write(body.into(), condition))
     }
 
-    /// What came of [`Action::Read`].
-    pub(super) fn read(&mut self, found: Result<store::Object, store::Error>) {
+    /// Handles the result of [`Action::Read`].
+    pub(super) fn on_read(&mut self, found: Result<store::Object, store::Error>) {
         let (version, body) = match found {
             Ok(object) => (object.version, object.body),
             Err(store::Error::Missing { .. }) => (ids::ObjectVersion(0), "{}".into()),
-            Err(error) => return self.failed(&error.to_string()),
+            Err(error) => return self.on_failure(&error.to_string()),
         };
-        if version < self.high {
-            // An out-of-date read, or a store restored to an older state:
-            // claims made since would be missing from it.
-            return self.failed("the store shows an older state of the ledger");
+        if version < self.max_version {
+            // A stale read, or a store that was restored to an older state: it
+            // lacks the claims made since.
+            return self.on_failure("the store shows an older state of the ledger");
         }
         let Ok(head) = serde_json::from_slice(&body) else {
-            return self.failed("the ledger in the store can't be read");
+            return self.on_failure("the ledger's object in the store can't be parsed");
         };
         self.failures = 0;
-        self.high = version;
+        self.max_version = version;
         let size = body.len();
-        self.known = Some(Known {
+        self.cached = Some(Cached {
             version,
             head,
             size,
@@ -241,89 +249,94 @@
         });
     }
 
-    /// What came of [`Action::Write`].
-    pub(super) fn written(&mut self, done: Result<ids::ObjectVersion, store::Error>) {
-        let Some(flight) = self.flight.take() else {
+    /// Handles the result of [`Action::Write`].
+    pub(super) fn on_written(&mut self, done: Result<ids::ObjectVersion, store::Error>) {
+        let Some(update) = self.update.take() else {
             return;
         };
         match done {
             Ok(version) => {
                 self.failures = 0;
-                self.high = self.high.max(version);
-                let (head, size) = (flight.head, flight.size);
+                self.max_version = self.max_version.max(version);
+                let (head, size) = (update.head, update.size);
                 let listed = |id: &str| head.pages.iter().any(|page| page.id == id);
                 if self.indexes.len() > head.pages.len() {
                     self.indexes.retain(|id, _| listed(id));
                 }
-                self.known = Some(Known {
+                self.cached = Some(Cached {
                     version,
                     head,
                     size,
                     fresh: true,
                 });
-                self.settled += doubted(&flight.changes);
-                self.verdicts.extend(flight.verdicts);
+                self.resolved += count_unconfirmed(&update.changes);
+                self.verdicts.extend(update.verdicts);
             }
             Err(store::Error::Conflict { .. }) => {
-                self.known = None;
-                self.requeue(flight.changes, false);
+                self.cached = None;
+                self.requeue(update.changes, false);
             }
             Err(store::Error::Unconfirmed { .. }) => {
-                self.known = None;
-                self.requeue(flight.changes, true);
+                self.cached = None;
+                self.requeue(update.changes, true);
             }
             Err(error) => {
-                self.requeue(flight.changes, false);
-                self.failed(&error.to_string());
+                self.requeue(update.changes, false);
+                self.on_failure(&error.to_string());
             }
         }
     }
 
-    /// What came of [`Action::Load`].
-    pub(super) fn loaded(&mut self, page: &head::Page, found: Result<store::Object, store::Error>) {
+    /// Handles the result of [`Action::Load`].
+    pub(super) fn on_loaded(
+        &mut self,
+        page: &head::Page,
+        found: Result<store::Object, store::Error>,
+    ) {
         let hashes = found.map(|object| hashes(page, &object.body));
         match hashes {
             Ok(Some(hashes)) => {
                 self.indexes.insert(page.id.clone(), hashes);
             }
-            Ok(None) => self.failed("a page of the ledger can't be read"),
+            Ok(None) => self.on_failure("a page of the ledger can't be parsed"),
             Err(store::Error::Missing { .. }) => {
-                // Pages go only after the head no longer lists them.
-                self.known = None;
-                self.failed("a page of the ledger is gone");
+                // Pages are deleted only after the head no longer lists them, so
+                // the cached head is stale.
+                self.cached = None;
+                self.on_failure("a page of the ledger does not exist");
             }
-            Err(error) => self.failed(&error.to_string()),
+            Err(error) => self.on_failure(&error.to_string()),
         }
     }
 
-    /// What is known of the head may be out of date from here on.
-    fn aged(&mut self) {
-        if let Some(known) = &mut self.known {
-            known.fresh = false;
+    /// Marks the cached head as possibly stale.
+    fn mark_stale(&mut self) {
+        if let Some(cached) = &mut self.cached {
+            cached.fresh = false;
         }
     }
 
-    fn requeue(&mut self, changes: Vec<Pending>, unsure: bool) {
+    fn requeue(&mut self, changes: Vec<Pending>, unconfirmed: bool) {
         for mut pending in changes.into_iter().rev() {
-            pending.doubted |= unsure;
+            pending.unconfirmed |= unconfirmed;
             self.queue.push_front(pending);
         }
     }
 
-    fn failed(&mut self, reason: &str) {
+    fn on_failure(&mut self, reason: &str) {
         self.failures = self.failures.saturating_add(1);
-        self.pause = true;
-        if self.failures < PATIENCE {
+        self.backoff = true;
+        if self.failures < FAILURES_BEFORE_REFUSAL {
             return;
         }
         self.refuse(reason);
     }
 
-    /// Refuses the claims that wait and can't be in the store.
+    /// Refuses the queued lookups, and the queued claims that can't be in the store.
     pub(super) fn refuse(&mut self, reason: &str) {
         let refusable = |pending: &Pending| match pending.change {
-            change::Change::Claim(..) => !pending.doubted,
-            change::Change::Look(_) => true,
+            change::Change::Claim(..) => !pending.unconfirmed,
+            change::Change::Lookup(_) => true,
             _ => false,
         };
         let (refused, kept) = std::mem::take(&mut self.queue)
@@ -337,12 +350,13 @@
     }
 }
 
-/// One where any of the changes was in doubt: they shared a write.
-fn doubted(changes: &[Pending]) -> u64 {
-    u64::from(changes.iter().any(|pending| pending.doubted))
+/// Returns the number of unconfirmed writes among `changes`: 1 if any change is
+/// unconfirmed, since they shared one write.
+fn count_unconfirmed(changes: &[Pending]) -> u64 {
+    u64::from(changes.iter().any(|pending| pending.unconfirmed))
 }
 
-/// The hashes of a page's keys.
+/// Returns the hashes of a page's keys, or `None` if the page can't be parsed.
 fn hashes(page: &head::Page, body: &[u8]) -> Option<collections::HashSet<u128>> {
     if page.hashes {
         let (chunks, rest) = body.as_chunks::<16>();
--- a/crates/geraniumgauge/src/ledger/entry.rs
+++ b/crates/geraniumgauge/src/ledger/coordinator.rs
@@ -1,5 +1,5 @@
-//! The entry's part of a registration: whose bucket it is, and what to tell
-//! the caller when that VM is slow or lost.
+//! The coordinator of a registration: passes it to the VM that claims for its
+//! bucket (the claimant), and answers the caller if that VM is slow or lost.
 
 use std::time;
 
@@ -15,67 +15,68 @@
 use crate::slo;
 use crate::time as clock;
 
-/// When to come back after a refusal for this VM's own load.
-const AGAIN: time::Duration = time::Duration::from_millis(500);
-/// Part of the time left that is kept for the way back from the claimant.
-const WAY_BACK: u32 = 10;
-/// Most that is kept for the way back.
-const WAY_BACK_MOST: time::Duration = time::Duration::from_millis(50);
-/// Percent of the time left after which the entry claims by itself, should the
-/// claimant's VM be paused. Safe, since only one of them can create the claim.
-const TAKE_OVER: u32 = 60;
+/// Delay suggested to the caller when this VM is overloaded.
+const OVERLOADED_RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
+/// The time left, divided by this, is reserved for the claimant's reply.
+const REPLY_TIME_DIVISOR: u32 = 10;
+/// Maximum time reserved for the claimant's reply.
+const MAX_REPLY_TIME: time::Duration = time::Duration::from_millis(50);
+/// Percent of the time left after which the coordinator claims by itself, in case
+/// the claimant is paused. Safe, since only one of them can create the claim.
+const TAKEOVER_PERCENT: u32 = 60;
 
-/// What a claimant ends with.
-pub(super) type Told = Result<Box<serde_json::value::RawValue>, query::Refusal>;
+/// The outcome of a registration: the upstream's result, or a refusal.
+pub(super) type Outcome = Result<Box<serde_json::value::RawValue>, query::Refusal>;
 
-/// How both VMs that were to claim for one registration have ended.
+/// Outcomes of one registration at the claimant and at the coordinator itself.
 #[derive(Debug, Default)]
-struct Ends {
-    claimant: Option<Told>,
-    own: Option<Told>,
+struct Outcomes {
+    claimant: Option<Outcome>,
+    own: Option<Outcome>,
 }
 
-impl Ends {
-    /// What the caller can be told. That one of them did not run it says
-    /// nothing while the other one may: only both together make it true.
-    fn take(&mut self) -> Option<Told> {
-        let done = |end: &mut Option<Told>| end.take_if(|end| end.is_ok());
-        if let Some(told) = done(&mut self.claimant).or_else(|| done(&mut self.own)) {
-            return Some(told);
+impl Outcomes {
+    /// Returns the outcome to report to the caller, once it is certain. A single
+    /// refusal is not: the other VM may still run the record.
+    fn take(&mut self) -> Option<Outcome> {
+        let done = |end: &mut Option<Outcome>| end.take_if(|end| end.is_ok());
+        if let Some(outcome) = done(&mut self.claimant).or_else(|| done(&mut self.own)) {
+            return Some(outcome);
         }
         let (Some(Err(claimant)), Some(Err(own))) = (&self.claimant, &self.own) else {
             return None;
         };
-        let told = match claimant.ran {
+        let outcome = match claimant.ran {
             query::Ran::Unknown => claimant,
             query::Ran::No => own,
         };
-        Some(Err(told.clone()))
+        Some(Err(outcome.clone()))
     }
 }
 
 impl service::Service {
-    /// Admits a registration, runs it and counts it.
-    pub(super) async fn enter(
+    /// Admits a registration, runs it and records it for the service's SLO.
+    pub(super) async fn coordinate(
         &self,
         registration: ledger::Registration,
     ) -> Result<ledger::Done, query::Refusal> {
         let in_force = self.in_force(&registration.service)?;
         let limit = in_force.document.limits.registrations;
-        let Some(_permit) = self.inner.admission.admit(&registration.service, limit) else {
-            let text = format!("{limit} registrations of the service run here already");
+        let Some(_permit) = self.inner.limiter.admit(&registration.service, limit) else {
+            let text =
+                format!("{limit} registrations of the service are already running on this VM");
             let refusal = query::Refusal::not_run(query::Code::Overloaded, text);
-            return Err(refusal.retry_after(AGAIN));
+            return Err(refusal.retry_after(OVERLOADED_RETRY_DELAY));
         };
         let left = registration.time_left.unwrap_or(in_force.document.deadline);
         let left = left.min(in_force.document.max_deadline);
         let deadline = self.inner.clock.now() + left;
-        let told = self.routed(&registration, left, deadline).await;
-        self.count(&registration.service, told.is_ok(), deadline);
+        let outcome = self.run_at_claimant(&registration, left, deadline).await;
+        self.record_slo_event(&registration.service, outcome.is_ok(), deadline);
         Ok(ledger::Done {
             request_id: registration.request,
             outcome: ledger::DONE,
-            result: told?,
+            result: outcome?,
         })
     }
 
@@ -88,17 +89,17 @@
         live.ok_or_else(|| service::unknown_service(service))
     }
 
-    /// Hands the registration to its bucket's VM. Only a frame that may have
-    /// left can have been acted upon; without one this VM claims by itself.
-    async fn routed(
+    /// Passes the registration to the claimant. If the frame can't be sent, the
+    /// claimant can't act on it, and this VM claims by itself.
+    async fn run_at_claimant(
         &self,
         registration: &ledger::Registration,
         left: time::Duration,
         deadline: clock::Moment,
-    ) -> Told {
+    ) -> Outcome {
         let slot = key::slot(&registration.key);
         let claimant = plan::claimant(&registration.service, slot, &self.inner.view.borrow());
-        let way_back = (left / WAY_BACK).min(WAY_BACK_MOST);
+        let reply_time = (left / REPLY_TIME_DIVISOR).min(MAX_REPLY_TIME);
         let mut register = message::Register {
             attempt: self.attempt().0,
             request: registration.request.to_string(),
@@ -110,39 +111,42 @@
         if claimant == self.inner.config.vm {
             return self.claim_for(register).await;
         }
-        register.time_left_us = clock::micros(left - way_back);
+        register.time_left_us = clock::micros(left - reply_time);
         let attempt = ids::Attempt(register.attempt);
-        let slot = self.inner.handed.wait(attempt, claimant.clone());
+        let waiter = self.inner.remote_claims.wait(attempt, claimant.clone());
         let body = message::Body::Register(register.clone());
-        if self.inner.post.send(&claimant, body).is_err() {
+        if self.inner.sender.send(&claimant, body).is_err() {
             return self.claim_for(register).await;
         }
-        self.wait_for_claimant(register, slot, left, deadline).await
+        self.wait_for_claimant(register, waiter, left, deadline)
+            .await
     }
 
+    /// Waits for the claimant's reply. Claims by itself if the claimant is stopping,
+    /// its link is lost or it takes too long.
     async fn wait_for_claimant(
         &self,
         mut register: message::Register,
-        mut slot: table::Slot<message::Registered>,
+        mut waiter: table::Waiter<message::Registered>,
         left: time::Duration,
         deadline: clock::Moment,
-    ) -> Told {
-        let patience = left * TAKE_OVER / 100;
+    ) -> Outcome {
+        let takeover_delay = left * TAKEOVER_PERCENT / 100;
         tokio::select! {
             biased;
-            answer = slot.answer() => {
-                let told = answer.map(told);
-                match told {
+            reply = waiter.reply() => {
+                let outcome = reply.map(outcome);
+                match outcome {
                     Some(Err(refusal)) if stopping(&refusal) => {
                         let left = self.inner.clock.now().until(deadline);
                         register.time_left_us = clock::micros(left);
                         return self.claim_for(register).await;
                     }
-                    Some(told) => return told,
+                    Some(outcome) => return outcome,
                     None => {}
                 }
             }
-            _ = self.inner.timer.sleep(patience) => {}
+            _ = self.inner.timer.sleep(takeover_delay) => {}
         }
         let left = self.inner.clock.now().until(deadline);
         register.time_left_us = clock::micros(left);
@@ -150,23 +154,23 @@
         tokio::pin!(own);
         let end = self.inner.timer.sleep(left);
         tokio::pin!(end);
-        let mut ends = Ends::default();
+        let mut outcomes = Outcomes::default();
         loop {
             tokio::select! {
                 biased;
-                answer = slot.answer(), if ends.claimant.is_none() => {
-                    ends.claimant = Some(answer.map_or_else(|| Err(no_answer()), told));
+                reply = waiter.reply(), if outcomes.claimant.is_none() => {
+                    outcomes.claimant = Some(reply.map_or_else(|| Err(no_reply()), outcome));
                 }
-                own = &mut own, if ends.own.is_none() => ends.own = Some(own),
-                _ = &mut end => return Err(no_answer()),
+                own = &mut own, if outcomes.own.is_none() => outcomes.own = Some(own),
+                _ = &mut end => return Err(no_reply()),
             }
-            if let Some(told) = ends.take() {
-                return told;
+            if let Some(outcome) = outcomes.take() {
+                return outcome;
             }
         }
     }
 
-    fn count(&self, service: &ids::Service, done: bool, deadline: clock::Moment) {
+    fn record_slo_event(&self, service: &ids::Service, done: bool, deadline: clock::Moment) {
         self.inner.slo.record(&slo::Event {
             service: service.clone(),
             in_time: done && self.inner.clock.now() <= deadline,
@@ -179,26 +183,26 @@
     }
 }
 
-/// The claimant is stopping and has not acted on the registration.
+/// Returns whether the claimant is stopping and has not acted on the registration.
 fn stopping(refusal: &query::Refusal) -> bool {
     refusal.code == query::Code::Stopping && refusal.ran == query::Ran::No
 }
 
-/// The bucket's VM has the registration and doesn't answer. That this VM's own
-/// claim came to nothing says nothing about what the other one did or will do:
-/// a paused VM acts when it wakes. So the answer is never that it did not run.
-fn no_answer() -> query::Refusal {
-    let text = "the VM that claims for the key has not answered; read the key back";
+/// The claimant has the registration and doesn't reply. It may have run the
+/// record, or may run it after a pause, whatever became of the coordinator's own
+/// claim. The caller must therefore never be answered that it did not run.
+fn no_reply() -> query::Refusal {
+    let text = "the VM that claims for the key did not reply; read the key's state";
     query::Refusal::unknown(query::Code::Deadline, text)
 }
 
-/// What the claimant's frame means.
-fn told(registered: message::Registered) -> Told {
+/// Converts the claimant's reply to an outcome.
+fn outcome(registered: message::Registered) -> Outcome {
     if registered.done {
         let text = String::from_utf8_lossy(&registered.body).into_owned();
         let result = serde_json::value::RawValue::from_string(text);
         return result.map_err(|_| {
-            let text = "it is done, but its result can't be read";
+            let text = "the registration is done, but its result is not valid JSON";
             query::Refusal::unknown(query::Code::Internal, text)
         });
     }
--- a/crates/geraniumgauge/src/ledger/head.rs
+++ b/crates/geraniumgauge/src/ledger/head.rs
@@ -1,4 +1,5 @@
-//! What the store holds of one bucket: recent claims, and where older ones are.
+//! The stored form of one bucket: its recent claims and a list of the pages with
+//! older ones.
 
 use std::collections;
 
@@ -6,79 +7,79 @@
 use crate::ledger::key;
 use crate::time;
 
-/// A head above this many bytes takes no more claims. Only claims without an
-/// outcome fill it, since settled ones move to pages.
-pub(super) const FULL: usize = 768 * 1024;
-/// Largest result that is kept with its claim, in bytes.
-pub const MAX_RESULT: usize = 16 * 1024;
+/// Size in bytes above which a head accepts no more claims. Only claims without
+/// an outcome can fill it, since settled ones are moved to pages.
+pub(super) const MAX_HEAD_BYTES: usize = 768 * 1024;
+/// Maximum size in bytes of a result that is stored with its claim.
+pub const MAX_RESULT_BYTES: usize = 16 * 1024;
 
-/// Names one attempt at one claim; no other attempt ever has the same.
+/// Identifies one attempt to create a claim; unique across all VMs and restarts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub(super) struct Token(String);
 
 impl Token {
-    /// The token of `attempt` of one start of `vm`.
+    /// Creates the token of `attempt` of one incarnation of `vm`.
     pub(super) fn new(vm: &ids::Vm, incarnation: ids::Incarnation, attempt: ids::Attempt) -> Self {
         Self(format!("{vm}/{incarnation}/{attempt}"))
     }
 }
 
-/// Where a claim stands.
+/// The state of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub(super) enum State {
-    /// It may be sent, is being run, or its end isn't known.
+    /// The record may be sent, is running, or its outcome is unknown.
     Claimed,
-    /// It has run, once.
+    /// The record has run, once.
     Done,
-    /// It was given up before anything was sent, or the upstream has said that
-    /// it didn't run: the key may be claimed again.
+    /// The claim was abandoned before anything was sent, or the upstream reported
+    /// that the record didn't run. The key may be claimed again.
     NotRun,
 }
 
-/// One claim.
+/// One claim and its outcome.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Entry {
-    /// Who may send it.
+    /// Identifies the attempt that may send the record.
     pub(super) token: Token,
-    /// The caller's request that it was created for.
+    /// The caller's request that the claim was created for.
     pub(super) request: ids::Request,
-    /// What the caller asked for.
+    /// Fingerprint of the caller's record.
     pub(super) fingerprint: ids::Fingerprint,
-    /// When it was created, by the claimant's clock.
+    /// When the claim was created, by the claimant's clock.
     pub(super) since: time::Wall,
-    /// The upstream that it was last sent to, or is about to be.
+    /// The upstream that the record was last sent to, or is about to be.
     pub(super) upstream: ids::Upstream,
-    /// Where it stands.
+    /// The state of the claim.
     pub(super) state: State,
-    /// The upstream's result, where done and not above [`MAX_RESULT`].
+    /// The upstream's result, if done and not larger than [`MAX_RESULT_BYTES`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) result: Option<Box<serde_json::value::RawValue>>,
 }
 
-/// An object with older entries of a bucket. Pages are never changed.
+/// Describes an object with older entries of a bucket. Pages are immutable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Page {
-    /// Its store key.
+    /// Store key of the page.
     pub(super) id: String,
-    /// Entries or hashes in it.
+    /// Number of entries or hashes in the page.
     pub(super) count: usize,
     /// When its newest entry was created.
     pub(super) newest: time::Wall,
-    /// Times of its oldest and newest key, where its keys carry them.
+    /// Times of its oldest and newest key, if its keys are timed.
     pub(super) times: Option<(time::Wall, time::Wall)>,
-    /// It holds hashes of keys only.
+    /// Set when the page contains only hashes of keys.
     pub(super) hashes: bool,
 }
 
 impl Page {
-    /// Whether a key with this time can be in the page.
+    /// Returns whether a key with this time, or without one, can be in the page.
     pub(super) fn may_hold(&self, timed: Option<time::Wall>) -> bool {
         match (self.times, timed) {
             (Some((from, to)), Some(time)) => from <= time && time <= to,
@@ -88,19 +89,19 @@
     }
 }
 
-/// The object of one bucket that changes.
+/// The mutable object of one bucket.
 #[derive(Debug, Clone, Default)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Head {
-    /// Timed keys up to this time are refused: their claims may be forgotten.
-    /// Raised in the same update that forgets them, so a VM whose clock is
-    /// wrong or which was paused can't claim such a key again.
+    /// Timed keys up to this time are refused, since their claims may have been
+    /// deleted. Raised in the same update that deletes them, so that a VM whose
+    /// clock is wrong or that was paused can't claim such a key again.
     #[serde(default)]
     pub(super) floor: time::Wall,
-    /// Recent claims, and all those without an outcome.
+    /// Recent claims, and all claims without an outcome.
     #[serde(default)]
     pub(super) entries: collections::BTreeMap<ids::Key, Entry>,
-    /// Older ones, oldest first.
+    /// Pages with older claims, oldest first.
     #[serde(default)]
     pub(super) pages: Vec<Page>,
 }
@@ -109,8 +110,8 @@
 pub(super) type Entries = collections::BTreeMap<ids::Key, Entry>;
 
 impl Head {
-    /// Drops timed claims whose keys are older than `cutoff`, and the pages
-    /// with only such; returns the pages dropped.
+    /// Removes timed claims whose keys are not newer than `cutoff`, and the pages
+    /// that contain only such keys; returns the removed pages.
     pub(super) fn expire(&mut self, cutoff: time::Wall) -> Vec<Page> {
         self.floor = self.floor.max(cutoff);
         let floor = self.floor;
--- a/crates/geraniumgauge/src/ledger/meter.rs
+++ b/crates/geraniumgauge/src/ledger/instruments.rs
@@ -1,12 +1,13 @@
-//! Figures of the ledger.
+//! OpenTelemetry instruments of the ledger.
 
 use opentelemetry::metrics;
 
 use crate::query;
 use crate::store;
 
+/// The ledger's counters.
 #[derive(Debug, Clone)]
-pub(super) struct Meter {
+pub(super) struct Instruments {
     claims: metrics::Counter<u64>,
     commits: metrics::Counter<u64>,
     settled: metrics::Counter<u64>,
@@ -16,7 +17,7 @@
     retries: metrics::Counter<u64>,
 }
 
-impl Meter {
+impl Instruments {
     pub(super) fn new(meter: &metrics::Meter) -> Self {
         let counter = |name: &'static str, text: &'static str| {
             meter.u64_counter(name).with_description(text).build()
--- a/crates/geraniumgauge/src/ledger/admit.rs
+++ b/crates/geraniumgauge/src/ledger/limiter.rs
@@ -1,25 +1,25 @@
-//! How many registrations of a service run at once at this VM.
+//! Limits the concurrent registrations of each service on this VM.
 
 use std::collections;
 use std::sync;
 
 use crate::ids;
 
-/// Counts by service; clones share them.
+/// Counts the running registrations by service. Clones share the counts.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Admission {
+pub(super) struct Limiter {
     running: sync::Arc<sync::Mutex<collections::HashMap<ids::Service, u32>>>,
 }
 
-/// One admitted registration, until dropped.
+/// One admitted registration; counted as running until dropped.
 #[derive(Debug)]
 pub(super) struct Permit {
-    owner: Admission,
+    owner: Limiter,
     service: ids::Service,
 }
 
-impl Admission {
-    /// Admits one more where fewer than `limit` of the service run.
+impl Limiter {
+    /// Admits a registration if fewer than `limit` of the service are running.
     pub(super) fn admit(&self, service: &ids::Service, limit: u32) -> Option<Permit> {
         let mut running = self.lock();
         let count = running.entry(service.clone()).or_default();
--- a/crates/geraniumgauge/src/ledger/mod.rs
+++ b/crates/geraniumgauge/src/ledger/mod.rs
@@ -1,39 +1,39 @@
-//! Registrations: at most once.
+//! Runs registrations at most once.
 //!
-//! Before anything is sent, a claim with the token of this attempt is created
-//! in the store by conditional update. Who created it may send the record
-//! once. A VM that was paused, a second home or a caller that sends again at
-//! another VM finds the claim taken, so none of them can run it twice.
-//! Nothing else is relied on: routing a key to one VM only keeps writers of a
-//! bucket from meeting.
+//! Before a record is sent, a claim with the token of this attempt is created in
+//! the store by conditional update. The attempt that created the claim may send
+//! the record once. A VM that was paused, a second home or a caller that retries
+//! at another VM finds an existing claim, so none of them can run the record
+//! again. This is the only safeguard needed: assigning the keys of a bucket to
+//! one VM merely avoids conflicts between writers.
 
 pub mod key;
 
-mod admit;
-mod book;
+mod admission;
 mod bucket;
 mod change;
 mod claim;
 mod commit;
-mod entry;
+mod coordinator;
 mod head;
-mod meter;
+mod instruments;
+mod limiter;
 mod pages;
 mod plan;
 mod send;
 mod service;
-mod standing;
+mod status;
 mod table;
 mod unsettled;
 mod worker;
 
-pub use book::Book;
-pub use head::MAX_RESULT;
-pub use pages::SKEW;
+pub use admission::Admission;
+pub use head::MAX_RESULT_BYTES;
+pub use pages::MAX_CLOCK_SKEW;
 pub use service::Config;
 pub use service::Service;
-pub use standing::Standing;
-pub use standing::State;
+pub use status::State;
+pub use status::Status;
 pub use unsettled::Unsettled;
 pub use unsettled::unsettled;
 
@@ -41,10 +41,10 @@
 
 use crate::ids;
 
-/// The one outcome of a registration that is answered.
+/// The outcome in the answer to a successful registration.
 pub const DONE: &str = "done";
 
-/// A registration as it was admitted.
+/// A registration as received from the caller.
 #[derive(Debug, Clone)]
 pub struct Registration {
     /// The caller's request.
@@ -55,11 +55,11 @@
     pub key: ids::Key,
     /// The record, as the caller's JSON.
     pub body: bytes::Bytes,
-    /// Time left; `None` for the service's default.
+    /// Time left until the deadline; `None` for the service's default.
     pub time_left: Option<time::Duration>,
 }
 
-/// A registration that is done.
+/// The answer to a registration that has run.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize)]
 pub struct Done {
--- a/crates/geraniumgauge/src/ledger/pages.rs
+++ b/crates/geraniumgauge/src/ledger/pages.rs
@@ -1,5 +1,5 @@
-//! Moves older claims of a bucket out of its head, so that each update writes
-//! little however many claims the window holds.
+//! Moves older claims of a bucket from its head to pages, so that updates stay
+//! small however many claims the window contains.
 
 use std::collections;
 use std::time;
@@ -9,28 +9,30 @@
 use crate::ledger::key;
 use crate::time as clock;
 
-/// Heads above this many bytes give their settled entries to pages.
-const PAGE_AT: usize = 96 * 1024;
-/// Clock differences between VMs that cost no key its window.
-pub const SKEW: time::Duration = time::Duration::from_secs(600);
-/// Old pages of keys without a time that are replaced together.
-const BURIED: usize = 8;
+/// Size in bytes above which the settled entries of a head are moved to pages.
+const PAGING_THRESHOLD_BYTES: usize = 96 * 1024;
+/// Tolerated clock difference between VMs. Claims are kept longer than the window
+/// by this much, and keys may lie this far in the future.
+pub const MAX_CLOCK_SKEW: time::Duration = time::Duration::from_secs(600);
+/// Number of old pages with untimed keys that are compacted into one.
+const PAGES_PER_COMPACTION: usize = 8;
 
-/// Entries that leave the head.
+/// Entries that are moved out of the head.
 #[derive(Debug)]
 pub(super) struct Batch {
-    /// The page that takes the settled ones.
+    /// The page for those that are done.
     pub(super) page: head::Page,
-    /// Its body.
+    /// The body of the page.
     pub(super) body: bytes::Bytes,
-    /// All that leave.
+    /// All entries to remove from the head.
     pub(super) moved: Vec<(ids::Key, head::Token)>,
 }
 
-/// Entries to be moved: one batch for keys with a time, one for the others.
-/// Entries that did not run are dropped: their keys may be claimed again.
+/// Returns the entries to move out of a large head: one batch for timed keys, one
+/// for the others. Entries that did not run are dropped, since their keys may be
+/// claimed again.
 pub(super) fn split(prefix: &str, head: &head::Head, size: usize) -> Vec<Batch> {
-    if size <= PAGE_AT {
+    if size <= PAGING_THRESHOLD_BYTES {
         return Vec::new();
     }
     let settled = head
@@ -67,50 +69,53 @@
     }
 }
 
-/// A page is named by its content: VMs that make it at once make the same.
+/// Names a page by its content, so that VMs that create the same page
+/// concurrently write the same object.
 fn name(prefix: &str, body: &[u8]) -> String {
     format!("{prefix}/{:032x}", xxhash_rust::xxh3::xxh3_128(body))
 }
 
-/// The time up to which timed keys may be forgotten, where any claim is that old.
+/// Returns the time up to which timed keys may be deleted, or `None` if no claim
+/// is that old.
 pub(super) fn cutoff(
     head: &head::Head,
     window: time::Duration,
     wall: clock::Wall,
 ) -> Option<clock::Wall> {
-    let kept = clock::millis(window + SKEW);
+    let kept = clock::millis(window + MAX_CLOCK_SKEW);
     let cutoff = clock::Wall(wall.0.saturating_sub(kept));
-    let old = |time: clock::Wall| time <= cutoff;
-    let entry = head.entries.keys().filter_map(key::time).any(old);
+    let expired = |time: clock::Wall| time <= cutoff;
+    let entry = head.entries.keys().filter_map(key::time).any(expired);
     let page = head
         .pages
         .iter()
         .filter_map(|page| page.times)
-        .any(|(_, to)| old(to));
+        .any(|(_, to)| expired(to));
     (entry || page).then_some(cutoff)
 }
 
-/// Pages of keys without a time whose results are past the window.
-pub(super) fn old(
+/// Returns the oldest pages of untimed keys whose results are outside the window,
+/// once there are enough to compact.
+pub(super) fn compactable(
     head: &head::Head,
     window: time::Duration,
     wall: clock::Wall,
 ) -> Option<Vec<head::Page>> {
-    let old = |page: &&head::Page| {
-        page.times.is_none() && !page.hashes && wall.since(page.newest) > window + SKEW
+    let outside_window = |page: &&head::Page| {
+        page.times.is_none() && !page.hashes && wall.since(page.newest) > window + MAX_CLOCK_SKEW
     };
     let pages: Vec<_> = head
         .pages
         .iter()
-        .filter(old)
-        .take(BURIED)
+        .filter(outside_window)
+        .take(PAGES_PER_COMPACTION)
         .cloned()
         .collect();
-    (pages.len() == BURIED).then_some(pages)
+    (pages.len() == PAGES_PER_COMPACTION).then_some(pages)
 }
 
-/// The page of hashes that replaces `entries` of old pages.
-pub(super) fn bury(prefix: &str, pages: &[head::Entries]) -> (head::Page, bytes::Bytes) {
+/// Creates the page of key hashes that replaces old pages with these entries.
+pub(super) fn compact(prefix: &str, pages: &[head::Entries]) -> (head::Page, bytes::Bytes) {
     let mut hashes: Vec<_> = pages
         .iter()
         .flat_map(|page| page.keys().map(key::hash))
--- a/crates/geraniumgauge/src/ledger/plan.rs
+++ b/crates/geraniumgauge/src/ledger/plan.rs
@@ -1,4 +1,4 @@
-//! What a registration asks for: its shard, its replicas, its fingerprint.
+//! Derives the shard, the replicas and the fingerprint of a registration.
 
 use crate::document;
 use crate::ids;
@@ -6,18 +6,18 @@
 use crate::query;
 use crate::rendezvous;
 
-/// A registration that was understood.
+/// A parsed registration with the shard and the replicas chosen for it.
 #[derive(Debug, Clone)]
 pub(super) struct Plan {
-    /// What the caller asked for, whatever the order of its JSON's fields.
+    /// Fingerprint of the record, independent of the order of its JSON fields.
     pub(super) fingerprint: ids::Fingerprint,
-    /// The shard that takes the record.
+    /// The shard that stores the record.
     pub(super) shard: ids::Shard,
-    /// Its replicas, the one to try first at the front.
+    /// Replicas of the shard, in the order in which they are tried.
     pub(super) replicas: Vec<ids::Upstream>,
     /// The layout by which the shard was chosen.
     pub(super) layout: ids::LayoutVersion,
-    /// The body for the upstream.
+    /// The request body that is sent to the upstream.
     pub(super) body: bytes::Bytes,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Plan {
-    /// Reads the caller's body against what is in force.
+    /// Parses the caller's body and chooses a shard of the layout in force.
     pub(super) fn new(
         service: &ids::Service,
         key: &ids::Key,
@@ -36,7 +36,7 @@
         in_force: &document::InForce,
     ) -> Result<Self, query::Refusal> {
         let bad = |error: serde_json::Error| {
-            let text = format!("the record is no JSON: {error}");
+            let text = format!("the record is not valid JSON: {error}");
             query::Refusal::not_run(query::Code::BadRequest, text)
         };
         let record: &serde_json::value::RawValue = serde_json::from_slice(body).map_err(bad)?;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The shard that the caller names, else one by the key.
+/// Returns the shard that the record names, else one chosen by the key.
 fn shard<'a>(
     key: &ids::Key,
     record: &serde_json::Value,
@@ -70,14 +70,14 @@
     };
     found.ok_or_else(|| {
         let text = match named {
-            Some(name) => format!("the service has no shard {name}"),
+            Some(name) => format!("the service has no shard {name:?}"),
             None => "the service's layout has no shards".to_owned(),
         };
         query::Refusal::not_run(query::Code::NotFound, text)
     })
 }
 
-/// Replicas by the key, so that keys spread over them.
+/// Orders the replicas by the key, so that keys are distributed over them.
 fn ranked(key: &ids::Key, replicas: &[ids::Upstream]) -> Vec<ids::Upstream> {
     let mut ranked = replicas.to_vec();
     ranked.sort_by_key(|replica| std::cmp::Reverse(weight(key, replica.as_str())));
@@ -89,10 +89,10 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), seed)
 }
 
-/// The VM that claims for the keys of a bucket.
+/// Returns the VM that claims for the keys of a bucket.
 pub(super) fn claimant(service: &ids::Service, slot: u64, view: &crate::member::View) -> ids::Vm {
-    let duty = format!("ledger/{service}/{slot}");
+    let assignment = format!("ledger/{service}/{slot}");
     let vms = view.assignable().map(|member| &member.vm);
-    let picked = rendezvous::pick(&duty, vms, 1);
+    let picked = rendezvous::pick(&assignment, vms, 1);
     picked.first().map_or(&view.local, |vm| *vm).clone()
 }
--- a/crates/geraniumgauge/src/ledger/send.rs
+++ b/crates/geraniumgauge/src/ledger/send.rs
@@ -1,8 +1,8 @@
-//! Sends one claimed record: where to, and what each end means.
+//! Delivers one claimed record: chooses the upstream and interprets the reply.
 //!
-//! A state machine without I/O. After the claim is granted, the record is sent
-//! at most once in a way that may start the work. Only an attempt that is known
-//! not to have run is followed by another one, under the same claim.
+//! A state machine without I/O. Under one claim the record is sent at most once
+//! in a way that may run it: a further attempt is made only if the previous one
+//! is known not to have run.
 
 use std::collections;
 use std::time;
@@ -13,59 +13,61 @@
 use crate::query;
 use crate::time as clock;
 
-/// When to come back after a record that loaded upstreams did not take.
-const AGAIN_LOADED: time::Duration = time::Duration::from_millis(500);
-/// When to come back after a record that no upstream could be reached for.
-const AGAIN_AWAY: time::Duration = time::Duration::from_secs(1);
+/// Delay suggested to the caller when overloaded upstreams did not accept the
+/// record, or the deadline passed before it was sent.
+const OVERLOADED_RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
+/// Delay suggested to the caller when no upstream could be reached.
+const UNREACHABLE_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
 
-/// Which home of the upstream takes the record.
+/// The home of the upstream that the record is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Home {
     Primary,
     Standby,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Event {
-    /// The home has answered.
+    /// The home replied.
     Reply(message::Outcome, bytes::Bytes),
-    /// Nothing has left this VM.
+    /// Nothing was sent by this VM.
     Unsent,
-    /// The link to the home was lost after the record was handed to it.
+    /// The link to the home was lost after the record was sent to it.
     Lost,
 }
 
-/// What to do next.
+/// What the caller of the state machine has to do next.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Action {
     Send(ids::Upstream, Home),
     End(End),
 }
 
-/// How it ended.
+/// How the delivery of a record ended.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum End {
-    /// It has run; the upstream's result.
+    /// The record has run; contains the upstream's result.
     Done(bytes::Bytes),
-    /// It has not run, and nobody may send under this claim any more.
+    /// The record has not run, and will not be sent again under this claim.
     NotRun(query::Refusal),
-    /// It may have run.
+    /// The record may have run.
     Unknown(query::Refusal),
 }
 
-/// One claimed record on its way.
+/// The delivery of one claimed record.
 #[derive(Debug)]
-pub(super) struct Sending {
+pub(super) struct Delivery {
     current: (ids::Upstream, Home),
     rest: collections::VecDeque<ids::Upstream>,
     deadline: clock::Moment,
-    /// The upstream's connection was lost while it ran.
+    /// Set when the upstream's connection was lost while the record ran.
     crashed: bool,
 }
 
-impl Sending {
-    /// A record for the first of `replicas`, or any of the others.
+impl Delivery {
+    /// Creates the delivery of a record to upstream `first`; those in `rest` are
+    /// tried in order if it did not run there.
     pub(super) fn new(
         first: ids::Upstream,
         rest: impl IntoIterator<Item = ids::Upstream>,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// What its end says of a lone trial.
+    /// Converts the end of the delivery to the end of its isolated trial.
     pub(super) fn trial_end(&self, end: &End) -> quarantine::trial::End {
         match end {
             End::Done(_) => quarantine::trial::End::Completed,
@@ -89,21 +91,22 @@
         }
     }
 
-    /// The upstream that it was last sent to, or is about to be.
+    /// Returns the upstream that the record was last sent to, or is about to be.
     pub(super) fn upstream(&self) -> &ids::Upstream {
         &self.current.0
     }
 
-    /// The first attempt. The claim may have taken long: a record past its
-    /// deadline is not sent.
+    /// Returns the first attempt, or the end if the deadline passed while the
+    /// claim was made.
     pub(super) fn start(&self, now: clock::Moment) -> Action {
         if now >= self.deadline {
-            return Action::End(End::NotRun(late()));
+            return Action::End(End::NotRun(deadline_passed()));
         }
         Action::Send(self.current.0.clone(), self.current.1)
     }
 
-    /// Follows what came of the attempt. `pay` takes from the retry budget.
+    /// Handles the result of the attempt. `pay` spends from the retry budget and
+    /// returns whether the budget allowed it.
     pub(super) fn on(
         &mut self,
         event: Event,
@@ -124,17 +127,18 @@
                 Action::End(End::Unknown(unknown(outcome)))
             }
             Event::Lost => {
-                let text = "the link to the VM that sends the record was lost";
+                let text = "the link to the VM that sends the record to the upstream was lost";
                 let refusal = query::Refusal::unknown(query::Code::Unavailable, text);
                 Action::End(End::Unknown(refusal))
             }
         }
     }
 
-    /// No upstream has seen the record, so another home costs them nothing.
+    /// Tries the standby home without paying from the retry budget: the upstream
+    /// has not seen the record, so this adds no load to it.
     fn other_home(&mut self, now: clock::Moment, pay: impl FnOnce() -> bool) -> Action {
         if self.current.1 == Home::Standby {
-            return self.other_replica(now, pay, away());
+            return self.other_replica(now, pay, unreachable());
         }
         self.current.1 = Home::Standby;
         self.start(now)
@@ -157,37 +161,41 @@
     }
 }
 
-fn late() -> query::Refusal {
+fn deadline_passed() -> query::Refusal {
     let text = "the deadline passed before the record was sent";
-    query::Refusal::not_run(query::Code::Deadline, text).retry_after(AGAIN_LOADED)
+    query::Refusal::not_run(query::Code::Deadline, text).retry_after(OVERLOADED_RETRY_DELAY)
 }
 
-fn away() -> query::Refusal {
+fn unreachable() -> query::Refusal {
     let text = "no upstream of the shard can be reached";
-    query::Refusal::not_run(query::Code::Unavailable, text).retry_after(AGAIN_AWAY)
+    query::Refusal::not_run(query::Code::Unavailable, text).retry_after(UNREACHABLE_RETRY_DELAY)
 }
 
 fn refusal(outcome: message::Outcome) -> query::Refusal {
     match outcome {
         message::Outcome::Late | message::Outcome::Shed => {
-            let text = "the upstreams of the shard are too loaded to take the record";
-            query::Refusal::not_run(query::Code::Overloaded, text).retry_after(AGAIN_LOADED)
+            let text = "the upstreams of the shard are overloaded and did not accept the record";
+            query::Refusal::not_run(query::Code::Overloaded, text)
+                .retry_after(OVERLOADED_RETRY_DELAY)
         }
-        _ => away(),
+        _ => unreachable(),
     }
 }
 
 fn unknown(outcome: message::Outcome) -> query::Refusal {
     let (code, text) = match outcome {
-        message::Outcome::Deadline => (query::Code::Deadline, "the deadline passed while it ran"),
-        message::Outcome::Silent => (query::Code::Unavailable, "the upstream has gone silent"),
+        message::Outcome::Deadline => (
+            query::Code::Deadline,
+            "the deadline passed while the record ran",
+        ),
+        message::Outcome::Silent => (query::Code::Unavailable, "the upstream stopped responding"),
         message::Outcome::Failed => (query::Code::Unavailable, "the upstream reported an error"),
         _ => (
             query::Code::Unavailable,
-            "the connection was lost while it ran",
+            "the connection to the upstream was lost while the record ran",
         ),
     };
-    let text = format!("{text}; read the key back before sending it again");
+    let text = format!("{text}; read the key's state before sending the record again");
     query::Refusal::unknown(code, text)
 }
 
--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -1,4 +1,4 @@
-//! The handle of the ledger on one VM.
+//! The ledger's service on one VM.
 
 use std::collections;
 use std::sync;
@@ -11,13 +11,13 @@
 use crate::document;
 use crate::ids;
 use crate::ledger;
-use crate::ledger::admit;
-use crate::ledger::book;
+use crate::ledger::admission;
 use crate::ledger::bucket;
 use crate::ledger::change;
 use crate::ledger::head;
+use crate::ledger::instruments;
 use crate::ledger::key;
-use crate::ledger::meter;
+use crate::ledger::limiter;
 use crate::ledger::table;
 use crate::member;
 use crate::mesh;
@@ -29,22 +29,23 @@
 use crate::time as clock;
 use crate::timer;
 
-/// Tokens a service's retry budget holds at most.
-const RETRY_CAP: f64 = 10.0;
-/// Attempts are numbered from the incarnation, in milliseconds, shifted by this:
-/// a start that makes fewer than a million a millisecond repeats no number.
+/// Maximum number of tokens in the retry budget of a service.
+const MAX_RETRY_TOKENS: f64 = 10.0;
+/// The first attempt number is the incarnation (the start time in milliseconds)
+/// shifted left by this. Numbers stay unique across restarts at up to a million
+/// attempts per millisecond.
 const ATTEMPT_BITS: u32 = 20;
-/// Longest read of one key's state.
-const LOOK: time::Duration = time::Duration::from_secs(2);
+/// Timeout for reading the state of one key.
+const LOOKUP_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Settings.
+/// Identity and location of this VM.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This VM.
+    /// Name of this VM.
     pub vm: ids::Vm,
-    /// Which start of it.
+    /// Incarnation of this VM, which differs at each start.
     pub incarnation: ids::Incarnation,
-    /// Where it runs.
+    /// Data centre of this VM.
     pub data_centre: ids::DataCentre,
 }
 
@@ -58,24 +59,24 @@
     pub(super) config: Config,
     pub(super) catalog: document::Catalog,
     pub(super) view: watch::Receiver<member::SharedView>,
-    pub(super) post: sync::Arc<dyn mesh::Sender>,
+    pub(super) sender: sync::Arc<dyn mesh::Sender>,
     store: sync::Arc<dyn store::Api>,
-    pub(super) book: sync::Arc<dyn book::Book>,
+    pub(super) admission: sync::Arc<dyn admission::Admission>,
     pub(super) slo: sync::Arc<dyn slo::Record>,
     pub(super) clock: clock::Clock,
     pub(super) timer: timer::Service,
-    pub(super) meter: meter::Meter,
+    pub(super) instruments: instruments::Instruments,
     attempts: atomic::AtomicU64,
     buckets: sync::Mutex<collections::HashMap<(ids::Service, u64), bucket::Bucket>>,
-    pub(super) records: table::Table<message::RecordReply>,
-    pub(super) handed: table::Table<message::Registered>,
-    pub(super) admission: admit::Admission,
+    pub(super) sent_records: table::Table<message::RecordReply>,
+    pub(super) remote_claims: table::Table<message::Registered>,
+    pub(super) limiter: limiter::Limiter,
     retries: sync::Mutex<collections::HashMap<ids::Service, rate::Budget>>,
     running: watch::Sender<u64>,
     leaving: atomic::AtomicBool,
 }
 
-/// A registration counted as running, until dropped.
+/// Counts a registration as running until dropped.
 pub(super) struct Running {
     service: Service,
 }
@@ -90,41 +91,43 @@
 }
 
 impl Service {
-    /// A ledger over what is in force and who is there. Call within a runtime.
+    /// Creates the ledger's service from the documents and layouts in force and the
+    /// members of the cluster. Must be called within a tokio runtime.
     #[expect(
         clippy::too_many_arguments,
-        reason = "each is a part that the daemon wires"
+        reason = "each is a dependency that the daemon supplies"
     )]
     pub fn start(
         config: Config,
         catalog: document::Catalog,
         view: watch::Receiver<member::SharedView>,
-        post: sync::Arc<dyn mesh::Sender>,
+        sender: sync::Arc<dyn mesh::Sender>,
         store: sync::Arc<dyn store::Api>,
-        book: sync::Arc<dyn book::Book>,
+        admission: sync::Arc<dyn admission::Admission>,
         slo: sync::Arc<dyn slo::Record>,
         clock: clock::Clock,
         timer: timer::Service,
         meter: &metrics::Meter,
     ) -> Self {
-        // Replies to an earlier start of this VM must fit no attempt of this one.
+        // A reply to an earlier incarnation of this VM must not match an attempt of
+        // this one.
         let first = config.incarnation.0 << ATTEMPT_BITS;
         let inner = Inner {
             config,
             catalog,
             view,
-            post,
+            sender,
             store,
-            book,
+            admission,
             slo,
             clock,
             timer,
-            meter: meter::Meter::new(meter),
+            instruments: instruments::Instruments::new(meter),
             attempts: atomic::AtomicU64::new(first),
             buckets: sync::Mutex::default(),
-            records: table::Table::default(),
-            handed: table::Table::default(),
-            admission: admit::Admission::default(),
+            sent_records: table::Table::default(),
+            remote_claims: table::Table::default(),
+            limiter: limiter::Limiter::default(),
             retries: sync::Mutex::default(),
             running: watch::Sender::new(0),
             leaving: atomic::AtomicBool::new(false),
@@ -134,8 +137,8 @@
         }
     }
 
-    /// Runs a registration, or answers it from the record. Goes on to its end
-    /// when the caller is gone.
+    /// Runs a registration, or answers it from the record. Continues to its end even
+    /// if the returned future is dropped.
     ///
     /// # Errors
     /// A refusal that states whether the registration may have run.
@@ -147,16 +150,17 @@
         let running = self.run();
         let task = tokio::spawn(async move {
             let _running = running;
-            this.enter(registration).await
+            this.coordinate(registration).await
         });
-        let told = task.await.unwrap_or_else(|_| Err(fault()));
-        if let Err(refusal) = &told {
-            self.inner.meter.refusal(refusal);
+        let outcome = task.await.unwrap_or_else(|_| Err(no_outcome()));
+        if let Err(refusal) = &outcome {
+            self.inner.instruments.refusal(refusal);
         }
-        told
+        outcome
     }
 
-    /// Another VM's entry hands over a registration for a bucket of this VM.
+    /// Handles a registration that coordinator `from` passes to this VM as the
+    /// claimant.
     pub fn handed(&self, from: &ids::Vm, register: message::Register) {
         let this = self.clone();
         let from = from.clone();
@@ -164,37 +168,38 @@
         tokio::spawn(async move {
             let _running = running;
             let attempt = register.attempt;
-            let told = match this.inner.leaving.load(atomic::Ordering::Acquire) {
+            let outcome = match this.inner.leaving.load(atomic::Ordering::Acquire) {
                 true => Err(stopping()),
                 false => this.claim_for(register).await,
             };
-            let body = message::Body::Registered(registered(attempt, told));
-            if let Err(error) = this.inner.post.send(&from, body) {
-                log::warn!("the end of a registration can't be told: {error}");
+            let body = message::Body::Registered(registered(attempt, outcome));
+            if let Err(error) = this.inner.sender.send(&from, body) {
+                log::warn!("can't send the outcome of a registration to its coordinator: {error}");
             }
         });
     }
 
-    /// A claimant has ended a registration that this VM handed over.
+    /// Handles a claimant's reply to a registration that this VM passed to it.
     pub fn registered(&self, from: &ids::Vm, registered: message::Registered) {
         let attempt = ids::Attempt(registered.attempt);
-        self.inner.handed.answer(from, attempt, registered);
+        self.inner.remote_claims.reply(from, attempt, registered);
     }
 
-    /// A home tells what became of a record.
+    /// Handles a home's reply to a record that this VM sent.
     pub fn record_reply(&self, from: &ids::Vm, reply: message::RecordReply) {
         let attempt = ids::Attempt(reply.attempt);
-        self.inner.records.answer(from, attempt, reply);
+        self.inner.sent_records.reply(from, attempt, reply);
     }
 
-    /// The link to `vm` was lost.
+    /// Ends all waits for `vm`, since the link to it was lost.
     pub fn lost(&self, vm: &ids::Vm) {
-        self.inner.records.lost(vm);
-        self.inner.handed.lost(vm);
+        self.inner.sent_records.link_lost(vm);
+        self.inner.remote_claims.link_lost(vm);
     }
 
-    /// This VM is stopping: entries whose views lag are told to claim by
-    /// themselves. What is here already is finished.
+    /// Stops accepting registrations from other VMs: coordinators whose views still
+    /// list this VM are refused and claim by themselves. Accepted registrations are
+    /// finished.
     pub fn leave(&self) {
         self.inner.leaving.store(true, atomic::Ordering::Release);
     }
@@ -209,27 +214,29 @@
         }
     }
 
-    /// What is recorded of a key.
+    /// Returns what is recorded for a key.
     ///
     /// # Errors
-    /// Where the store can't be read in time.
+    /// If the service does not exist, or the store can't be read in time.
     pub async fn state(
         &self,
         service: &ids::Service,
         key: &ids::Key,
-    ) -> Result<ledger::Standing, query::Refusal> {
+    ) -> Result<ledger::Status, query::Refusal> {
         if self.inner.catalog.get(service).is_none() {
             return Err(unknown_service(service));
         }
         let bucket = self.bucket(service, key::slot(key));
-        match bucket.look(key, LOOK).await {
-            change::Verdict::Taken(entry) => Ok(ledger::Standing::of(entry)),
+        match bucket.look_up(key, LOOKUP_TIMEOUT).await {
+            change::Verdict::Taken(entry) => Ok(ledger::Status::of(entry)),
             change::Verdict::Paged(page) => self.paged(key, &page).await,
-            change::Verdict::Unseen | change::Verdict::Expired => Ok(ledger::Standing::unseen()),
+            change::Verdict::Unrecorded | change::Verdict::Expired => {
+                Ok(ledger::Status::unrecorded())
+            }
             change::Verdict::Failed(reason) => {
                 Err(query::Refusal::not_run(query::Code::Unavailable, reason))
             }
-            _ => Ok(ledger::Standing::forgotten()),
+            _ => Ok(ledger::Status::hash_only()),
         }
     }
 
@@ -237,15 +244,16 @@
         &self,
         key: &ids::Key,
         page: &head::Page,
-    ) -> Result<ledger::Standing, query::Refusal> {
+    ) -> Result<ledger::Status, query::Refusal> {
         let entry = self.entry(key, page).await;
         let entry =
             entry.map_err(|reason| query::Refusal::not_run(query::Code::Unavailable, reason))?;
-        let forgotten = ledger::Standing::forgotten;
-        Ok(entry.map_or_else(forgotten, ledger::Standing::of))
+        let hash_only = ledger::Status::hash_only;
+        Ok(entry.map_or_else(hash_only, ledger::Status::of))
     }
 
-    /// The entry of a key in a page; `None` where the page has its hash only.
+    /// Reads the entry of a key from a page. Returns `None` if the page contains only
+    /// its hash.
     pub(super) async fn entry(
         &self,
         key: &ids::Key,
@@ -261,19 +269,19 @@
         Ok(entries.remove(key))
     }
 
-    /// The task of a bucket, started when first needed.
+    /// Returns the handle of a bucket, whose task is started when first used.
     pub(super) fn bucket(&self, service: &ids::Service, slot: u64) -> bucket::Bucket {
         let mut buckets = self.buckets();
         let bucket = buckets.entry((service.clone(), slot));
         let start = || {
-            bucket::Bucket::start(bucket::Parts {
+            bucket::Bucket::start(bucket::Context {
                 vm: self.inner.config.vm.clone(),
                 service: service.clone(),
                 slot,
                 store: self.inner.store.clone(),
                 clock: self.inner.clock,
                 timer: self.inner.timer.clone(),
-                meter: self.inner.meter.clone(),
+                instruments: self.inner.instruments.clone(),
                 catalog: self.inner.catalog.clone(),
             })
         };
@@ -293,24 +301,24 @@
         ids::Attempt(self.inner.attempts.fetch_add(1, atomic::Ordering::Relaxed))
     }
 
-    /// Earns for one first attempt.
+    /// Adds the share of one first attempt to the retry budget of `service`.
     pub(super) fn earn(&self, service: &ids::Service, share: rate::Share) {
         let mut retries = self.retries();
         let budget = retries
             .entry(service.clone())
-            .or_insert_with(|| rate::Budget::new(share, RETRY_CAP));
-        budget.set(share, RETRY_CAP);
+            .or_insert_with(|| rate::Budget::new(share, MAX_RETRY_TOKENS));
+        budget.set(share, MAX_RETRY_TOKENS);
         budget.earn(1);
     }
 
-    /// Pays for one retry.
+    /// Spends one retry from the budget of `service`; returns false if it has none.
     pub(super) fn pay(&self, service: &ids::Service) -> bool {
         let paid = self
             .retries()
             .get_mut(service)
             .is_some_and(rate::Budget::spend);
         if paid {
-            self.inner.meter.retry();
+            self.inner.instruments.retry();
         }
         paid
     }
@@ -330,9 +338,9 @@
     }
 }
 
-/// A registration whose task has ended by a fault of this program.
-fn fault() -> query::Refusal {
-    let text = "a fault of this program ended the registration; read the key back";
+/// The refusal of a registration whose task ended without an outcome.
+fn no_outcome() -> query::Refusal {
+    let text = "an internal error ended the registration; read the key's state";
     query::Refusal::unknown(query::Code::Internal, text)
 }
 
@@ -342,16 +350,16 @@
 }
 
 pub(super) fn unknown_service(service: &ids::Service) -> query::Refusal {
-    let text = format!("there is no service {service}");
+    let text = format!("service {service} does not exist");
     query::Refusal::not_run(query::Code::NotFound, text)
 }
 
-/// What a claimant tells the entry.
+/// Creates the claimant's reply to the coordinator.
 fn registered(
     attempt: u64,
-    told: Result<Box<serde_json::value::RawValue>, query::Refusal>,
+    outcome: Result<Box<serde_json::value::RawValue>, query::Refusal>,
 ) -> message::Registered {
-    match told {
+    match outcome {
         Ok(result) => message::Registered {
             attempt,
             done: true,
--- a/crates/geraniumgauge/src/ledger/standing.rs
+++ b/crates/geraniumgauge/src/ledger/status.rs
@@ -1,46 +1,48 @@
-//! What the owner of a batch reads back of each key.
+//! The recorded status of a key, as callers read it.
 
 use crate::ids;
 use crate::ledger::head;
 use crate::time;
 
-/// Where a key stands.
+/// The state of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum State {
-    /// It has run, once.
+    /// The registration has run, once.
     Done,
-    /// It has not run, and a repeat may run.
+    /// The registration has not run, and a repeat may run.
     NotRun,
-    /// It is being run, or whether it ran isn't known. A repeat will not run it.
+    /// The registration is running, or whether it ran is unknown. A repeat will
+    /// not run it.
     Unsettled,
-    /// Nothing is recorded: it has not run, or is too old to tell.
+    /// Nothing is recorded: the registration has not run, or the key is older than
+    /// the window.
     Unknown,
 }
 
-/// What is recorded of a key.
+/// What is recorded for a key.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize, serde::Deserialize)]
-pub struct Standing {
-    /// Where it stands.
+pub struct Status {
+    /// The state of the key.
     pub state: State,
-    /// The caller's request that it was claimed for.
+    /// The caller's request that the key was claimed for.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<ids::Request>,
-    /// When it was claimed.
+    /// When the key was claimed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub since: Option<time::Wall>,
-    /// The upstream it was last sent to, or was about to be.
+    /// The upstream that the record was last sent to, or was about to be.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub upstream: Option<ids::Upstream>,
-    /// The result, where done and still kept.
+    /// The upstream's result, if done and still kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub result: Option<Box<serde_json::value::RawValue>>,
 }
 
-impl Standing {
+impl Status {
     pub(super) fn of(entry: head::Entry) -> Self {
         let state = match entry.state {
             head::State::Claimed => State::Unsettled,
@@ -56,16 +58,18 @@
         }
     }
 
-    pub(super) fn unseen() -> Self {
-        Self::bare(State::Unknown)
+    /// The status of a key without a record.
+    pub(super) fn unrecorded() -> Self {
+        Self::without_entry(State::Unknown)
     }
 
-    /// Only the hash of the key is left, and only keys that are done get there.
-    pub(super) fn forgotten() -> Self {
-        Self::bare(State::Done)
+    /// The status of a key of which only the hash is left. Only keys that are done
+    /// are reduced to their hash.
+    pub(super) fn hash_only() -> Self {
+        Self::without_entry(State::Done)
     }
 
-    fn bare(state: State) -> Self {
+    fn without_entry(state: State) -> Self {
         Self {
             state,
             request: None,
--- a/crates/geraniumgauge/src/ledger/table.rs
+++ b/crates/geraniumgauge/src/ledger/table.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for a frame from another VM.
+//! Table of attempts that wait for a reply frame from another VM.
 
 use std::collections;
 use std::sync;
@@ -7,7 +7,7 @@
 
 use crate::ids;
 
-/// Senders by attempt, with the VM that is to answer. Clones share them.
+/// Reply channels by attempt, each with the VM that is expected to reply.
 #[derive(Debug)]
 pub(super) struct Table<T> {
     waiting: sync::Arc<sync::Mutex<Waiting<T>>>,
@@ -23,60 +23,60 @@
     }
 }
 
-/// One waiting attempt; dropped, a late answer is passed over.
+/// One waiting attempt. After it is dropped, a late reply is ignored.
 #[derive(Debug)]
-pub(super) struct Slot<T> {
+pub(super) struct Waiter<T> {
     waiting: sync::Arc<sync::Mutex<Waiting<T>>>,
     attempt: ids::Attempt,
-    answer: oneshot::Receiver<T>,
+    reply: oneshot::Receiver<T>,
     ended: bool,
 }
 
 impl<T> Table<T> {
-    /// Starts to wait for `vm` to answer `attempt`.
-    pub(super) fn wait(&self, attempt: ids::Attempt, vm: ids::Vm) -> Slot<T> {
-        let (tell, answer) = oneshot::channel();
-        lock(&self.waiting).insert(attempt, (vm, tell));
-        Slot {
+    /// Registers `attempt` to wait for a reply from `vm`.
+    pub(super) fn wait(&self, attempt: ids::Attempt, vm: ids::Vm) -> Waiter<T> {
+        let (sender, reply) = oneshot::channel();
+        lock(&self.waiting).insert(attempt, (vm, sender));
+        Waiter {
             waiting: self.waiting.clone(),
             attempt,
-            answer,
+            reply,
             ended: false,
         }
     }
 
-    /// Hands an answer on, where `from` is the VM that was asked.
-    pub(super) fn answer(&self, from: &ids::Vm, attempt: ids::Attempt, answer: T) {
+    /// Delivers a reply if `from` is the VM that was asked; ignores it otherwise.
+    pub(super) fn reply(&self, from: &ids::Vm, attempt: ids::Attempt, reply: T) {
         let mut waiting = lock(&self.waiting);
         if waiting.get(&attempt).is_some_and(|(vm, _)| vm == from) {
             let found = waiting.remove(&attempt);
             drop(waiting);
-            if let Some((_, tell)) = found {
-                let _ = tell.send(answer);
+            if let Some((_, sender)) = found {
+                let _ = sender.send(reply);
             }
         }
     }
 
-    /// Drops what waits for `vm`: its slots end without an answer.
-    pub(super) fn lost(&self, vm: &ids::Vm) {
+    /// Ends all waits for `vm` without a reply, since the link to it was lost.
+    pub(super) fn link_lost(&self, vm: &ids::Vm) {
         lock(&self.waiting).retain(|_, (asked, _)| asked != vm);
     }
 }
 
-impl<T> Slot<T> {
-    /// The answer; `None` where the link was lost or it was taken before. May
-    /// be called again after being cancelled.
-    pub(super) async fn answer(&mut self) -> Option<T> {
+impl<T> Waiter<T> {
+    /// Waits for the reply. Returns `None` if the link was lost or the reply was
+    /// already returned. Cancel safe: may be called again after being cancelled.
+    pub(super) async fn reply(&mut self) -> Option<T> {
         if self.ended {
             return None;
         }
-        let answer = (&mut self.answer).await.ok();
+        let reply = (&mut self.reply).await.ok();
         self.ended = true;
-        answer
+        reply
     }
 }
 
-impl<T> Drop for Slot<T> {
+impl<T> Drop for Waiter<T> {
     fn drop(&mut self) {
         lock(&self.waiting).remove(&self.attempt);
     }
--- a/crates/geraniumgauge/src/ledger/tests/commit.rs
+++ b/crates/geraniumgauge/src/ledger/tests/commit.rs
@@ -34,12 +34,12 @@
 fn step(commit: &mut Commit, objects: &mut store::Objects) -> Action {
     let action = commit.next();
     match &action {
-        Action::Read => commit.read(objects.get("head")),
-        Action::Load(page) => commit.loaded(page, objects.get(&page.id)),
+        Action::Read => commit.on_read(objects.get("head")),
+        Action::Load(page) => commit.on_loaded(page, objects.get(&page.id)),
         Action::Write(body, condition) => {
-            commit.written(objects.put("head", body.clone(), *condition));
+            commit.on_written(objects.put("head", body.clone(), *condition));
         }
-        Action::Pause | Action::Idle => {}
+        Action::Backoff | Action::Idle => {}
     }
     action
 }
@@ -69,7 +69,10 @@
     }
     assert_eq!(until_idle(&mut commit, &mut objects), 1);
     let granted = |(_, verdict): &(_, _)| matches!(verdict, change::Verdict::Granted);
-    assert_eq!(commit.verdicts().iter().filter(|v| granted(v)).count(), 100);
+    assert_eq!(
+        commit.take_verdicts().iter().filter(|v| granted(v)).count(),
+        100
+    );
 }
 
 /// Story: the reply to a claim is lost and the claimant gives up; a read shows
@@ -83,7 +86,7 @@
     let Action::Write(late, condition) = commit.next() else {
         panic!("no write");
     };
-    commit.written(Err(unsure()));
+    commit.on_written(Err(unsure()));
     commit.abandon(change::Ticket(1), key("lot-1"), entry(1));
     assert!(matches!(step(&mut commit, &mut objects), Action::Read));
     until_idle(&mut commit, &mut objects);
@@ -103,10 +106,10 @@
         panic!("no write");
     };
     objects.put("head", body, condition).unwrap();
-    commit.written(Err(unsure()));
+    commit.on_written(Err(unsure()));
     assert_eq!(until_idle(&mut commit, &mut objects), 0);
-    assert_eq!(commit.settled(), 1);
-    let verdicts = commit.verdicts();
+    assert_eq!(commit.take_resolved(), 1);
+    let verdicts = commit.take_verdicts();
     assert!(
         matches!(verdicts[..], [(_, change::Verdict::Granted)]),
         "{verdicts:?}"
@@ -118,14 +121,14 @@
 #[test]
 fn an_older_state_of_the_store_grants_nothing() {
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
-    let older = objects.clone();
+    let find_expired_or_paged = objects.clone();
     claim(&mut commit, 1, "lot-1");
     until_idle(&mut commit, &mut objects);
-    commit.verdicts();
-    let mut objects = older;
+    commit.take_verdicts();
+    let mut objects = find_expired_or_paged;
     claim(&mut commit, 2, "lot-2");
     until_idle(&mut commit, &mut objects);
-    let verdicts = commit.verdicts();
+    let verdicts = commit.take_verdicts();
     assert!(
         matches!(verdicts[..], [(_, change::Verdict::Failed(_))]),
         "{verdicts:?}"
@@ -141,14 +144,14 @@
     };
     let mut commit = Commit::default();
     claim(&mut commit, 1, "lot-1");
-    for _ in 0..PATIENCE {
+    for _ in 0..FAILURES_BEFORE_REFUSAL {
         while !matches!(commit.next(), Action::Read) {}
-        commit.read(Err(down()));
+        commit.on_read(Err(down()));
     }
-    assert_eq!(commit.verdicts().len(), 1);
+    assert_eq!(commit.take_verdicts().len(), 1);
     claim(&mut commit, 2, "lot-2");
     while !matches!(commit.next(), Action::Read) {}
-    commit.read(Err(down()));
-    assert_eq!(commit.verdicts().len(), 1);
+    commit.on_read(Err(down()));
+    assert_eq!(commit.take_verdicts().len(), 1);
     assert!(commit.is_idle());
 }
--- a/crates/geraniumgauge/src/ledger/tests/link.rs
+++ b/crates/geraniumgauge/src/ledger/tests/link.rs
@@ -140,7 +140,7 @@
 }
 
 #[async_trait::async_trait]
-impl ledger::Book for Link {
+impl ledger::Admission for Link {
     async fn admit(
         &self,
         _service: &ids::Service,
--- a/crates/geraniumgauge/src/ledger/tests/send.rs
+++ b/crates/geraniumgauge/src/ledger/tests/send.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::mesh::message::Outcome;
 
-fn sending() -> Sending {
+fn sending() -> Delivery {
     let upstream = |name: &str| name.parse::<ids::Upstream>().unwrap();
     let deadline = clock::Moment::from_millis(1000);
-    Sending::new(upstream("a"), [upstream("b")], deadline)
+    Delivery::new(upstream("a"), [upstream("b")], deadline)
 }
 
 fn reply(outcome: Outcome) -> Event {
--- a/crates/geraniumgauge/src/ledger/unsettled.rs
+++ b/crates/geraniumgauge/src/ledger/unsettled.rs
@@ -1,4 +1,4 @@
-//! Claims whose end isn't known, read from the store alone.
+//! Lists claims with unknown outcome, reading only from the store.
 
 use crate::ids;
 use crate::ledger::head;
@@ -6,25 +6,25 @@
 use crate::store;
 use crate::time;
 
-/// A claim without an outcome: it may have run or be running.
+/// A claim without an outcome: its record may be running or may have run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Unsettled {
     /// The caller's idempotency key.
     pub key: ids::Key,
-    /// The caller's request that it was created for.
+    /// The caller's request that the claim was created for.
     pub request: ids::Request,
-    /// When it was created, by the claimant's clock.
+    /// When the claim was created, by the claimant's clock.
     pub since: time::Wall,
-    /// The upstream it was last sent to, or was about to be.
+    /// The upstream that the record was last sent to, or was about to be.
     pub upstream: ids::Upstream,
 }
 
-/// The claims of `service` without an outcome, oldest first. Those of the last
-/// moments may still be running.
+/// Returns the claims of `service` without an outcome, oldest first. Recent ones
+/// may still be running.
 ///
 /// # Errors
-/// Where the store can't be read, or holds what is no ledger.
+/// If the store can't be read, or an object of the ledger can't be parsed.
 pub async fn unsettled(
     store: &dyn store::Api,
     service: &ids::Service,
@@ -55,6 +55,6 @@
     };
     serde_json::from_slice(&body).map_err(|error| store::Error::Refused {
         key: key.to_owned(),
-        reason: format!("it holds no ledger: {error}"),
+        reason: format!("the object is not a valid ledger: {error}"),
     })
 }
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -1,4 +1,4 @@
-//! The task of one bucket: carries out what [`commit`] decides.
+//! The task of one bucket: executes the actions that [`commit`] returns.
 
 use std::collections;
 use std::time;
@@ -16,235 +16,247 @@
 use crate::store;
 use crate::time as clock;
 
-/// Least time between two updates of one bucket; what comes in between is
-/// committed together.
-const PACE: time::Duration = time::Duration::from_millis(10);
-/// First and longest wait after a failure of the store.
-const BACKOFF: (time::Duration, time::Duration) = (
+/// Minimum time between two updates of one bucket. Changes that arrive in between
+/// are written in one update.
+const UPDATE_INTERVAL: time::Duration = time::Duration::from_millis(10);
+/// Initial and maximum delay after a failure of the store.
+const BACKOFF_BOUNDS: (time::Duration, time::Duration) = (
     time::Duration::from_millis(20),
     time::Duration::from_millis(500),
 );
-/// A call that takes longer than this is taken for an outage: the store answers
-/// in milliseconds. Claims that wait are refused then, not at their deadlines.
-const STALL: time::Duration = time::Duration::from_millis(500);
-/// How often old claims are looked for.
-const TIDY: time::Duration = time::Duration::from_secs(30);
+/// Duration after which a call counts as an outage, since the store normally
+/// replies in milliseconds. Queued claims are refused then rather than at their
+/// deadlines.
+const STALL_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Interval between searches for claims outside the window.
+const CLEANUP_INTERVAL: time::Duration = time::Duration::from_secs(30);
 
-/// One bucket's task.
+/// The state of one bucket's task.
 pub(super) struct Worker {
-    parts: bucket::Parts,
+    context: bucket::Context,
     key: String,
     pages: String,
-    asks: mpsc::UnboundedReceiver<bucket::Ask>,
+    commands: mpsc::UnboundedReceiver<bucket::Command>,
     commit: commit::Commit,
-    tell: collections::HashMap<change::Ticket, oneshot::Sender<change::Verdict>>,
+    verdict_senders: collections::HashMap<change::Ticket, oneshot::Sender<change::Verdict>>,
     drained: Vec<oneshot::Sender<()>>,
-    garbage: Vec<head::Page>,
+    unlisted_pages: Vec<head::Page>,
     backoff: store::Backoff,
-    /// Failures so far.
-    tries: u64,
-    /// The last call took longer than [`STALL`], or the present one does.
+    /// Number of store failures and stalls so far.
+    failures: u64,
+    /// Set when the last or current call takes longer than [`STALL_TIMEOUT`].
     stalled: bool,
-    /// A call is under way.
+    /// Set during a call to the store.
     calling: bool,
-    /// While the store fails or stalls, claims are refused at once until then.
-    closed: clock::Moment,
-    /// The next update is made no earlier.
-    paced: clock::Moment,
-    /// Old claims are looked for again.
-    tidy: clock::Moment,
-    /// The tickets of the worker's own changes count down from the top.
-    own: u64,
+    /// Claims are refused at once until this time if the store fails or stalls.
+    closed_until: clock::Moment,
+    /// Earliest time of the next update.
+    next_update: clock::Moment,
+    /// Time of the next search for claims outside the window.
+    next_cleanup: clock::Moment,
+    /// Ticket of the worker's own last change. Counts down from the maximum, so that
+    /// it doesn't collide with the tickets of submitters.
+    last_own_ticket: u64,
 }
 
 impl Worker {
-    pub(super) fn new(parts: bucket::Parts, asks: mpsc::UnboundedReceiver<bucket::Ask>) -> Self {
+    pub(super) fn new(
+        context: bucket::Context,
+        commands: mpsc::UnboundedReceiver<bucket::Command>,
+    ) -> Self {
         Self {
-            key: key::head(&parts.service, parts.slot),
-            pages: format!("ledger/{}/pages-{}", parts.service, parts.slot),
-            parts,
-            asks,
+            key: key::head(&context.service, context.slot),
+            pages: format!("ledger/{}/pages-{}", context.service, context.slot),
+            context,
+            commands,
             commit: commit::Commit::default(),
-            tell: collections::HashMap::new(),
+            verdict_senders: collections::HashMap::new(),
             drained: Vec::new(),
-            garbage: Vec::new(),
-            backoff: store::Backoff::new(BACKOFF.0, BACKOFF.1),
-            tries: 0,
+            unlisted_pages: Vec::new(),
+            backoff: store::Backoff::new(BACKOFF_BOUNDS.0, BACKOFF_BOUNDS.1),
+            failures: 0,
             stalled: false,
             calling: false,
-            closed: clock::Moment::default(),
-            paced: clock::Moment::default(),
-            tidy: clock::Moment::default(),
-            own: u64::MAX,
+            closed_until: clock::Moment::default(),
+            next_update: clock::Moment::default(),
+            next_cleanup: clock::Moment::default(),
+            last_own_ticket: u64::MAX,
         }
     }
 
     pub(super) async fn run(mut self) {
         loop {
-            while let Ok(ask) = self.asks.try_recv() {
-                self.take(ask);
+            while let Ok(command) = self.commands.try_recv() {
+                self.handle(command);
             }
-            if self.commit.is_due() {
-                let (store, key) = (self.parts.store.clone(), self.key.clone());
-                self.patiently(store.ready(&key)).await;
+            if self.commit.expects_write() {
+                let (store, key) = (self.context.store.clone(), self.key.clone());
+                self.await_call(store.ready(&key)).await;
             }
             let action = self.commit.next();
-            self.deliver();
+            self.deliver_verdicts();
             match action {
                 commit::Action::Idle => {
                     self.drained.clear();
-                    let Some(ask) = self.asks.recv().await else {
+                    let Some(command) = self.commands.recv().await else {
                         return;
                     };
-                    self.take(ask);
-                    self.pace().await;
+                    self.handle(command);
+                    self.wait_for_next_update().await;
                 }
-                commit::Action::Pause => {
+                commit::Action::Backoff => {
                     if !self.wait_closed().await {
                         return;
                     }
                 }
                 action => self.call(action).await,
             }
-            self.collect().await;
+            self.delete_unlisted_pages().await;
         }
     }
 
-    /// Waits before the store is tried again; refuses what comes meanwhile.
-    /// False where the timer was stopped.
+    /// Waits until the backoff delay has passed, and handles commands meanwhile.
+    /// Returns false if the timer was stopped.
     async fn wait_closed(&mut self) -> bool {
         loop {
-            let left = self.parts.clock.now().until(self.closed);
+            let left = self.context.clock.now().until(self.closed_until);
             tokio::select! {
                 biased;
-                going = self.parts.timer.sleep(left) => return going,
-                Some(ask) = self.asks.recv() => self.take(ask),
+                running = self.context.timer.sleep(left) => return running,
+                Some(command) = self.commands.recv() => self.handle(command),
             }
         }
     }
 
-    fn take(&mut self, ask: bucket::Ask) {
-        match ask {
-            bucket::Ask::Submit(_, change::Change::Claim(..) | change::Change::Look(_), tell)
-                if self.is_closed() =>
-            {
-                let reason = "the store is not available".to_owned();
-                let _ = tell.send(change::Verdict::Failed(reason));
+    fn handle(&mut self, command: bucket::Command) {
+        match command {
+            bucket::Command::Submit(
+                _,
+                change::Change::Claim(..) | change::Change::Lookup(_),
+                sender,
+            ) if self.is_closed() => {
+                let reason = "the store is unavailable".to_owned();
+                let _ = sender.send(change::Verdict::Failed(reason));
             }
-            bucket::Ask::Submit(ticket, change, tell) => {
-                self.tell.insert(ticket, tell);
+            bucket::Command::Submit(ticket, change, sender) => {
+                self.verdict_senders.insert(ticket, sender);
                 self.commit.submit(ticket, change);
             }
-            bucket::Ask::Abandon(ticket, key, entry) => {
-                self.tell.remove(&ticket);
+            bucket::Command::Abandon(ticket, key, entry) => {
+                self.verdict_senders.remove(&ticket);
                 self.commit.abandon(ticket, key, entry);
             }
-            bucket::Ask::Drained(done) => self.drained.push(done),
+            bucket::Command::Drained(done) => self.drained.push(done),
         }
     }
 
+    /// Returns whether new claims are refused because the store fails or stalls.
     fn is_closed(&self) -> bool {
         let bad = self.commit.is_failing() || self.stalled;
-        bad && (self.calling || self.parts.clock.now() < self.closed)
+        bad && (self.calling || self.context.clock.now() < self.closed_until)
     }
 
-    /// Waits for a call to the store, and takes what comes meanwhile: nobody is
-    /// to wait for a store that doesn't answer.
-    async fn patiently<T>(&mut self, call: impl Future<Output = T>) -> T {
-        let timer = self.parts.timer.clone();
-        let stall = timer.sleep(STALL);
+    /// Waits for a call to the store, and handles commands meanwhile. Refuses claims
+    /// once the call takes too long, so that callers don't wait for a store that
+    /// doesn't reply.
+    async fn await_call<T>(&mut self, call: impl Future<Output = T>) -> T {
+        let timer = self.context.timer.clone();
+        let stall = timer.sleep(STALL_TIMEOUT);
         tokio::pin!(call, stall);
         self.calling = true;
-        let (mut open, mut quick) = (true, true);
+        let (mut open, mut in_time) = (true, true);
         loop {
             tokio::select! {
                 biased;
                 done = &mut call => {
                     self.calling = false;
-                    self.stalled = !quick;
+                    self.stalled = !in_time;
                     return done;
                 }
-                ask = self.asks.recv(), if open => match ask {
-                    Some(ask) => self.take(ask),
+                command = self.commands.recv(), if open => match command {
+                    Some(command) => self.handle(command),
                     None => open = false,
                 },
-                _ = &mut stall, if quick => {
-                    quick = false;
+                _ = &mut stall, if in_time => {
+                    in_time = false;
                     self.stalled = true;
-                    self.commit.refuse("the store doesn't answer");
-                    self.deliver();
+                    self.commit.refuse("the store does not reply");
+                    self.deliver_verdicts();
                 }
             }
         }
     }
 
-    fn deliver(&mut self) {
-        self.parts.meter.unsure_settled(self.commit.settled());
-        for (ticket, verdict) in self.commit.verdicts() {
+    /// Sends the verdicts that were reached to the submitters.
+    fn deliver_verdicts(&mut self) {
+        self.context
+            .instruments
+            .unsure_settled(self.commit.take_resolved());
+        for (ticket, verdict) in self.commit.take_verdicts() {
             if let change::Verdict::Dropped(pages) = &verdict {
-                self.garbage.extend(pages.iter().cloned());
+                self.unlisted_pages.extend(pages.iter().cloned());
             }
-            if let Some(tell) = self.tell.remove(&ticket) {
-                let _ = tell.send(verdict);
+            if let Some(sender) = self.verdict_senders.remove(&ticket) {
+                let _ = sender.send(verdict);
             }
         }
     }
 
-    /// Deletes pages that the head no longer lists. One that stays after a
-    /// failure only takes room.
-    async fn collect(&mut self) {
-        for page in std::mem::take(&mut self.garbage) {
-            let gone = self.parts.store.delete(&page.id, store::Condition::Any);
+    /// Deletes pages that the head no longer lists. A page that remains after a
+    /// failure only uses storage.
+    async fn delete_unlisted_pages(&mut self) {
+        for page in std::mem::take(&mut self.unlisted_pages) {
+            let gone = self.context.store.delete(&page.id, store::Condition::Any);
             if let Err(error) = gone.await {
-                log::warn!("an old page of the ledger stays: {error}");
+                log::warn!("can't delete an old page of the ledger: {error}");
             }
         }
     }
 
-    /// Lets changes gather where an update was made a moment ago.
-    async fn pace(&self) {
-        let wait = self.parts.clock.now().until(self.paced);
+    /// Waits until the next update may be made, so that changes accumulate.
+    async fn wait_for_next_update(&self) {
+        let wait = self.context.clock.now().until(self.next_update);
         if wait > time::Duration::ZERO {
-            self.parts.timer.sleep(wait).await;
+            self.context.timer.sleep(wait).await;
         }
     }
 
     async fn call(&mut self, action: commit::Action) {
         match action {
             commit::Action::Read => {
-                let (store, key) = (self.parts.store.clone(), self.key.clone());
-                let found = self.patiently(store.get(&key)).await;
-                self.note(found.as_ref().err());
-                self.commit.read(found);
+                let (store, key) = (self.context.store.clone(), self.key.clone());
+                let found = self.await_call(store.get(&key)).await;
+                self.update_backoff(found.as_ref().err());
+                self.commit.on_read(found);
             }
             commit::Action::Load(page) => {
-                let store = self.parts.store.clone();
-                let found = self.patiently(store.get(&page.id)).await;
-                self.note(found.as_ref().err());
-                self.commit.loaded(&page, found);
+                let store = self.context.store.clone();
+                let found = self.await_call(store.get(&page.id)).await;
+                self.update_backoff(found.as_ref().err());
+                self.commit.on_loaded(&page, found);
             }
             commit::Action::Write(body, condition) => self.write(body, condition).await,
-            commit::Action::Pause | commit::Action::Idle => {}
+            commit::Action::Backoff | commit::Action::Idle => {}
         }
     }
 
     async fn write(&mut self, body: bytes::Bytes, condition: store::Condition) {
-        let (store, key) = (self.parts.store.clone(), self.key.clone());
-        let done = self.patiently(store.put(&key, body, condition)).await;
-        self.note(done.as_ref().err());
-        self.parts.meter.commit(done.as_ref().err());
-        let well = done.is_ok();
-        self.commit.written(done);
-        self.deliver();
-        self.paced = self.parts.clock.now() + PACE;
-        if well {
-            self.tidy_up().await;
+        let (store, key) = (self.context.store.clone(), self.key.clone());
+        let done = self.await_call(store.put(&key, body, condition)).await;
+        self.update_backoff(done.as_ref().err());
+        self.context.instruments.commit(done.as_ref().err());
+        let succeeded = done.is_ok();
+        self.commit.on_written(done);
+        self.deliver_verdicts();
+        self.next_update = self.context.clock.now() + UPDATE_INTERVAL;
+        if succeeded {
+            self.clean_up().await;
         }
-        self.pace().await;
+        self.wait_for_next_update().await;
     }
 
-    /// Follows the store's failures.
-    fn note(&mut self, error: Option<&store::Error>) {
+    /// Updates the backoff delay after a call to the store.
+    fn update_backoff(&mut self, error: Option<&store::Error>) {
         let failed = matches!(
             error,
             Some(store::Error::Unavailable { .. } | store::Error::Refused { .. })
@@ -252,47 +264,48 @@
         if failed || self.stalled {
             let jitter = self.jitter();
             let wait = self.backoff.failed(jitter);
-            self.closed = self.parts.clock.now() + wait;
+            self.closed_until = self.context.clock.now() + wait;
         } else {
             self.backoff.succeeded();
         }
     }
 
-    /// From 0 to 1, different for each VM, bucket and failure.
+    /// Returns a number from 0 to 1 that differs by VM, bucket and failure.
     fn jitter(&mut self) -> f64 {
-        self.tries += 1;
-        let duty = format!("{}/{}", self.key, self.tries);
-        rendezvous::weight(&duty, &self.parts.vm) as f64 / u64::MAX as f64
+        self.failures += 1;
+        let seed = format!("{}/{}", self.key, self.failures);
+        rendezvous::weight(&seed, &self.context.vm) as f64 / u64::MAX as f64
     }
 
-    /// Moves older claims out of the head and forgets those past the window.
-    async fn tidy_up(&mut self) {
+    /// Moves older claims out of the head and deletes those outside the window.
+    async fn clean_up(&mut self) {
         let Some((head, size)) = self.commit.head() else {
             return;
         };
         for batch in pages::split(&self.pages, head, size) {
-            self.move_out(batch).await;
+            self.page_out(batch).await;
         }
-        let now = self.parts.clock.now();
-        if now < self.tidy {
+        let now = self.context.clock.now();
+        if now < self.next_cleanup {
             return;
         }
-        self.tidy = now + TIDY;
-        self.forget().await;
+        self.next_cleanup = now + CLEANUP_INTERVAL;
+        self.expire().await;
     }
 
-    async fn move_out(&mut self, batch: pages::Batch) {
+    async fn page_out(&mut self, batch: pages::Batch) {
         if batch.page.count > 0 && !self.put_page(&batch.page.id, batch.body).await {
             return;
         }
-        let change = change::Change::Move(batch.page, batch.moved);
+        let change = change::Change::PageOut(batch.page, batch.moved);
         self.submit(change);
     }
 
-    /// A page is named by its content, so one that exists is the same.
+    /// Writes a page and returns whether it exists. Pages are named by their content,
+    /// so an existing page is identical.
     async fn put_page(&self, id: &str, body: bytes::Bytes) -> bool {
         let done = self
-            .parts
+            .context
             .store
             .put(id, body, store::Condition::Absent)
             .await;
@@ -300,33 +313,35 @@
     }
 
     fn submit(&mut self, change: change::Change) {
-        self.own -= 1;
-        self.commit.submit(change::Ticket(self.own), change);
+        self.last_own_ticket -= 1;
+        self.commit
+            .submit(change::Ticket(self.last_own_ticket), change);
     }
 
-    async fn forget(&mut self) {
-        let Some(in_force) = self.parts.catalog.get(&self.parts.service) else {
+    /// Submits changes that delete or compact claims outside the window.
+    async fn expire(&mut self) {
+        let Some(in_force) = self.context.catalog.get(&self.context.service) else {
             return;
         };
         let window = in_force.document.ledger_window;
-        let wall = self.parts.clock.wall();
+        let wall = self.context.clock.wall();
         let Some((head, _)) = self.commit.head() else {
             return;
         };
         let cutoff = pages::cutoff(head, window, wall);
-        let old = pages::old(head, window, wall);
+        let old = pages::compactable(head, window, wall);
         if let Some(cutoff) = cutoff {
             self.submit(change::Change::Expire(cutoff));
         }
         if let Some(old) = old {
-            self.bury(old).await;
+            self.compact(old).await;
         }
     }
 
-    async fn bury(&mut self, old: Vec<head::Page>) {
+    async fn compact(&mut self, old: Vec<head::Page>) {
         let mut bodies = Vec::new();
         for page in &old {
-            let Ok(object) = self.parts.store.get(&page.id).await else {
+            let Ok(object) = self.context.store.get(&page.id).await else {
                 return;
             };
             let Ok(entries) = serde_json::from_slice::<head::Entries>(&object.body) else {
@@ -334,10 +349,10 @@
             };
             bodies.push(entries);
         }
-        let (page, body) = pages::bury(&self.pages, &bodies);
+        let (page, body) = pages::compact(&self.pages, &bodies);
         if self.put_page(&page.id, body).await {
             let ids = old.into_iter().map(|page| page.id).collect();
-            self.submit(change::Change::Bury(ids, page));
+            self.submit(change::Change::Compact(ids, page));
         }
     }
 }
