--- a/crates/geraniumgauge/src/ledger/tests/commit.rs
+++ b/crates/geraniumgauge/src/ledger/tests/commit.rs
@@ -23,14 +23,14 @@
     commit.submit(change::Ticket(ticket), change);
 }
 
-fn unsure() -> store::Error {
+fn unconfirmed() -> store::Error {
     store::Error::Unconfirmed {
         key: "head".to_owned(),
         reason: "lost".to_owned(),
     }
 }
 
-/// Carries one action out against `objects`.
+/// Executes one action against `objects`.
 fn step(commit: &mut Commit, objects: &mut store::Objects) -> Action {
     let action = commit.next();
     match &action {
@@ -75,30 +75,30 @@
     );
 }
 
-/// Story: the reply to a claim is lost and the claimant gives up; a read shows
-/// no claim, and the answer is "not run". The write was only late: it lands
-/// after the read. Left there, the claim would refuse every repeat for good.
+/// The reply to a claim's write is lost, a read shows no claim, and the caller is
+/// answered "not run". If the delayed write took effect after that, the claim
+/// would block every repeat forever.
 #[test]
-fn a_late_write_does_not_outlive_a_claim_that_was_given_up() {
+fn a_late_write_does_not_restore_an_abandoned_claim() {
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
     claim(&mut commit, 1, "lot-1");
     assert!(matches!(step(&mut commit, &mut objects), Action::Read));
     let Action::Write(late, condition) = commit.next() else {
         panic!("no write");
     };
-    commit.on_written(Err(unsure()));
+    commit.on_written(Err(unconfirmed()));
     commit.abandon(change::Ticket(1), key("lot-1"), entry(1));
     assert!(matches!(step(&mut commit, &mut objects), Action::Read));
     until_idle(&mut commit, &mut objects);
-    let landed = objects.put("head", late, condition);
-    assert!(landed.is_err(), "the late write took effect");
+    let written = objects.put("head", late, condition);
+    assert!(written.is_err(), "the late write took effect");
     assert_eq!(state(&objects, "lot-1"), Some(head::State::NotRun));
 }
 
-/// Story: the reply to a claim is lost after the write. The claim is ours, and
-/// the caller waits: it must be granted once it is read back, not refused.
+/// The reply to a claim's write is lost after the write took effect. Once the
+/// claim is read back, it must be granted to its submitter, not refused.
 #[test]
-fn a_lost_reply_is_settled_by_reading_back_the_own_token() {
+fn a_claim_with_a_lost_reply_is_granted_once_its_token_is_read_back() {
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
     claim(&mut commit, 1, "lot-1");
     step(&mut commit, &mut objects);
@@ -106,7 +106,7 @@
         panic!("no write");
     };
     objects.put("head", body, condition).unwrap();
-    commit.on_written(Err(unsure()));
+    commit.on_written(Err(unconfirmed()));
     assert_eq!(until_idle(&mut commit, &mut objects), 0);
     assert_eq!(commit.take_resolved(), 1);
     let verdicts = commit.take_verdicts();
@@ -116,8 +116,8 @@
     );
 }
 
-/// Story: the store is restored to a state of an hour ago. Claims made since
-/// are missing from it; taken at its word, their keys would run again.
+/// A store that was restored to an older state lacks the claims made since. If
+/// it were trusted, their keys would run again.
 #[test]
 fn an_older_state_of_the_store_grants_nothing() {
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
@@ -135,8 +135,8 @@
     );
 }
 
-/// Story: the store is down. A claim that is in doubt must stay until the store
-/// tells; every other one is refused, and the next one at the first failure.
+/// While the store is down, claims are refused at the second consecutive failure,
+/// and later ones at the next failure.
 #[test]
 fn claims_are_refused_while_the_store_is_down() {
     let down = || store::Error::Unavailable {
--- a/crates/geraniumgauge/src/ledger/tests/link.rs
+++ b/crates/geraniumgauge/src/ledger/tests/link.rs
@@ -1,5 +1,4 @@
-//! What one start of a VM sees of the world: its store, its links, and what goes
-//! wrong with both.
+//! The store and the links of one incarnation of a VM, with injected faults.
 
 use std::sync;
 use std::sync::atomic;
@@ -15,25 +14,25 @@
 use crate::slo;
 use crate::store;
 
-/// What one start of a VM sees of the world.
+/// The store, the links and the admission of one incarnation of a VM.
 pub(super) struct Link {
     pub(super) world: world::Shared,
     pub(super) node: sync::Arc<world::Node>,
 }
 
 impl Link {
-    /// A write, with what can go wrong before, during and after it.
+    /// Executes a write, with faults before, during and after it.
     async fn write<T>(
         &self,
         key: &str,
         change: impl Fn(&mut store::Objects) -> Result<T, store::Error> + Send + 'static,
     ) -> Result<T, store::Error> {
         let world = &self.world;
-        self.node.gate().await;
-        world.maybe_die(&self.node);
+        self.node.block_if_crashed().await;
+        world.maybe_crash(&self.node);
         world.maybe_pause().await;
-        self.node.gate().await;
-        let unsure = || {
+        self.node.block_if_crashed().await;
+        let reply_lost = || {
             Err(store::Error::Unconfirmed {
                 key: key.to_owned(),
                 reason: "the reply was lost".to_owned(),
@@ -44,23 +43,23 @@
             return Err(down());
         }
         if world.fault(0.03) {
-            return unsure();
+            return reply_lost();
         }
         if world.fault(0.04) {
-            // The write arrives after its writer has been told nothing.
+            // The reply is lost, and the write takes effect later.
             let world = world.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(world::millis(world.below(400))).await;
                 let _ = change(&mut world.objects.lock().unwrap());
             });
-            return unsure();
+            return reply_lost();
         }
         let done = change(&mut world.objects.lock().unwrap());
-        world.maybe_die(&self.node);
+        world.maybe_crash(&self.node);
         world.maybe_pause().await;
-        self.node.gate().await;
+        self.node.block_if_crashed().await;
         if world.fault(0.06) {
-            return unsure();
+            return reply_lost();
         }
         done
     }
@@ -74,14 +73,14 @@
 #[async_trait::async_trait]
 impl store::Api for Link {
     async fn get(&self, key: &str) -> Result<store::Object, store::Error> {
-        self.node.gate().await;
+        self.node.block_if_crashed().await;
         tokio::time::sleep(world::millis(1 + self.world.below(5))).await;
         if self.world.fault(0.05) {
             return Err(down());
         }
         let found = self.world.objects.lock().unwrap().get(key);
         self.world.maybe_pause().await;
-        self.node.gate().await;
+        self.node.block_if_crashed().await;
         found
     }
 
@@ -123,13 +122,13 @@
 
 impl mesh::Sender for Link {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
-        if self.node.is_dead() {
+        if self.node.is_crashed() {
             return Ok(());
         }
         if self.world.fault(0.03) {
             return Err(mesh::Error::Full { vm: to.clone() });
         }
-        self.world.maybe_die(&self.node);
+        self.world.maybe_crash(&self.node);
         let (world, from, to) = (self.world.clone(), self.node.vm.clone(), to.clone());
         match body {
             message::Body::Record(record) => tokio::spawn(world.home(from, to, record)),
--- a/crates/geraniumgauge/src/ledger/tests/mod.rs
+++ b/crates/geraniumgauge/src/ledger/tests/mod.rs
@@ -1,6 +1,6 @@
-//! Failure tests of the whole ledger over a store, homes and links that fail.
+//! Tests of the whole ledger with faults injected into the store, homes and links.
 
 mod link;
 mod property;
-mod stories;
+mod scenarios;
 mod world;
--- a/crates/geraniumgauge/src/ledger/tests/send.rs
+++ b/crates/geraniumgauge/src/ledger/tests/send.rs
@@ -18,16 +18,16 @@
     }
 }
 
-/// Story: an upstream runs a record and the connection goes. Sent on to the
-/// other replica, the label would be issued twice.
+/// If an upstream may have run a record before its connection was lost, sending it
+/// to the other replica could issue the label twice.
 #[test]
 fn only_an_attempt_that_did_not_run_is_followed_by_another() {
     let outcomes = (0..=14).filter_map(|number| Outcome::try_from(number).ok());
     for outcome in outcomes.chain([Outcome::Unknown]) {
         let now = clock::Moment::from_millis(1);
         let action = sending().on(reply(outcome), now, || true);
-        let again = sent(&action).is_some();
-        assert_eq!(again, outcome.not_run(), "{outcome:?} gave {action:?}");
+        let retried = sent(&action).is_some();
+        assert_eq!(retried, outcome.not_run(), "{outcome:?} gave {action:?}");
     }
 }
 
@@ -40,19 +40,19 @@
     assert!(matches!(ended, Action::End(End::NotRun(_))), "{ended:?}");
 }
 
-/// Story: every upstream sheds. Records sent on without a budget would double
-/// the load just when there is least room.
+/// When every upstream sheds load, retries without a budget would double the load
+/// while there is the least capacity.
 #[test]
-fn another_replica_is_paid_for_and_another_home_is_not() {
+fn only_another_replica_spends_from_the_retry_budget() {
     let now = clock::Moment::from_millis(1);
-    let mut broke = sending();
-    let action = broke.on(Event::Unsent, now, || false);
+    let mut without_budget = sending();
+    let action = without_budget.on(Event::Unsent, now, || false);
     assert_eq!(sent(&action), Some(("a", Home::Standby)));
-    let action = broke.on(reply(Outcome::Shed), now, || false);
+    let action = without_budget.on(reply(Outcome::Shed), now, || false);
     assert!(matches!(action, Action::End(End::NotRun(_))), "{action:?}");
-    let mut paid = sending();
-    let action = paid.on(reply(Outcome::Shed), now, || true);
+    let mut with_budget = sending();
+    let action = with_budget.on(reply(Outcome::Shed), now, || true);
     assert_eq!(sent(&action), Some(("b", Home::Primary)));
-    let action = paid.on(reply(Outcome::Shed), now, || true);
+    let action = with_budget.on(reply(Outcome::Shed), now, || true);
     assert!(matches!(action, Action::End(End::NotRun(_))), "{action:?}");
 }
--- a/crates/geraniumgauge/src/ledger/tests/world.rs
+++ b/crates/geraniumgauge/src/ledger/tests/world.rs
@@ -1,5 +1,5 @@
-//! Three VMs, a store, homes and links with faults drawn from a seed, all on
-//! tokio's paused clock. Counts what upstreams ran.
+//! Simulated environment: three VMs, a store, homes and links with faults drawn
+//! from a seed, all on tokio's paused clock. Records what upstreams ran.
 
 use std::collections;
 use std::sync;
@@ -22,7 +22,7 @@
 use crate::time as clock;
 use crate::timer;
 
-/// The time of day at the start, so that a seed repeats exactly.
+/// Fixed wall-clock time at the start, so that runs of a seed are reproducible.
 pub(super) const WALL: clock::Wall = clock::Wall(1_764_719_093_000);
 
 /// One record that an upstream ran.
@@ -33,10 +33,10 @@
     pub(super) result: String,
 }
 
-/// One start of a VM.
+/// One incarnation of a VM.
 pub(super) struct Node {
     pub(super) vm: ids::Vm,
-    dead: atomic::AtomicBool,
+    crashed: atomic::AtomicBool,
     service: sync::OnceLock<ledger::Service>,
 }
 
@@ -45,13 +45,13 @@
         self.service.get().unwrap()
     }
 
-    pub(super) fn is_dead(&self) -> bool {
-        self.dead.load(atomic::Ordering::Relaxed)
+    pub(super) fn is_crashed(&self) -> bool {
+        self.crashed.load(atomic::Ordering::Relaxed)
     }
 
-    /// What a dead VM was about to do never happens.
-    pub(super) async fn gate(&self) {
-        if self.is_dead() {
+    /// Blocks forever if the VM has crashed, so that it does nothing more.
+    pub(super) async fn block_if_crashed(&self) {
+        if self.is_crashed() {
             std::future::pending::<()>().await;
         }
     }
@@ -63,11 +63,11 @@
     nodes: sync::Mutex<collections::BTreeMap<ids::Vm, sync::Arc<Node>>>,
     runs: sync::Mutex<Vec<Run>>,
     pub(super) faults: atomic::AtomicU64,
-    /// Faults end, so that the end state can be read.
-    pub(super) calm: atomic::AtomicBool,
-    /// Upstreams run and never answer.
+    /// Disables faults, so that the final state can be read.
+    pub(super) faults_disabled: atomic::AtomicBool,
+    /// Upstreams run records and never reply.
     pub(super) silent: atomic::AtomicBool,
-    /// Every record is held to crash upstreams.
+    /// Every record is quarantined.
     pub(super) quarantined: atomic::AtomicBool,
     pub(super) catalog: document::Catalog,
     pub(super) clock: clock::Clock,
@@ -123,7 +123,7 @@
             nodes: sync::Mutex::default(),
             runs: sync::Mutex::default(),
             faults: atomic::AtomicU64::new(0),
-            calm: atomic::AtomicBool::new(false),
+            faults_disabled: atomic::AtomicBool::new(false),
             silent: atomic::AtomicBool::new(false),
             quarantined: atomic::AtomicBool::new(false),
             catalog,
@@ -136,12 +136,12 @@
         world
     }
 
-    /// Starts a VM, or its replacement under the same name.
+    /// Starts a VM, or restarts it under the same name.
     pub(super) fn start(self: &sync::Arc<Self>, name: &ids::Vm) -> sync::Arc<Node> {
         self.start_as(name, self.clock, None)
     }
 
-    /// The same with a clock of its own.
+    /// Starts a VM with its own clock.
     pub(super) fn start_with_clock(
         self: &sync::Arc<Self>,
         name: &ids::Vm,
@@ -150,7 +150,8 @@
         self.start_as(name, clock::Clock::start_at(wall), None)
     }
 
-    /// The same with another store, and with every bucket to itself.
+    /// Starts a VM with another store, and with a view that contains only itself, so
+    /// that it claims for every bucket.
     pub(super) fn start_with_store(
         self: &sync::Arc<Self>,
         name: &ids::Vm,
@@ -168,7 +169,7 @@
         let incarnation = self.incarnations.fetch_add(1, atomic::Ordering::Relaxed);
         let node = sync::Arc::new(Node {
             vm: name.clone(),
-            dead: atomic::AtomicBool::new(false),
+            crashed: atomic::AtomicBool::new(false),
             service: sync::OnceLock::new(),
         });
         let link = sync::Arc::new(link::Link {
@@ -200,8 +201,8 @@
         node
     }
 
-    /// Each VM's own view: now and then one that lacks another VM.
-    fn view(&self, local: &ids::Vm, alone: bool) -> watch::Receiver<member::SharedView> {
+    /// Creates the VM's own view, in which other VMs are occasionally missing.
+    fn view(&self, local: &ids::Vm, only_itself: bool) -> watch::Receiver<member::SharedView> {
         let member = |number: usize| member::Member {
             vm: vm(number),
             incarnation: ids::Incarnation(1),
@@ -209,7 +210,8 @@
             address: "127.0.0.1:1".parse().unwrap(),
             state: member::State::Alive,
         };
-        let seen = |member: &member::Member| member.vm == *local || !(alone || self.chance(0.1));
+        let seen =
+            |member: &member::Member| member.vm == *local || !(only_itself || self.chance(0.1));
         let members = (0..3).map(member).filter(seen).collect();
         let view = member::View::new(local.clone(), members);
         watch::channel(sync::Arc::new(view)).1
@@ -233,25 +235,25 @@
         self.rng.lock().unwrap().random_bool(share)
     }
 
-    pub(super) fn below(&self, most: u64) -> u64 {
-        self.rng.lock().unwrap().random_range(0..most)
+    pub(super) fn below(&self, limit: u64) -> u64 {
+        self.rng.lock().unwrap().random_range(0..limit)
     }
 
-    /// Draws a fault; none once the world is calm.
+    /// Draws whether a fault occurs; never once faults are disabled.
     pub(super) fn fault(&self, share: f64) -> bool {
-        let drawn = !self.calm.load(atomic::Ordering::Relaxed) && self.chance(share);
+        let drawn = !self.faults_disabled.load(atomic::Ordering::Relaxed) && self.chance(share);
         if drawn {
             self.faults.fetch_add(1, atomic::Ordering::Relaxed);
         }
         drawn
     }
 
-    /// Sometimes the VM is lost here, for good; another may take its name.
-    pub(super) fn maybe_die(self: &sync::Arc<Self>, node: &sync::Arc<Node>) {
+    /// Occasionally crashes the VM for good, and later restarts it under its name.
+    pub(super) fn maybe_crash(self: &sync::Arc<Self>, node: &sync::Arc<Node>) {
         if !self.fault(0.01) {
             return;
         }
-        node.dead.store(true, atomic::Ordering::Relaxed);
+        node.crashed.store(true, atomic::Ordering::Relaxed);
         let world = self.clone();
         let name = node.vm.clone();
         tokio::spawn(async move {
@@ -264,8 +266,8 @@
         });
     }
 
-    /// The VM is paused here: the time goes by at once, so its timers and the
-    /// reply that it waits for are both due when it wakes.
+    /// Occasionally pauses the VM by advancing the clock, so that both its timers and
+    /// the reply that it waits for are due when it resumes, or sleeps.
     pub(super) async fn maybe_pause(&self) {
         if self.fault(0.02) {
             tokio::time::advance(millis(self.below(3000))).await;
@@ -285,7 +287,7 @@
         result.into()
     }
 
-    /// A home and its upstream, as the claimant sees them.
+    /// Simulates a home and its upstream, and the reply to the claimant.
     pub(super) async fn home(
         self: sync::Arc<Self>,
         from: ids::Vm,
@@ -300,7 +302,9 @@
             return;
         }
         let (outcome, body) = match self.below(100) {
-            _ if self.calm.load(atomic::Ordering::Relaxed) => (Outcome::Hits, self.run(&record)),
+            _ if self.faults_disabled.load(atomic::Ordering::Relaxed) => {
+                (Outcome::Hits, self.run(&record))
+            }
             0..60 => (Outcome::Hits, self.run(&record)),
             60..75 => {
                 let refusals = [Outcome::Late, Outcome::Shed, Outcome::Draining];
@@ -309,7 +313,7 @@
                 let at = usize::try_from(self.below(6)).unwrap();
                 (all[at], bytes::Bytes::new())
             }
-            // Half sent: the connection went before the upstream had it all.
+            // The connection was lost before the upstream received the complete record.
             75..80 => (Outcome::Lost, bytes::Bytes::new()),
             80..88 => {
                 self.run(&record);
@@ -317,13 +321,13 @@
                 let at = usize::try_from(self.below(3)).unwrap();
                 (ends[at], bytes::Bytes::new())
             }
-            // Silent: ran or not, no reply comes.
+            // No reply, whether the record ran or not.
             88..92 => return,
             92..96 => {
                 self.run(&record);
                 return;
             }
-            // The home was paused and sends long after.
+            // The home was paused and sends the record much later.
             _ => {
                 tokio::time::sleep(millis(self.below(4000))).await;
                 (Outcome::Hits, self.run(&record))
@@ -340,12 +344,12 @@
         let node = node.unwrap();
         if self.fault(0.05) {
             node.service().lost(&home);
-        } else if !node.is_dead() {
+        } else if !node.is_crashed() {
             node.service().record_reply(&home, reply);
         }
     }
 
-    /// A frame between VMs: delivered, late, or lost with its link.
+    /// Delivers a frame between VMs, or loses it with its link.
     pub(super) async fn deliver(
         self: sync::Arc<Self>,
         from: ids::Vm,
@@ -354,7 +358,7 @@
     ) {
         tokio::time::sleep(millis(1 + self.below(3))).await;
         let node = self.nodes.lock().unwrap().get(&to).cloned().unwrap();
-        let lost = self.fault(0.06) || node.is_dead();
+        let lost = self.fault(0.06) || node.is_crashed();
         if lost || self.fault(0.03) {
             tokio::time::sleep(millis(self.below(300))).await;
             let sender = self.nodes.lock().unwrap().get(&from).cloned().unwrap();
