--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -192,7 +192,7 @@
     }
 
     /// Ends all waits for `vm`, since the link to it was lost.
-    pub fn lost(&self, vm: &ids::Vm) {
+    pub fn link_lost(&self, vm: &ids::Vm) {
         self.inner.sent_records.link_lost(vm);
         self.inner.remote_claims.link_lost(vm);
     }
--- a/crates/geraniumgauge/src/ledger/tests/world.rs
+++ b/crates/geraniumgauge/src/ledger/tests/world.rs
@@ -260,7 +260,7 @@
             tokio::time::sleep(millis(world.below(1500))).await;
             let all: Vec<_> = world.nodes.lock().unwrap().values().cloned().collect();
             for other in all.iter().filter(|other| other.vm != name) {
-                other.service().lost(&name);
+                other.service().link_lost(&name);
             }
             world.start(&name);
         });
@@ -343,7 +343,7 @@
         let node = self.nodes.lock().unwrap().get(&from).cloned();
         let node = node.unwrap();
         if self.fault(0.05) {
-            node.service().lost(&home);
+            node.service().link_lost(&home);
         } else if !node.is_crashed() {
             node.service().record_reply(&home, reply);
         }
@@ -362,7 +362,7 @@
         if lost || self.fault(0.03) {
             tokio::time::sleep(millis(self.below(300))).await;
             let sender = self.nodes.lock().unwrap().get(&from).cloned().unwrap();
-            sender.service().lost(&to);
+            sender.service().link_lost(&to);
         }
         if lost {
             return;
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -72,7 +72,7 @@
         };
         targets.home.link_lost(vm);
         targets.query.lost(vm);
-        targets.ledger.lost(vm);
+        targets.ledger.link_lost(vm);
     }
 }
 
