--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -161,7 +161,7 @@
 
     /// Handles a registration that coordinator `from` passes to this VM as the
     /// claimant.
-    pub fn handed(&self, from: &ids::Vm, register: message::Register) {
+    pub fn receive_register(&self, from: &ids::Vm, register: message::Register) {
         let this = self.clone();
         let from = from.clone();
         let running = self.run();
--- a/crates/geraniumgauge/src/ledger/tests/world.rs
+++ b/crates/geraniumgauge/src/ledger/tests/world.rs
@@ -369,7 +369,7 @@
         }
         self.maybe_pause().await;
         match body {
-            message::Body::Register(register) => node.service().handed(&from, register),
+            message::Body::Register(register) => node.service().receive_register(&from, register),
             message::Body::Registered(registered) => node.service().registered(&from, registered),
             _ => {}
         }
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -51,7 +51,7 @@
             message::Body::Record(record) => targets.home.record(from, record),
             message::Body::Replies(replies) => targets.query.replies(from, replies),
             message::Body::RecordReply(reply) => targets.ledger.record_reply(from, reply),
-            message::Body::Register(register) => targets.ledger.handed(from, register),
+            message::Body::Register(register) => targets.ledger.receive_register(from, register),
             message::Body::Registered(done) => targets.ledger.registered(from, done),
             message::Body::Pull(pull) => targets.document.pull(from, pull),
             message::Body::Pulled(pulled) => targets.document.pulled(from, pulled),
