--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -35,7 +35,7 @@
 /// shifted left by this. Numbers stay unique across restarts at up to a million
 /// attempts per millisecond.
 const ATTEMPT_BITS: u32 = 20;
-/// Timeout for reading the state of one key.
+/// Timeout for reading the status of one key.
 const LOOKUP_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// Identity and location of this VM.
@@ -218,7 +218,7 @@
     ///
     /// # Errors
     /// If the service does not exist, or the store can't be read in time.
-    pub async fn state(
+    pub async fn status(
         &self,
         service: &ids::Service,
         key: &ids::Key,
--- a/crates/geraniumgauge/src/ledger/tests/property.rs
+++ b/crates/geraniumgauge/src/ledger/tests/property.rs
@@ -156,7 +156,7 @@
         let key: ids::Key = text.parse().unwrap();
         let status = restarted
             .service()
-            .state(&world::service(), &key)
+            .status(&world::service(), &key)
             .await
             .unwrap();
         let count = |runs: &[world::Run]| runs.iter().filter(|run| run.key == *text).count();
--- a/crates/geraniumgauge/src/ledger/tests/scenarios.rs
+++ b/crates/geraniumgauge/src/ledger/tests/scenarios.rs
@@ -83,7 +83,7 @@
             "{key}"
         );
         let (service, key) = (world::service(), key.parse().unwrap());
-        let status = restarted.service().state(&service, &key).await.unwrap();
+        let status = restarted.service().status(&service, &key).await.unwrap();
         assert_eq!(status.state, ledger::State::Done);
     }
     assert_eq!(world.runs().len(), keys.len());
@@ -126,7 +126,7 @@
     let states = [ledger::State::Unknown, ledger::State::Done];
     for (key, state) in old.iter().zip(states) {
         let key = key.parse().unwrap();
-        let status = restarted.service().state(&service, &key).await.unwrap();
+        let status = restarted.service().status(&service, &key).await.unwrap();
         assert_eq!((status.state, status.result.is_some()), (state, false));
     }
 }
--- a/crates/geraniumgauge/src/vm/backend.rs
+++ b/crates/geraniumgauge/src/vm/backend.rs
@@ -58,11 +58,11 @@
         service: ids::Service,
         key: ids::Key,
     ) -> Result<serde_json::Value, query::Refusal> {
-        let state = self.duties.ledger.state(&service, &key).await?;
+        let status = self.duties.ledger.status(&service, &key).await?;
         let unwritten = |error: serde_json::Error| {
             query::Refusal::unknown(query::Code::Internal, error.to_string())
         };
-        serde_json::to_value(state).map_err(unwritten)
+        serde_json::to_value(status).map_err(unwritten)
     }
 
     fn unready(&self) -> Option<String> {
