--- a/crates/geraniumgauge/src/ledger/bucket.rs
+++ b/crates/geraniumgauge/src/ledger/bucket.rs
@@ -64,21 +64,21 @@
         }
     }
 
-    /// Creates a claim. If no verdict arrives within `within`, the claim is
+    /// Creates a claim. If no verdict arrives within `timeout`, the claim is
     /// abandoned: the caller must not send the record, and a claim that was created
     /// nevertheless is recorded as not run.
     pub(super) async fn claim(
         &self,
         key: &ids::Key,
         entry: &head::Entry,
-        within: time::Duration,
+        timeout: time::Duration,
     ) -> change::Verdict {
         let change = change::Change::Claim(key.clone(), entry.clone());
         let (ticket, verdict) = self.submit(change);
         tokio::select! {
             biased;
             Ok(verdict) = verdict => verdict,
-            _ = self.timer.sleep(within) => {
+            _ = self.timer.sleep(timeout) => {
                 let command = Command::Abandon(ticket, key.clone(), entry.clone());
                 let _ = self.commands.send(command);
                 let reason = "the claim was not stored in time".to_owned();
@@ -98,13 +98,13 @@
     }
 
     /// Looks up what is recorded for a key.
-    pub(super) async fn look_up(&self, key: &ids::Key, within: time::Duration) -> change::Verdict {
+    pub(super) async fn look_up(&self, key: &ids::Key, timeout: time::Duration) -> change::Verdict {
         let (_, verdict) = self.submit(change::Change::Lookup(key.clone()));
         let late = || change::Verdict::Failed("the store did not reply in time".to_owned());
         tokio::select! {
             biased;
             verdict = verdict => verdict.unwrap_or_else(|_| late()),
-            _ = self.timer.sleep(within) => late(),
+            _ = self.timer.sleep(timeout) => late(),
         }
     }
 
--- a/crates/geraniumgauge/src/ledger/pages.rs
+++ b/crates/geraniumgauge/src/ledger/pages.rs
@@ -31,7 +31,7 @@
 /// Returns the entries to move out of a large head: one batch for timed keys, one
 /// for the others. Entries that did not run are dropped, since their keys may be
 /// claimed again.
-pub(super) fn split(prefix: &str, head: &head::Head, size: usize) -> Vec<Batch> {
+pub(super) fn batches_to_move(prefix: &str, head: &head::Head, size: usize) -> Vec<Batch> {
     if size <= PAGING_THRESHOLD_BYTES {
         return Vec::new();
     }
@@ -53,7 +53,7 @@
     let oldest = times.iter().min().copied();
     let newest = kept.values().map(|entry| entry.since).max();
     let page = head::Page {
-        id: name(prefix, &body),
+        id: page_key(prefix, &body),
         count: kept.len(),
         newest: newest.unwrap_or_default(),
         times: oldest.zip(times.iter().max().copied()),
@@ -71,7 +71,7 @@
 
 /// Names a page by its content, so that VMs that create the same page
 /// concurrently write the same object.
-fn name(prefix: &str, body: &[u8]) -> String {
+fn page_key(prefix: &str, body: &[u8]) -> String {
     format!("{prefix}/{:032x}", xxhash_rust::xxh3::xxh3_128(body))
 }
 
@@ -124,7 +124,7 @@
     hashes.dedup();
     let body: Vec<u8> = hashes.iter().flat_map(|hash| hash.to_le_bytes()).collect();
     let page = head::Page {
-        id: name(prefix, &body),
+        id: page_key(prefix, &body),
         count: hashes.len(),
         newest: clock::Wall(0),
         times: None,
--- a/crates/geraniumgauge/src/ledger/tests/commit.rs
+++ b/crates/geraniumgauge/src/ledger/tests/commit.rs
@@ -23,7 +23,7 @@
     commit.submit(change::Ticket(ticket), change);
 }
 
-fn unconfirmed() -> store::Error {
+fn lost_reply() -> store::Error {
     store::Error::Unconfirmed {
         key: "head".to_owned(),
         reason: "lost".to_owned(),
@@ -86,7 +86,7 @@
     let Action::Write(late, condition) = commit.next() else {
         panic!("no write");
     };
-    commit.on_written(Err(unconfirmed()));
+    commit.on_written(Err(lost_reply()));
     commit.abandon(change::Ticket(1), key("lot-1"), entry(1));
     assert!(matches!(step(&mut commit, &mut objects), Action::Read));
     until_idle(&mut commit, &mut objects);
@@ -106,7 +106,7 @@
         panic!("no write");
     };
     objects.put("head", body, condition).unwrap();
-    commit.on_written(Err(unconfirmed()));
+    commit.on_written(Err(lost_reply()));
     assert_eq!(until_idle(&mut commit, &mut objects), 0);
     assert_eq!(commit.take_resolved(), 1);
     let verdicts = commit.take_verdicts();
--- a/crates/geraniumgauge/src/ledger/tests/send.rs
+++ b/crates/geraniumgauge/src/ledger/tests/send.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::mesh::message::Outcome;
 
-fn sending() -> Delivery {
+fn delivery() -> Delivery {
     let upstream = |name: &str| name.parse::<ids::Upstream>().unwrap();
     let deadline = clock::Moment::from_millis(1000);
     Delivery::new(upstream("a"), [upstream("b")], deadline)
@@ -25,7 +25,7 @@
     let outcomes = (0..=14).filter_map(|number| Outcome::try_from(number).ok());
     for outcome in outcomes.chain([Outcome::Unknown]) {
         let now = clock::Moment::from_millis(1);
-        let action = sending().on(reply(outcome), now, || true);
+        let action = delivery().on(reply(outcome), now, || true);
         let retried = sent(&action).is_some();
         assert_eq!(retried, outcome.not_run(), "{outcome:?} gave {action:?}");
     }
@@ -34,9 +34,9 @@
 #[test]
 fn a_record_past_its_deadline_is_not_sent() {
     let late = clock::Moment::from_millis(1000);
-    let ended = sending().start(late);
+    let ended = delivery().start(late);
     assert!(matches!(ended, Action::End(End::NotRun(_))), "{ended:?}");
-    let ended = sending().on(reply(Outcome::Shed), late, || true);
+    let ended = delivery().on(reply(Outcome::Shed), late, || true);
     assert!(matches!(ended, Action::End(End::NotRun(_))), "{ended:?}");
 }
 
@@ -45,12 +45,12 @@
 #[test]
 fn only_another_replica_spends_from_the_retry_budget() {
     let now = clock::Moment::from_millis(1);
-    let mut without_budget = sending();
+    let mut without_budget = delivery();
     let action = without_budget.on(Event::Unsent, now, || false);
     assert_eq!(sent(&action), Some(("a", Home::Standby)));
     let action = without_budget.on(reply(Outcome::Shed), now, || false);
     assert!(matches!(action, Action::End(End::NotRun(_))), "{action:?}");
-    let mut with_budget = sending();
+    let mut with_budget = delivery();
     let action = with_budget.on(reply(Outcome::Shed), now, || true);
     assert_eq!(sent(&action), Some(("b", Home::Primary)));
     let action = with_budget.on(reply(Outcome::Shed), now, || true);
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -282,7 +282,7 @@
         let Some((head, size)) = self.commit.head() else {
             return;
         };
-        for batch in pages::split(&self.pages, head, size) {
+        for batch in pages::batches_to_move(&self.pages, head, size) {
             self.page_out(batch).await;
         }
         let now = self.context.clock.now();
