--- a/crates/geraniumgauge/src/query/gather/attempt.rs
+++ b/crates/geraniumgauge/src/query/gather/attempt.rs
@@ -3,28 +3,28 @@
 use crate::mesh::message;
 use crate::time as clock;
 
-/// One call.
+/// A call of one shard at one replica.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
-    /// The slot it is for.
+    /// Index of the slot that it is for.
     pub(super) slot: u32,
-    /// The replica, by its number in the plan.
+    /// Index of the replica in the plan.
     pub(super) replica: u32,
-    /// The home, by its number in the plan.
+    /// Number of the home, as given by `homes::Homes`.
     pub(super) vm: u32,
-    /// When it was sent.
+    /// Time when it was sent.
     pub(super) sent: clock::Moment,
-    /// Why it was sent.
+    /// Reason for sending it.
     pub(super) kind: message::Kind,
-    /// Whether it has ended; a reply to an ended call is dropped.
+    /// Set once it has ended; later replies are dropped.
     pub(super) ended: bool,
-    /// Whether it was cancelled from here and no reply has come since. It may
-    /// have crashed its upstream before the cancel came there.
-    pub(super) recalled: bool,
+    /// Set when this search cancelled it and no reply has arrived since. It may
+    /// have crashed its upstream before the cancel took effect.
+    pub(super) cancel_unconfirmed: bool,
 }
 
 impl Attempt {
-    /// Whether a reply to it counts.
+    /// Returns whether it has not ended.
     pub(super) fn running(&self) -> bool {
         !self.ended
     }
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -1,4 +1,4 @@
-//! Sending, cancelling, and which replica is called.
+//! Chooses replicas, and sends, hedges and cancels calls.
 
 use std::cmp;
 use std::time;
@@ -6,9 +6,9 @@
 use rand::Rng as _;
 
 use super::Action;
-use super::Due;
 use super::Gather;
 use super::Phase;
+use super::Timer;
 use super::attempt;
 use super::homes;
 use super::slot;
@@ -18,16 +18,17 @@
 use crate::query::plan;
 use crate::time as clock;
 
-/// What is to be done, gathered so that calls to one home share a frame.
+/// Collects actions, so that calls to the same home share a frame.
 #[derive(Debug, Default)]
-pub(super) struct Out {
+pub(super) struct Outbox {
     calls: Vec<(u32, message::Call)>,
     cancels: Vec<(u32, u64)>,
     pub(super) actions: Vec<Action>,
 }
 
-impl Out {
-    /// Groups by home. Cancels go first: they free what the calls may need.
+impl Outbox {
+    /// Returns the collected actions, grouped by home. Cancels come first, since
+    /// they free slots that the calls may need.
     pub(super) fn take(
         &mut self,
         version: Option<ids::IndexVersion>,
@@ -52,7 +53,7 @@
         actions
     }
 
-    /// Sends what is gathered before plan or pin change under it.
+    /// Converts calls and cancels to actions before the plan or the pin changes.
     pub(super) fn flush(
         &mut self,
         version: Option<ids::IndexVersion>,
@@ -64,6 +65,7 @@
     }
 }
 
+/// Groups items by VM, in ascending order of the VM's number.
 fn group<T>(items: &mut Vec<(u32, T)>) -> Vec<(u32, Vec<T>)> {
     items.sort_by_key(|(vm, _)| *vm);
     let mut groups: Vec<(u32, Vec<T>)> = Vec::new();
@@ -77,27 +79,29 @@
 }
 
 impl Gather {
+    /// Sends the first call of a shard, or gives the shard up if no replica may
+    /// serve it.
     pub(super) fn send_first(&mut self, slot: u32, now: clock::Moment) {
-        let Some(place) = self.choose(slot, 0, now) else {
+        let Some(position) = self.choose(slot, 0, now) else {
             self.no_replica(slot);
             return;
         };
-        self.send(slot, place, message::Kind::First, None, now);
+        self.send(slot, position, message::Kind::First, None, now);
     }
 
-    /// Sends one call for `slot` to the replica at `place` of its shard,
-    /// through another home than `not` where there is one.
+    /// Sends one call for `slot` to the replica at `position` of its shard,
+    /// through another home than `avoid` if there is one.
     pub(super) fn send(
         &mut self,
         slot: u32,
-        place: usize,
+        position: usize,
         kind: message::Kind,
-        not: Option<&ids::Vm>,
+        avoid: Option<&ids::Vm>,
         now: clock::Moment,
     ) {
         let shard = self.plan.shard(self.slots[slot as usize].shard);
-        let replica = shard.replicas[place];
-        let Some(vm) = self.plan.home(replica, not, now) else {
+        let replica = shard.replicas[position];
+        let Some(vm) = self.plan.home(replica, avoid, now) else {
             self.give_up(slot, query::Reason::Unreachable);
             return;
         };
@@ -108,7 +112,7 @@
         called.stats.sent();
         called.stats.probe(now);
         let call = super::call(id, &called.id, &shard.id, kind);
-        self.out.calls.push((vm, call));
+        self.outbox.calls.push((vm, call));
         self.attempts.push(attempt::Attempt {
             slot,
             replica,
@@ -116,26 +120,27 @@
             sent: now,
             kind,
             ended: false,
-            recalled: false,
+            cancel_unconfirmed: false,
         });
-        self.open += 1;
+        self.open_calls += 1;
         let slot = &mut self.slots[slot as usize];
         slot.push(number);
-        slot.tried |= bit(place);
+        slot.tried |= bit(position);
         if !slot.covered() {
             slot.state = slot::State::Running;
         }
         let before = std::mem::replace(&mut slot.called, true);
         self.count(kind, before);
-        if self.hedges(kind) {
+        if self.is_hedged(kind) {
             let due = now + self.setup.hedge_after;
-            self.due.push(cmp::Reverse((due, Due::Hedge(number))));
+            self.timers.push(cmp::Reverse((due, Timer::Hedge(number))));
         }
     }
 
-    /// Leads are followed by a second one at their hedge point under every
-    /// policy; other calls are hedged under the full policy.
-    fn hedges(&self, kind: message::Kind) -> bool {
+    /// Returns whether a call of this kind gets a hedge timer. Lead calls are
+    /// followed by a second one under every policy; other calls are hedged under
+    /// the full policy only; trials never.
+    fn is_hedged(&self, kind: message::Kind) -> bool {
         match kind {
             message::Kind::Trial => false,
             message::Kind::Canary => true,
@@ -147,7 +152,7 @@
         let counts = &mut self.counts;
         match kind {
             message::Kind::First | message::Kind::Canary if before => counts.moved += 1,
-            message::Kind::First | message::Kind::Canary if self.restart.rounds > 0 => {
+            message::Kind::First | message::Kind::Canary if self.restart.count > 0 => {
                 counts.again += 1;
             }
             message::Kind::First | message::Kind::Canary => counts.first += 1,
@@ -157,159 +162,171 @@
         }
     }
 
-    /// The replica to call for `slot`, as its place in the shard: one that is
-    /// not in `but`, may offer the pinned version and was not seen failing; of
-    /// two of these at random the one with less to do.
-    pub(super) fn choose(&mut self, slot: u32, but: u64, now: clock::Moment) -> Option<usize> {
+    /// Chooses the replica to call for `slot` and returns its position in the
+    /// shard. Excludes the positions in the bit mask `excluded` and replicas known to
+    /// lack the pinned version, prefers replicas that aren't avoided, and takes
+    /// the less loaded of two random candidates.
+    pub(super) fn choose(&mut self, slot: u32, excluded: u64, now: clock::Moment) -> Option<usize> {
         let shard = self.plan.shard(self.slots[slot as usize].shard);
         let mut may = 0;
-        let mut well = 0;
-        for place in 0..shard.replicas.len().min(MOST_REPLICAS) {
-            if but & bit(place) == 0 && self.may(shard, place, now) {
-                may |= bit(place);
-                let avoided = self.stats(shard, place).avoided(now);
-                well |= if avoided { 0 } else { bit(place) };
+        let mut healthy = 0;
+        for position in 0..shard.replicas.len().min(MAX_REPLICAS) {
+            if excluded & bit(position) == 0 && self.may_offer(shard, position, now) {
+                may |= bit(position);
+                let avoided = self.stats(shard, position).avoided(now);
+                healthy |= if avoided { 0 } else { bit(position) };
             }
         }
         if self.setup.policy == query::Policy::Direct {
             let count = may.count_ones() as usize;
             return (count > 0).then(|| nth(may, self.fleet.turn() % count));
         }
-        let from = if well == 0 { may } else { well };
-        let (first, second) = two(&mut self.rng, from)?;
+        let from = if healthy == 0 { may } else { healthy };
+        let (first, second) = pick_two(&mut self.rng, from)?;
         let shard = self.plan.shard(self.slots[slot as usize].shard);
-        let load = |place| self.stats(shard, place).load(self.setup.typical, now);
+        let load = |position| self.stats(shard, position).load(self.setup.typical, now);
         let better = load(second) < load(first);
         Some(if better { second } else { first })
     }
 
-    fn may(&self, shard: &plan::Shard, place: usize, now: clock::Moment) -> bool {
+    /// Returns whether the replica offers the pinned version, as far as known.
+    fn may_offer(&self, shard: &plan::Shard, position: usize, now: clock::Moment) -> bool {
         let Some(pin) = self.pin else {
             return true;
         };
-        self.stats(shard, place).offers(pin, now) != Some(false)
+        self.stats(shard, position).offers(pin, now) != Some(false)
     }
 
-    fn stats(&self, shard: &plan::Shard, place: usize) -> &query::replica::Stats {
-        &self.plan.replica(shard.replicas[place]).stats
+    fn stats(&self, shard: &plan::Shard, position: usize) -> &query::replica::Stats {
+        &self.plan.replica(shard.replicas[position]).stats
     }
 
-    /// A call hasn't been answered by its hedge point.
+    /// Hedges a call that wasn't answered by its hedge point, if state, load and
+    /// budget permit.
     pub(super) fn hedge_due(&mut self, attempt: u32, now: clock::Moment) {
         let called = &self.attempts[attempt as usize];
-        if called.ended || self.verdict != query::CLEAR || self.judging {
+        if called.ended || self.verdict != query::CLEAR || self.verdict_pending {
             return;
         }
         let (slot, vm, replica) = (called.slot, called.vm, called.replica);
         if called.kind == message::Kind::Canary {
-            self.follow_lead(now);
+            self.send_second_lead(now);
             return;
         }
         let held = &self.slots[slot as usize];
-        if held.open().len() >= slot::MOST_OPEN || !self.fits(now) {
+        if held.open().len() >= slot::MAX_OPEN_CALLS || !self.has_time_for_call(now) {
             return;
         }
         if self.setup.policy != query::Policy::Full {
             return;
         }
-        if !self.hedge_ripe(attempt, now) {
-            let long = self.attempts[attempt as usize].sent + self.setup.hedge_after * LONG;
-            self.due.push(cmp::Reverse((long, Due::Hedge(attempt))));
+        if !self.hedge_allowed(attempt, now) {
+            let long = self.attempts[attempt as usize].sent
+                + self.setup.hedge_after * LONG_CALL_HEDGE_POINTS;
+            self.timers
+                .push(cmp::Reverse((long, Timer::Hedge(attempt))));
             return;
         }
-        let Some(place) = self.hedge_place(slot, replica, now) else {
+        let Some(position) = self.hedge_position(slot, replica, now) else {
             return;
         };
-        if self.queues(slot, place, now) {
+        if self.queue_is_long(slot, position, now) {
             return;
         }
         if !self.fleet.hedge() {
             self.counts.hedges_refused += 1;
-            let again = now + self.setup.hedge_after.max(LEAST_HEDGE);
-            self.due.push(cmp::Reverse((again, Due::Hedge(attempt))));
+            let again = now + self.setup.hedge_after.max(MIN_HEDGE_DELAY);
+            self.timers
+                .push(cmp::Reverse((again, Timer::Hedge(attempt))));
             return;
         }
-        let not = self.homes.name(vm).clone();
-        self.send(slot, place, message::Kind::Hedge, Some(&not), now);
+        let avoid = self.homes.name(vm).clone();
+        self.send(slot, position, message::Kind::Hedge, Some(&avoid), now);
     }
 
-    /// Few enough shards are left that those are the stragglers of this search.
+    /// Sets hedge timers once so few shards are outstanding that they are the
+    /// stragglers of this search.
     ///
-    /// While many are left, everything is slow: hedges would double the load
-    /// of that moment and leave the budget empty for the real stragglers. So
-    /// the hedge point counts only from a few shards left on, and the very last
-    /// ones are hedged soon: the quantile over the last seconds knows nothing
-    /// of this search. A short wait lets those end that are about to.
-    pub(super) fn hedge_last(&mut self, now: clock::Moment) {
+    /// While many are outstanding, everything is slow: hedges would double the
+    /// load at that moment and use up the budget for the real stragglers. So the
+    /// hedge point applies only when few shards are outstanding, and the very
+    /// last ones are hedged early, because the quantile over the last seconds
+    /// doesn't reflect this search. A short delay lets calls that are about to
+    /// end do so.
+    pub(super) fn schedule_last_hedges(&mut self, now: clock::Moment) {
         let left = self.slots.len() - self.covered;
         let last = left == self.setup.hedge_last;
-        let few = left == self.few();
-        if !(last || few) || left == 0 || self.phase != Phase::Wide {
+        let few = left == self.hedge_shards();
+        if !(last || few) || left == 0 || self.phase != Phase::FanOut {
             return;
         }
         for slot in &self.slots {
             if let (slot::State::Running, [attempt]) = (&slot.state, slot.open()) {
                 let sent = self.attempts[*attempt as usize].sent;
                 let point = sent + self.setup.hedge_after;
-                let soon = now + self.setup.typical / SOON;
+                let soon = now + self.setup.typical / EARLY_HEDGE_DIVISOR;
                 let due = if last {
                     soon
                 } else {
                     point.max(now + self.setup.typical)
                 };
-                self.due.push(cmp::Reverse((due, Due::Hedge(*attempt))));
+                self.timers
+                    .push(cmp::Reverse((due, Timer::Hedge(*attempt))));
             }
         }
     }
 
-    /// Shards left from which on the hedge point counts.
-    fn few(&self) -> usize {
-        (self.setup.hedge_last * FEW).max(LEAST_FEW)
+    /// Returns the number of outstanding shards from which the hedge point
+    /// applies.
+    fn hedge_shards(&self) -> usize {
+        (self.setup.hedge_last * HEDGE_SHARDS_FACTOR).max(MIN_HEDGE_SHARDS)
     }
 
-    /// Whether the call's time has come for a hedge of its own.
-    fn hedge_ripe(&self, attempt: u32, now: clock::Moment) -> bool {
+    /// Returns whether few shards are outstanding or the call has run for several
+    /// hedge points.
+    fn hedge_allowed(&self, attempt: u32, now: clock::Moment) -> bool {
         let left = self.slots.len() - self.covered;
         let waited = now.since(self.attempts[attempt as usize].sent);
-        left <= self.few() || waited >= self.setup.hedge_after * LONG
+        left <= self.hedge_shards() || waited >= self.setup.hedge_after * LONG_CALL_HEDGE_POINTS
     }
 
-    /// Whether calls to the replica wait longer for a slot than a good part of
-    /// a call. Under such load a slow call isn't a straggler but one of many
-    /// that wait, and its hedge would take another's slot.
-    fn queues(&self, slot: u32, place: usize, now: clock::Moment) -> bool {
+    /// Returns whether calls to the replica wait for a slot for more than half of
+    /// a typical call. Under such load a slow call isn't a straggler but one of
+    /// many that are queued, and its hedge would take another call's slot.
+    fn queue_is_long(&self, slot: u32, position: usize, now: clock::Moment) -> bool {
         let shard = self.plan.shard(self.slots[slot as usize].shard);
-        let wait = self.stats(shard, place).wait(now);
-        wait > self.setup.typical / LONG_WAIT
+        let wait = self.stats(shard, position).wait(now);
+        wait > self.setup.typical / LONG_QUEUE_DIVISOR
     }
 
-    /// Another replica than those that run the call now, else the same one,
-    /// which the other home calls on another connection.
-    fn hedge_place(&mut self, slot: u32, replica: u32, now: clock::Moment) -> Option<usize> {
+    /// Chooses the position of a replica for a hedge: one that isn't running the
+    /// call, otherwise the same one, which the other home calls over another
+    /// connection.
+    fn hedge_position(&mut self, slot: u32, replica: u32, now: clock::Moment) -> Option<usize> {
         let held = &self.slots[slot as usize];
         let shard = self.plan.shard(held.shard);
         let running = held.open().iter();
         let running: Vec<u32> = running
             .map(|open| self.attempts[*open as usize].replica)
             .collect();
-        let places = shard.replicas.iter().enumerate();
-        let busy = places.filter(|(_, replica)| running.contains(replica));
-        let busy = busy.fold(0, |mask, (place, _)| mask | bit(place));
+        let positions = shard.replicas.iter().enumerate();
+        let busy = positions.filter(|(_, replica)| running.contains(replica));
+        let busy = busy.fold(0, |mask, (position, _)| mask | bit(position));
         let same = shard.replicas.iter().position(|other| *other == replica);
         self.choose(slot, busy, now).or(same)
     }
 
-    /// Ends a call that isn't wanted any more, at its upstream too.
+    /// Cancels a call, also at its home.
     pub(super) fn cancel(&mut self, attempt: u32) {
         let called = &self.attempts[attempt as usize];
         if called.ended {
             return;
         }
         let id = self.setup.base + u64::from(attempt);
-        self.out.cancels.push((called.vm, id));
+        self.outbox.cancels.push((called.vm, id));
         self.counts.cancels += 1;
         self.end(attempt);
-        self.attempts[attempt as usize].recalled = true;
+        self.attempts[attempt as usize].cancel_unconfirmed = true;
     }
 
     pub(super) fn cancel_all(&mut self) {
@@ -319,47 +336,52 @@
         self.end_trial_unknown();
     }
 
-    /// Marks a call as ended, whatever became of it.
+    /// Marks a call as ended, whatever its outcome.
     pub(super) fn end(&mut self, attempt: u32) {
         let called = &mut self.attempts[attempt as usize];
         called.ended = true;
         self.plan.replica(called.replica).stats.ended();
         self.slots[called.slot as usize].remove(attempt);
-        self.open -= 1;
+        self.open_calls -= 1;
     }
 
-    /// What a loser took until it was cancelled: at least so long a call was.
-    pub(super) fn outlasted(&mut self, attempt: u32, now: clock::Moment) {
+    /// Records the time that a losing call has run so far, as a lower bound of
+    /// its duration.
+    pub(super) fn record_loser(&mut self, attempt: u32, now: clock::Moment) {
         let called = &self.attempts[attempt as usize];
         let span = now.since(called.sent);
         self.plan.replica(called.replica).stats.took(span, now);
-        self.spans.push(span);
+        self.call_times.push(span);
     }
 }
 
-/// Least time between two tries to hedge a call.
-const LEAST_HEDGE: time::Duration = time::Duration::from_millis(2);
-/// Shards left from which on the hedge point counts, as this many times those
-/// that are hedged soon.
-const FEW: usize = 2;
-/// The last shards are hedged after one part in this of a typical call.
-const SOON: u32 = 4;
-/// The same for narrow searches.
-const LEAST_FEW: usize = 2;
-/// Hedge points after which a call is hedged however many are left: a home that
-/// went silent holds more calls than a few.
-const LONG: u32 = 3;
-/// A replica's queue is long from one part in this of a typical call on.
-const LONG_WAIT: u32 = 2;
-/// Replicas of one shard that are told apart; more are not called.
-const MOST_REPLICAS: usize = 64;
+/// Minimum time between two attempts to hedge a call.
+const MIN_HEDGE_DELAY: time::Duration = time::Duration::from_millis(2);
+/// The hedge point applies from this many times `Setup::hedge_last` outstanding
+/// shards on.
+const HEDGE_SHARDS_FACTOR: usize = 2;
+/// The last shards are hedged after a typical call time divided by this.
+const EARLY_HEDGE_DIVISOR: u32 = 4;
+/// Lower bound of the number of outstanding shards from which the hedge point
+/// applies, for narrow searches.
+const MIN_HEDGE_SHARDS: usize = 2;
+/// A call is hedged after this many hedge points, however many shards are
+/// outstanding: a home that went silent holds many calls.
+const LONG_CALL_HEDGE_POINTS: u32 = 3;
+/// A replica's queue is long if calls wait for more than a typical call time
+/// divided by this.
+const LONG_QUEUE_DIVISOR: u32 = 2;
+/// Replicas of one shard that may be called, bounded by the bits of a mask.
+const MAX_REPLICAS: usize = 64;
 
-pub(super) fn bit(place: usize) -> u64 {
-    1_u64.checked_shl(place as u32).unwrap_or(0)
+/// Returns the mask bit of a replica's position; zero beyond the mask.
+pub(super) fn bit(position: usize) -> u64 {
+    1_u64.checked_shl(position as u32).unwrap_or(0)
 }
 
-/// Two places of `from`, picked at random; the same one twice where it is alone.
-fn two(rng: &mut rand::rngs::SmallRng, from: u64) -> Option<(usize, usize)> {
+/// Returns two random positions of the mask `from`; the same one twice if it has
+/// only one.
+fn pick_two(rng: &mut rand::rngs::SmallRng, from: u64) -> Option<(usize, usize)> {
     let len = from.count_ones() as usize;
     if len == 0 {
         return None;
@@ -369,7 +391,7 @@
     Some((nth(from, first), nth(from, (first + step) % len)))
 }
 
-/// The place of the `nth` bit that is set.
+/// Returns the position of the `nth` set bit, counted from zero.
 fn nth(mut mask: u64, nth: usize) -> usize {
     for _ in 0..nth {
         mask &= mask.wrapping_sub(1);
--- a/crates/geraniumgauge/src/query/gather/end.rs
+++ b/crates/geraniumgauge/src/query/gather/end.rs
@@ -1,4 +1,4 @@
-//! When the answer is given, and what it says.
+//! Decides when the answer is given, and builds it.
 
 use super::Action;
 use super::Gather;
@@ -11,8 +11,9 @@
 use crate::time as clock;
 
 impl Gather {
-    /// Gives the answer where it is complete, due, or nothing more can come.
-    pub(super) fn settle(&mut self, now: clock::Moment) {
+    /// Gives the answer once it is complete or due, or once no further reply can
+    /// arrive.
+    pub(super) fn finish_if_ready(&mut self, now: clock::Moment) {
         if self.phase == Phase::Done {
             return;
         }
@@ -24,13 +25,13 @@
             self.finish(query::Reason::Deadline);
             return;
         }
-        if self.verdict == quarantine::Verdict::Suspect && !self.judging {
-            self.tend_trial(now);
+        if self.verdict == quarantine::Verdict::Suspect && !self.verdict_pending {
+            self.advance_trial(now);
         }
-        if self.restart.looks() {
-            self.restart.replan(&mut self.out.actions);
+        if self.restart.take_replan() {
+            self.restart.replan(&mut self.outbox.actions);
         }
-        if self.soft_passed(now) {
+        if self.partial_answer_due(now) {
             self.finish(query::Reason::CutOff);
             return;
         }
@@ -39,24 +40,25 @@
         }
     }
 
-    /// Whether a reply, a call or a verdict is still to come.
+    /// Returns whether a reply, a call, a plan or a verdict is still pending.
     fn waits(&self) -> bool {
         let leads = matches!(self.phase, Phase::Lead { .. });
-        let calls = self.open > 0 || self.scheduled > 0;
-        calls || leads || self.judging || self.restart.asked || self.trial.pending()
+        let calls = self.open_calls > 0 || self.scheduled > 0;
+        calls || leads || self.verdict_pending || self.restart.pending || self.trial.pending()
     }
 
-    fn soft_passed(&mut self, now: clock::Moment) -> bool {
+    fn partial_answer_due(&mut self, now: clock::Moment) -> bool {
         let Some(soft) = self.setup.soft else {
             return false;
         };
-        self.late = now >= soft.at;
-        self.late && self.covered >= soft.covered
+        self.soft_deadline_passed = now >= soft.at;
+        self.soft_deadline_passed && self.covered >= soft.covered
     }
 
-    /// `unfinished` is the reason of shards that were still waited for.
+    /// Emits the answer. `unfinished` is the reason given for shards that were
+    /// still pending.
     fn finish(&mut self, unfinished: query::Reason) {
-        let running = self.open > 0 || self.trial.pending();
+        let running = self.open_calls > 0 || self.trial.pending();
         if running {
             self.cancel_all();
         }
@@ -80,7 +82,7 @@
             },
             hits: merge::merge(found, self.setup.limit),
         };
-        self.out.actions.push(Action::Finish(Box::new(answer)));
+        self.outbox.actions.push(Action::Finish(Box::new(answer)));
     }
 
     fn missing(&self, unfinished: query::Reason) -> Vec<query::Missing> {
@@ -96,7 +98,7 @@
 fn why(slot: &slot::Slot, unfinished: query::Reason) -> query::Reason {
     match slot.state {
         slot::State::Held => query::Reason::Quarantined,
-        slot::State::GivenUp | slot::State::Parked => slot.reason.unwrap_or(unfinished),
+        slot::State::GivenUp | slot::State::AwaitingBudget => slot.reason.unwrap_or(unfinished),
         slot::State::Scheduled | slot::State::Deferred if unfinished != query::Reason::CutOff => {
             slot.reason.unwrap_or(unfinished)
         }
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -1,4 +1,4 @@
-//! What a search is told and what it wants done.
+//! The events that drive a search and the actions that it returns.
 
 use std::sync;
 use std::time;
@@ -13,50 +13,51 @@
 use crate::query::plan;
 use crate::time as clock;
 
-/// What a search is.
+/// The parameters of a search.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The caller's request.
+    /// The id of the caller's request.
     pub request: ids::Request,
     /// [`ids::Fingerprint`] of the query.
     pub fingerprint: ids::Fingerprint,
-    /// Most hits in the answer.
+    /// Maximum number of hits in the answer.
     pub limit: usize,
     /// When the answer is due.
     pub deadline: clock::Moment,
-    /// When it may be given with less, under [`document::Objective::Latency`].
+    /// When a partial answer may be given, under
+    /// [`document::Objective::Latency`].
     pub soft: Option<Soft>,
-    /// Whether the caller named the shards.
+    /// Set when the caller listed the shards to search.
     pub subset: bool,
-    /// Whether a canary runs ahead.
+    /// Set when a canary must succeed before the fan-out.
     pub canary: bool,
-    /// When a call is hedged.
+    /// Time after which an unanswered call is hedged.
     pub hedge_after: time::Duration,
-    /// Shards that are hedged as soon as no more than these are missing,
-    /// whatever the time: of a wide search they are the stragglers.
+    /// Number of outstanding shards at which all of them are hedged early,
+    /// before `hedge_after`: they are the stragglers of a wide search.
     pub hedge_last: usize,
-    /// How long a call usually takes.
+    /// Typical (median) duration of a call.
     pub typical: time::Duration,
-    /// How calls are placed and repeated.
+    /// How replicas are chosen and calls retried or hedged.
     pub policy: query::Policy,
-    /// Number of the first attempt; the next ones follow.
+    /// Number of the first attempt; later ones count up from it.
     pub base: u64,
-    /// Seed of its choices.
+    /// Seed of the search's random choices.
     pub seed: u64,
 }
 
 /// The latency objective of one search.
 #[derive(Debug, Clone, Copy)]
 pub struct Soft {
-    /// From when it may be answered with less.
+    /// Time from which a partial answer may be given.
     pub at: clock::Moment,
-    /// Least shards covered.
+    /// Minimum number of covered shards in a partial answer.
     pub covered: usize,
 }
 
 impl Soft {
-    /// The latency objective of `document` for a search of `asked` shards that
-    /// starts now; `None` under the coverage objective.
+    /// Returns the latency objective of `document` for a search of `asked`
+    /// shards that starts at `now`; `None` under the coverage objective.
     pub fn of(document: &document::Document, asked: usize, now: clock::Moment) -> Option<Self> {
         if document.objective != document::Objective::Latency {
             return None;
@@ -69,38 +70,39 @@
     }
 }
 
-/// What a search is told.
+/// An input of the search.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Begin; what holds for the request.
+    /// Starts the search, with the present verdict on its request.
     Start(quarantine::Verdict),
-    /// Replies of a home.
+    /// Replies that a home sent.
     Replies {
-        /// The home.
+        /// The home that sent them.
         from: ids::Vm,
-        /// What became of calls.
+        /// The replies, one per call.
         replies: Vec<message::Reply>,
     },
-    /// Calls that have not left this VM.
+    /// Calls that couldn't be sent from this VM.
     Unsent(Vec<u64>),
     /// The link to a VM was lost.
     LinkLost(ids::Vm),
-    /// What holds for the request now.
+    /// The present verdict on the request.
     Verdict(quarantine::Verdict),
     /// The answer to [`Action::Replan`]; `None` where the service has ended.
     Plan(Option<sync::Arc<plan::Plan>>),
-    /// The lone trial may run; these upstreams were lost by what marks say.
+    /// The isolated trial may run. The marks list these upstreams as lost.
     Granted(Vec<tracker::Down>),
-    /// It may not; ask again after the time given, if one is given.
+    /// The trial may not run. May be requested again after the given delay, if
+    /// there is one.
     Denied(Option<time::Duration>),
-    /// Time has passed.
+    /// Lets expired timers run.
     Tick,
 }
 
-/// What a search wants done.
+/// An output of the search, to be carried out by its driver.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Send these calls to one home, in one frame. Where that isn't taken,
+    /// Send these calls to one home, in one frame. If that fails,
     /// [`Event::Unsent`] must follow.
     Send {
         /// The home.
@@ -112,38 +114,41 @@
         /// The calls.
         calls: Vec<message::Call>,
     },
-    /// These calls are no longer wanted.
+    /// Cancel these calls at one home.
     Cancel {
         /// The home.
         vm: ids::Vm,
         /// The calls.
         attempts: Vec<u64>,
     },
-    /// A connection was lost under the request. [`Event::Verdict`] must follow.
+    /// The connection to an upstream was lost while it ran the request.
+    /// [`Event::Verdict`] must follow.
     Lost {
         /// The upstream.
         upstream: ids::Upstream,
-        /// How it ran.
+        /// How the call ran.
         run: tracker::Run,
     },
-    /// An upstream has answered the request; comes once.
+    /// An upstream has answered the request. Emitted at most once.
     Completed,
-    /// Ask for the lone trial. [`Event::Granted`] or [`Event::Denied`] follows.
+    /// Request the isolated trial. [`Event::Granted`] or [`Event::Denied`] must
+    /// follow.
     AskTrial(trial::Place),
-    /// The lone trial's end.
+    /// The isolated trial has ended.
     EndTrial {
-        /// How it ended.
+        /// The outcome.
         end: trial::End,
-        /// Where it ran.
+        /// The upstream that it ran on, if it was sent.
         upstream: Option<ids::Upstream>,
     },
-    /// Look at layout and view again. [`Event::Plan`] must follow.
+    /// Rebuild the plan from the present layout and membership view.
+    /// [`Event::Plan`] must follow.
     Replan,
     /// The final answer.
     Finish(Box<query::Answer>),
 }
 
-/// What a search has sent.
+/// Counts of what a search sent, was refused and cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// First calls of their shards.
@@ -152,11 +157,12 @@
     pub hedges: u64,
     /// Retries.
     pub retries: u64,
-    /// Calls sent again to another home, with nothing run and nothing paid.
+    /// Calls sent again to another home because the first one didn't run them;
+    /// they need no budget.
     pub moved: u64,
-    /// Calls of shards that were called at an earlier pin.
+    /// First calls of their shards after a restart at another pin.
     pub again: u64,
-    /// Lone trials.
+    /// Isolated trials.
     pub trials: u64,
     /// Hedges that the budget refused.
     pub hedges_refused: u64,
@@ -166,12 +172,12 @@
     pub overloads: u64,
     /// Calls cancelled.
     pub cancels: u64,
-    /// Pins given up for a better one.
+    /// Restarts at a better pin.
     pub restarts: u64,
 }
 
 impl Counts {
-    /// Calls beyond the first of each shard.
+    /// Returns the number of calls beyond the first of each shard.
     pub fn extra(&self) -> u64 {
         self.hedges + self.retries + self.moved + self.again + self.trials
     }
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -1,12 +1,12 @@
-//! Replies, and what follows a call that failed.
+//! Handles replies, failed calls and retries.
 
 use std::cmp;
 use std::time;
 
 use super::Action;
-use super::Due;
 use super::Gather;
 use super::Phase;
+use super::Timer;
 use super::slot;
 use crate::ids;
 use crate::mesh::message;
@@ -16,14 +16,16 @@
 use crate::query::merge;
 use crate::time as clock;
 
-/// Failed calls of one shard at one pin after which it is given up.
-const MOST_FAILS: u32 = 8;
-/// First wait before a replica is called again; doubles each time.
-const BACKOFF: time::Duration = time::Duration::from_millis(4);
-/// Most doublings of [`BACKOFF`].
-const BACKOFF_DOUBLINGS: u32 = 5;
+/// Failed calls of one shard at one pin after which the shard is given up.
+const MAX_FAILURES: u32 = 8;
+/// First delay before a replica is called again; doubles each time.
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(4);
+/// Maximum number of doublings of [`INITIAL_BACKOFF`].
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Gather {
+    /// Handles one reply. Ignores replies that match no attempt, or that come
+    /// from another home or upstream than the attempt was sent to.
     pub(super) fn reply(&mut self, from: &ids::Vm, reply: message::Reply, now: clock::Moment) {
         if self.phase == Phase::Done {
             return;
@@ -38,7 +40,7 @@
             return;
         }
         if called.ended {
-            self.recalled(attempt, reply.outcome());
+            self.reply_after_cancel(attempt, reply.outcome());
             return;
         }
         replica.stats.learn(&reply, now);
@@ -54,26 +56,28 @@
         }
     }
 
-    /// A reply to a call that was cancelled. Of these only a loss counts: the
-    /// call may have crashed its upstream before the cancel came there, and
-    /// unseen it would not be held against the request.
-    fn recalled(&mut self, attempt: u32, outcome: Outcome) {
+    /// Handles the reply to a cancelled call. Only a lost connection matters: the
+    /// call may have crashed its upstream before the cancel took effect, and the
+    /// request must become suspect for that.
+    fn reply_after_cancel(&mut self, attempt: u32, outcome: Outcome) {
         let called = &mut self.attempts[attempt as usize];
-        let first = std::mem::take(&mut called.recalled);
+        let first = std::mem::take(&mut called.cancel_unconfirmed);
         if first && outcome == Outcome::Lost && self.setup.policy != query::Policy::Direct {
             let (replica, kind) = (called.replica, called.kind);
             let upstream = self.plan.replica(replica).id.clone();
-            self.blame(upstream, kind);
+            self.report_loss(upstream, kind);
         }
     }
 
+    /// Returns the index of the attempt that a reply is for.
     fn attempt_of(&self, reply: &message::Reply) -> Option<u32> {
         let number = reply.attempt.checked_sub(self.setup.base)?;
         let known = number < self.attempts.len() as u64;
         known.then_some(number as u32)
     }
 
-    /// The hits of a reply to its own call, shard and pin; `None` for any other.
+    /// Reads the hits of a reply; `None` if it is malformed or of another shard,
+    /// layout or index version than asked for.
     fn hits(&self, attempt: u32, reply: &message::Reply) -> Option<merge::Found> {
         let called = &self.attempts[attempt as usize];
         let shard = &self.plan.shard(self.slots[called.slot as usize].shard).id;
@@ -85,6 +89,8 @@
         merge::read(body, shard, self.setup.limit)
     }
 
+    /// Handles a valid reply: covers its shard and cancels the shard's other
+    /// calls.
     fn cover(
         &mut self,
         attempt: u32,
@@ -98,33 +104,34 @@
         upstream.stats.good(now);
         upstream.stats.took(span, now);
         let upstream = upstream.id.clone();
-        self.spans.push(span);
+        self.call_times.push(span);
         self.end(attempt);
         self.pin
             .get_or_insert(ids::IndexVersion(reply.index_version));
         let losers = self.slots[number as usize].open().to_vec();
         for loser in losers {
-            self.outlasted(loser, now);
+            self.record_loser(loser, now);
             self.cancel(loser);
         }
         let slot = &mut self.slots[number as usize];
         if !slot.covered() {
             slot.state = slot::State::Covered(found);
             self.covered += 1;
-            self.hedge_last(now);
+            self.schedule_last_hedges(now);
         }
         if kind == message::Kind::Trial {
             self.trial_completed(upstream, now);
         }
-        if !self.first_hits && self.verdict == query::CLEAR {
-            self.first_hits = true;
-            self.out.actions.push(Action::Completed);
+        if !self.completed && self.verdict == query::CLEAR {
+            self.completed = true;
+            self.outbox.actions.push(Action::Completed);
         }
         if matches!(self.phase, Phase::Lead { .. }) && self.verdict == query::CLEAR {
-            self.go_wide(now);
+            self.start_fan_out(now);
         }
     }
 
+    /// Handles calls that couldn't be sent.
     pub(super) fn unsent(&mut self, attempts: &[u64], now: clock::Moment) {
         for id in attempts {
             let number = id.checked_sub(self.setup.base);
@@ -140,6 +147,7 @@
         }
     }
 
+    /// Fails all calls at a VM whose link was lost.
     pub(super) fn link_lost(&mut self, vm: &ids::Vm, now: clock::Moment) {
         self.avoid(vm, now);
         let Some(lost) = self.homes.find(vm) else {
@@ -153,13 +161,14 @@
         }
     }
 
+    /// Makes searches avoid a VM for a while.
     fn avoid(&self, vm: &ids::Vm, now: clock::Moment) {
         if let Some(known) = self.plan.vms.iter().find(|known| known.id == *vm) {
             known.link.lost(now);
         }
     }
 
-    /// One call failed. Others of its shard may still run.
+    /// Handles one failed call. Other calls of its shard may still run.
     pub(super) fn failed(
         &mut self,
         attempt: u32,
@@ -178,33 +187,33 @@
         if called.kind == message::Kind::Trial {
             self.trial_failed(outcome, upstream, now);
         } else if outcome == Outcome::Lost && self.setup.policy != query::Policy::Direct {
-            self.blame(upstream, called.kind);
+            self.report_loss(upstream, called.kind);
         }
         let slot = &mut self.slots[called.slot as usize];
-        if slot.over() {
+        if slot.is_final() {
             return;
         }
         slot.reason = Some(reason(outcome));
-        slot.fails += 1;
+        slot.failures += 1;
         if slot.open().is_empty() {
-            self.again(called.slot, Some(called.vm), outcome, retry_after, now);
+            self.call_failed_shard(called.slot, Some(called.vm), outcome, retry_after, now);
         }
     }
 
-    /// A connection was lost under the request. Nothing more of it is sent
-    /// until the book has judged: a retry at the sibling would be the second
-    /// crash.
-    fn blame(&mut self, upstream: ids::Upstream, kind: message::Kind) {
+    /// Reports a connection that was lost while the request ran. No further call
+    /// is sent until the verdict arrives, since a retry at the sibling could
+    /// crash it too.
+    fn report_loss(&mut self, upstream: ids::Upstream, kind: message::Kind) {
         let run = match kind {
             message::Kind::Canary => tracker::Run::Canary,
             _ => tracker::Run::Concurrent,
         };
-        self.judging = true;
-        self.out.actions.push(Action::Lost { upstream, run });
+        self.verdict_pending = true;
+        self.outbox.actions.push(Action::Lost { upstream, run });
     }
 
-    /// The next call of a shard that has none running.
-    fn again(
+    /// Decides how to go on with a shard whose last running call has failed.
+    fn call_failed_shard(
         &mut self,
         slot: u32,
         vm: Option<u32>,
@@ -212,30 +221,30 @@
         retry_after: time::Duration,
         now: clock::Moment,
     ) {
-        if self.judging || self.verdict != query::CLEAR {
+        if self.verdict_pending || self.verdict != query::CLEAR {
             self.slots[slot as usize].state = slot::State::Held;
             return;
         }
         if matches!(self.phase, Phase::Lead { .. }) {
-            self.lead_again(slot, outcome, now);
+            self.lead_call_failed(slot, outcome, now);
             return;
         }
         let held = &mut self.slots[slot as usize];
         let moves = matches!(outcome, Outcome::NotHome | Outcome::Stopping);
         if moves && !held.moved {
             held.moved = true;
-            held.state = slot::State::Moving;
-            self.restart.replan(&mut self.out.actions);
+            held.state = slot::State::AwaitingPlan;
+            self.restart.replan(&mut self.outbox.actions);
             return;
         }
-        let not = vm.map(|vm| self.homes.name(vm).clone());
-        let not = not.filter(|_| moves || outcome == Outcome::Unknown);
-        self.retry(slot, not, retry_after, now);
+        let avoid = vm.map(|vm| self.homes.name(vm).clone());
+        let avoid = avoid.filter(|_| moves || outcome == Outcome::Unknown);
+        self.retry(slot, avoid, retry_after, now);
     }
 
-    /// A lead failed: its shard's turn comes with the rest. With the version
-    /// gone, the book knows more than at the start.
-    fn lead_again(&mut self, slot: u32, outcome: Outcome, now: clock::Moment) {
+    /// Handles a failed lead call. Its shard is called again in the fan-out, or
+    /// remains unsent if the failure made the search choose another version.
+    fn lead_call_failed(&mut self, slot: u32, outcome: Outcome, now: clock::Moment) {
         let moved = outcome == Outcome::Version && self.covered == 0 && self.repin(now);
         let held = &mut self.slots[slot as usize];
         held.tried = 0;
@@ -249,96 +258,107 @@
             Outcome::Unreachable | Outcome::Silent | Outcome::Unknown
         );
         if gone && self.setup.canary {
-            self.lead_later(now);
-        } else if self.open == 0 {
+            self.delay_next_lead(now);
+        } else if self.open_calls == 0 {
             self.send_lead(now);
         }
     }
 
-    /// Whether another version suits better, now that a replica said what it
-    /// offers. Nothing of the present pin was gathered yet.
+    /// Chooses the index version again after a replica reported its range, and
+    /// returns whether it changed. No hits may have been collected yet.
     fn repin(&mut self, now: clock::Moment) -> bool {
         let pick = query::version::pick(&self.plan, &self.asked, now);
         let pin = pick.map(|pick| pick.version);
         std::mem::replace(&mut self.pin, pin) != pin
     }
 
-    /// Tries `slot` once more where time, replicas and budget allow.
+    /// Retries `slot`, now or after a delay, if time, replicas and budget permit;
+    /// otherwise gives it up.
     pub(super) fn retry(
         &mut self,
         slot: u32,
-        not: Option<ids::Vm>,
+        avoid: Option<ids::Vm>,
         retry_after: time::Duration,
         now: clock::Moment,
     ) {
         let held = &self.slots[slot as usize];
-        let (tried, fails) = (held.tried, held.fails);
+        let (tried, failures) = (held.tried, held.failures);
         let direct = self.setup.policy == query::Policy::Direct;
-        if !self.fits(now) || (fails >= MOST_FAILS && !direct) {
-            let why = held_reason(held);
+        if !self.has_time_for_call(now) || (failures >= MAX_FAILURES && !direct) {
+            let why = last_reason(held);
             self.restart.wanted |= why == query::Reason::BadReply;
             self.give_up(slot, why);
             return;
         }
-        if let Some(place) = self.choose(slot, tried, now) {
-            self.pay(slot, place, not.as_ref(), now);
+        if let Some(position) = self.choose(slot, tried, now) {
+            self.retry_within_budget(slot, position, avoid.as_ref(), now);
             return;
         }
         if self.choose(slot, 0, now).is_none() {
             self.no_replica(slot);
             return;
         }
-        let doublings = fails.min(BACKOFF_DOUBLINGS);
-        let wait = retry_after.max(BACKOFF * 2_u32.pow(doublings));
+        let doublings = failures.min(MAX_BACKOFF_DOUBLINGS);
+        let wait = retry_after.max(INITIAL_BACKOFF * 2_u32.pow(doublings));
         let at = now + wait;
         if at + self.setup.typical >= self.setup.deadline {
-            let why = held_reason(&self.slots[slot as usize]);
+            let why = last_reason(&self.slots[slot as usize]);
             self.give_up(slot, why);
             return;
         }
         self.schedule(slot, at, slot::State::Scheduled);
     }
 
-    fn pay(&mut self, slot: u32, place: usize, not: Option<&ids::Vm>, now: clock::Moment) {
+    /// Sends a retry if the budget permits; otherwise schedules another try.
+    fn retry_within_budget(
+        &mut self,
+        slot: u32,
+        position: usize,
+        avoid: Option<&ids::Vm>,
+        now: clock::Moment,
+    ) {
         let direct = self.setup.policy == query::Policy::Direct;
         if direct || self.fleet.retry() {
-            self.send(slot, place, message::Kind::Retry, not, now);
+            self.send(slot, position, message::Kind::Retry, avoid, now);
             return;
         }
         self.counts.retries_refused += 1;
         let held = &mut self.slots[slot as usize];
-        held.fails += 1;
-        let wait = BACKOFF * 2_u32.pow(held.fails.min(BACKOFF_DOUBLINGS));
-        self.schedule(slot, now + wait, slot::State::Parked);
+        held.failures += 1;
+        let wait = INITIAL_BACKOFF * 2_u32.pow(held.failures.min(MAX_BACKOFF_DOUBLINGS));
+        self.schedule(slot, now + wait, slot::State::AwaitingBudget);
     }
 
+    /// Sets the retry timer of a slot.
     fn schedule(&mut self, slot: u32, at: clock::Moment, state: slot::State) {
         if matches!(state, slot::State::Scheduled) {
             self.scheduled += 1;
         }
         self.slots[slot as usize].state = state;
-        let round = self.restart.rounds;
-        self.due
-            .push(cmp::Reverse((at, Due::Retry { slot, round })));
+        let restarts = self.restart.count;
+        self.timers
+            .push(cmp::Reverse((at, Timer::Retry { slot, restarts })));
     }
 
-    pub(super) fn retry_due(&mut self, slot: u32, round: u32, now: clock::Moment) {
+    /// Handles the retry timer of a slot; ignores one set before a restart.
+    pub(super) fn retry_due(&mut self, slot: u32, restarts: u32, now: clock::Moment) {
         let held = &mut self.slots[slot as usize];
-        let current = round == self.restart.rounds;
+        let current = restarts == self.restart.count;
         match held.state {
             slot::State::Scheduled if current => self.scheduled -= 1,
-            slot::State::Parked if current => {}
+            slot::State::AwaitingBudget if current => {}
             _ => return,
         }
         held.tried = 0;
-        if self.judging || self.verdict != query::CLEAR {
+        if self.verdict_pending || self.verdict != query::CLEAR {
             held.state = slot::State::Held;
             return;
         }
         self.retry(slot, None, time::Duration::ZERO, now);
     }
 
-    /// No replica offers the pinned version, or the shard has none at all.
+    /// Gives up a shard that has no replica, or none with the pinned version, and
+    /// considers a restart.
     pub(super) fn no_replica(&mut self, slot: u32) {
         let bare = self
             .plan
@@ -356,6 +376,7 @@
         );
     }
 
+    /// Stops calling a shard; it will be missing from the answer.
     pub(super) fn give_up(&mut self, slot: u32, why: query::Reason) {
         let slot = &mut self.slots[slot as usize];
         if matches!(slot.state, slot::State::Scheduled) {
@@ -367,18 +388,19 @@
 
     pub(super) fn give_up_all(&mut self, why: query::Reason) {
         for slot in 0..self.slots.len() as u32 {
-            if !self.slots[slot as usize].over() {
+            if !self.slots[slot as usize].is_final() {
                 self.give_up(slot, why);
             }
         }
     }
 }
 
-fn held_reason(slot: &slot::Slot) -> query::Reason {
+fn last_reason(slot: &slot::Slot) -> query::Reason {
     slot.reason.unwrap_or(query::Reason::Deadline)
 }
 
-/// What the caller reads where the last call of a shard ended like this.
+/// Converts the outcome of a shard's last call to the reason that the caller
+/// sees.
 fn reason(outcome: Outcome) -> query::Reason {
     match outcome {
         Outcome::Late | Outcome::Shed => query::Reason::Overloaded,
--- a/crates/geraniumgauge/src/query/gather/homes.rs
+++ b/crates/geraniumgauge/src/query/gather/homes.rs
@@ -1,14 +1,15 @@
-//! The VMs that a search has called. They keep their numbers when the plan is
-//! replaced: replies and cancels of earlier calls still need them.
+//! Numbers the VMs that a search may call. A VM keeps its number when the plan
+//! is replaced, because replies and cancels of earlier calls still refer to it.
 
 use crate::ids;
 use crate::query::plan;
 
-/// VMs by number, and the numbers of a plan's VMs.
+/// Stable numbers for VMs across plans.
 #[derive(Debug)]
 pub(super) struct Homes {
+    /// Names of the VMs, indexed by number.
     names: Vec<ids::Vm>,
-    /// By the VM's number in the present plan.
+    /// Numbers, indexed by the VM's index in the present plan.
     numbers: Vec<u32>,
 }
 
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Numbers the VMs of a new plan; known ones keep theirs.
+    /// Adopts the VMs of a new plan. Known VMs keep their numbers.
     pub(super) fn follow(&mut self, plan: &plan::Plan) {
         self.numbers.clear();
         for vm in &plan.vms {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The number of the plan's VM `vm`.
+    /// Returns the number of the VM at index `vm` of the present plan.
     pub(super) fn number(&self, vm: u32) -> u32 {
         self.numbers[vm as usize]
     }
--- a/crates/geraniumgauge/src/query/gather/lead.rs
+++ b/crates/geraniumgauge/src/query/gather/lead.rs
@@ -1,48 +1,51 @@
-//! Calls that run ahead of the rest: to learn the version, or as the canary.
+//! Lead calls, which run before the fan-out: to learn the index version, or as
+//! the canary.
 //!
-//! Canaries of one request meet at the same replica whichever VM sends them,
-//! since the targets follow from the fingerprint alone: a caller that sends
-//! the request again at every VM at once loses one upstream, not one for each.
+//! The target of a canary is derived from the request's fingerprint, so every
+//! VM sends its canary of one request to the same replica. A crashing request
+//! that a caller sends to all VMs at once then costs one upstream, not one per
+//! VM.
 
 use std::cmp;
 use std::time;
 
-use super::Due;
 use super::Gather;
 use super::Phase;
+use super::Timer;
 use super::slot;
 use crate::mesh::message;
 use crate::query;
 use crate::time as clock;
 
-/// Leads that run at once: the second one starts at the first one's hedge point.
-const TOGETHER: usize = 2;
-/// How long the next canary waits after one that found its upstream gone: long
-/// enough for a mark to come from the VM whose canary took it down.
-const MARK_IN: time::Duration = time::Duration::from_millis(30);
-/// Leads of one search in all; after these its shards are given up.
-const MOST: u32 = 8;
+/// Lead calls that may run at the same time. The second one starts at the hedge
+/// point of the first.
+const MAX_CONCURRENT_LEADS: usize = 2;
+/// Delay of the next canary after one whose upstream was unreachable: long
+/// enough to receive the quarantine mark of the VM whose canary crashed it.
+const MARK_PROPAGATION_DELAY: time::Duration = time::Duration::from_millis(30);
+/// Lead calls of one search in total; after that its shards are given up.
+const MAX_LEADS: u32 = 8;
 
 impl Gather {
-    /// Sends one more lead. It is the first call of its shard, so it costs
-    /// nothing beyond the search itself.
+    /// Sends one more lead call. It is the first call of its shard, so it
+    /// needs no retry or hedge budget.
     pub(super) fn send_lead(&mut self, now: clock::Moment) {
         let Phase::Lead { leads } = self.phase else {
             return;
         };
-        let target = (leads < MOST).then(|| self.lead_target(now)).flatten();
-        let Some((slot, place)) = target else {
-            self.leads_over(now);
+        let target = (leads < MAX_LEADS).then(|| self.lead_target(now)).flatten();
+        let Some((slot, position)) = target else {
+            self.end_leads(now);
             return;
         };
         self.phase = Phase::Lead { leads: leads + 1 };
-        self.send(slot, place, message::Kind::Canary, None, now);
+        self.send(slot, position, message::Kind::Canary, None, now);
     }
 
-    /// A lead is at its hedge point.
-    pub(super) fn follow_lead(&mut self, now: clock::Moment) {
-        let one = self.open > 0 && self.open < TOGETHER;
-        if matches!(self.phase, Phase::Lead { .. }) && one && self.fits(now) {
+    /// Sends a second lead call when the running one reaches its hedge point.
+    pub(super) fn send_second_lead(&mut self, now: clock::Moment) {
+        let one = self.open_calls > 0 && self.open_calls < MAX_CONCURRENT_LEADS;
+        if matches!(self.phase, Phase::Lead { .. }) && one && self.has_time_for_call(now) {
             let more = self.lead_target(now).is_some();
             if more {
                 self.send_lead(now);
@@ -50,80 +53,85 @@
         }
     }
 
-    /// A canary's upstream is gone, and this entry didn't know. Another VM's
-    /// canary of the same request may have crashed it a moment ago; going on to
-    /// the next upstream before its mark is here would crash that one too.
-    pub(super) fn lead_later(&mut self, now: clock::Moment) {
-        self.due.push(cmp::Reverse((now + MARK_IN, Due::Lead)));
+    /// Delays the next canary after one whose upstream was unexpectedly
+    /// unreachable. Another VM's canary of the same request may just have
+    /// crashed it; calling the next upstream before that VM's quarantine mark
+    /// arrives could crash that one too.
+    pub(super) fn delay_next_lead(&mut self, now: clock::Moment) {
+        self.timers
+            .push(cmp::Reverse((now + MARK_PROPAGATION_DELAY, Timer::Lead)));
     }
 
     pub(super) fn lead_due(&mut self, now: clock::Moment) {
-        let clear = self.verdict == query::CLEAR && !self.judging;
-        if self.open == 0 && clear {
+        let clear = self.verdict == query::CLEAR && !self.verdict_pending;
+        if self.open_calls == 0 && clear {
             self.send_lead(now);
         }
     }
 
-    /// No more leads can be sent. While one runs it may still answer.
-    fn leads_over(&mut self, now: clock::Moment) {
-        if self.open > 0 {
+    /// Ends the lead phase when no more lead calls can be sent, unless one is
+    /// still running and may answer.
+    fn end_leads(&mut self, now: clock::Moment) {
+        if self.open_calls > 0 {
             return;
         }
         if self.setup.canary || self.pin.is_none() {
-            self.lead_failed();
+            self.give_up_after_leads();
         } else {
-            self.go_wide(now);
+            self.start_fan_out(now);
         }
     }
 
-    /// Without one good reply the rest isn't sent: what refused or failed the
-    /// leads would meet them all.
-    fn lead_failed(&mut self) {
+    /// Gives up all shards. Without one good reply the fan-out isn't started:
+    /// whatever failed the lead calls would fail the other calls as well.
+    fn give_up_after_leads(&mut self) {
         let why = self.slots.iter().find_map(|slot| slot.reason);
         let why = why.unwrap_or(query::Reason::Unreachable);
         for slot in 0..self.slots.len() as u32 {
-            if !self.slots[slot as usize].over() {
+            if !self.slots[slot as usize].is_final() {
                 self.give_up(slot, why);
             }
         }
-        self.phase = Phase::Wide;
+        self.phase = Phase::FanOut;
     }
 
-    /// The unsent shard and replica that the fingerprint ranks first; of
-    /// upstreams whose siblings are up, that share no shard with one that was
-    /// called, and that are not seen failing, where there are any.
+    /// Returns the slot and the replica's position in its shard for the next
+    /// lead call. Prefers, in this order, upstreams whose siblings are up, that
+    /// share no shard with an upstream already called, and that are healthy;
+    /// among equals, the one that the fingerprint ranks first.
     fn lead_target(&self, now: clock::Moment) -> Option<(u32, usize)> {
         let used: Vec<u32> = self.attempts.iter().map(|call| call.replica).collect();
         let rank = |replica: &u32| {
             (
                 !self.siblings_up(*replica, &[]),
-                !self.apart(*replica, &used),
-                self.poor(*replica, now),
+                !self.shares_no_shard(*replica, &used),
+                self.unhealthy(*replica, now),
                 self.rank(self.plan.replica(*replica).id.as_str()),
             )
         };
         let replicas = 0..self.plan.replicas.len() as u32;
-        let open = replicas.filter(|replica| self.unsent_of(*replica).next().is_some());
+        let open = replicas.filter(|replica| self.unsent_slots(*replica).next().is_some());
         let replica = open.min_by_key(rank)?;
         let shard_rank = |slot: &u32| {
             let shard = self.slots[*slot as usize].shard;
             self.rank(self.plan.shard(shard).id.as_str())
         };
-        let slot = self.unsent_of(replica).min_by_key(shard_rank)?;
+        let slot = self.unsent_slots(replica).min_by_key(shard_rank)?;
         let shard = self.plan.shard(self.slots[slot as usize].shard);
-        let place = shard.replicas.iter().position(|known| *known == replica)?;
-        Some((slot, place))
+        let position = shard.replicas.iter().position(|known| *known == replica)?;
+        Some((slot, position))
     }
 
-    /// Slots of the shards that `replica` holds and that no call was sent for.
-    fn unsent_of(&self, replica: u32) -> impl Iterator<Item = u32> {
+    /// Returns the unsent slots whose shards `replica` holds.
+    fn unsent_slots(&self, replica: u32) -> impl Iterator<Item = u32> {
         let shards = self.plan.replica(replica).shards.iter();
         let slots = shards.map(|shard| self.slot_of[*shard as usize]);
-        let asked = slots.filter(|slot| *slot != super::NONE);
+        let asked = slots.filter(|slot| *slot != super::NO_SLOT);
         asked.filter(|slot| matches!(self.slots[*slot as usize].state, slot::State::Unsent))
     }
 
-    fn poor(&self, replica: u32, now: clock::Moment) -> bool {
+    /// Returns whether `replica` lacks the pinned version, is down or is avoided.
+    fn unhealthy(&self, replica: u32, now: clock::Moment) -> bool {
         let stats = &self.plan.replica(replica).stats;
         let lacks = self
             .pin
@@ -131,9 +139,9 @@
         lacks || stats.avoided(now) || stats.down()
     }
 
-    /// Whether a loss of `replica` beside `used` leaves no shard without both
-    /// of its replicas: they share no shard.
-    pub(super) fn apart(&self, replica: u32, used: &[u32]) -> bool {
+    /// Returns whether `replica` shares no shard with any of `used`, so that
+    /// losing them all leaves no shard without both of its replicas.
+    pub(super) fn shares_no_shard(&self, replica: u32, used: &[u32]) -> bool {
         let shards = &self.plan.replica(replica).shards;
         let shares = |other: &u32| {
             let others = &self.plan.replica(*other).shards;
@@ -145,6 +153,7 @@
         !used.iter().any(shares)
     }
 
+    /// Ranks a name by a hash that the request's fingerprint seeds.
     pub(super) fn rank(&self, name: &str) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), self.setup.fingerprint.0)
     }
--- a/crates/geraniumgauge/src/query/gather/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/mod.rs
@@ -1,9 +1,10 @@
-//! Gathers the answer to one search. A state machine without I/O.
+//! Collects the shard replies of one search into its answer. A state machine
+//! without I/O.
 //!
-//! One shard is one `slot::Slot`, one call is one `attempt::Attempt`; both
-//! are numbered, so a reply finds its call without a search. Attempts are never
-//! numbered anew: a reply to a call that ended, of an abandoned pin or not,
-//! finds its attempt ended and is dropped.
+//! Each shard has a `slot::Slot` and each call an `attempt::Attempt`. Both are
+//! identified by their index, so the call that a reply belongs to is found in
+//! constant time. Attempt numbers are never reused, also after a restart: a
+//! late reply matches an ended attempt or none, and is dropped.
 
 mod attempt;
 mod calls;
@@ -40,63 +41,70 @@
 use crate::query::plan;
 use crate::time as clock;
 
-/// What one search has gathered so far.
+/// The state of one search.
 pub struct Gather {
     setup: Setup,
     fleet: sync::Arc<fleet::Fleet>,
     plan: sync::Arc<plan::Plan>,
-    /// Asked shards by their number in the plan, in step with `slots`.
+    /// The requested shards, as indexes into the plan; parallel to `slots`.
     asked: Vec<u32>,
     slots: Vec<slot::Slot>,
-    /// Which slot a shard of the plan has; `NONE` for shards not asked.
+    /// The slot of each shard of the plan; `NO_SLOT` for shards not requested.
     slot_of: Vec<u32>,
     attempts: Vec<attempt::Attempt>,
-    due: collections::BinaryHeap<cmp::Reverse<(clock::Moment, Due)>>,
+    timers: collections::BinaryHeap<cmp::Reverse<(clock::Moment, Timer)>>,
     pin: Option<ids::IndexVersion>,
     phase: Phase,
     verdict: quarantine::Verdict,
     trial: suspect::Trial,
-    /// Whether the verdict on an own loss is still to come.
-    judging: bool,
+    /// Set while the verdict on a connection that this search lost is pending.
+    verdict_pending: bool,
     restart: restart::Restart,
     homes: homes::Homes,
-    /// Whether the latency objective's time has come.
-    late: bool,
+    /// Set once the soft deadline of the latency objective has passed.
+    soft_deadline_passed: bool,
+    /// Number of shards with a usable reply.
     covered: usize,
-    open: usize,
+    /// Number of running calls.
+    open_calls: usize,
+    /// Number of slots in [`slot::State::Scheduled`].
     scheduled: usize,
-    first_hits: bool,
-    spans: Vec<time::Duration>,
+    /// Set once [`Action::Completed`] was emitted.
+    completed: bool,
+    /// Durations of shard calls, for the latency quantiles.
+    call_times: Vec<time::Duration>,
     counts: Counts,
     rng: rand::rngs::SmallRng,
-    out: calls::Out,
+    outbox: calls::Outbox,
 }
 
-/// How far the search is.
+/// The phase of the search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// One call, or a few one after another, run ahead of the rest: to learn
-    /// the version, or as the canary.
+    /// One lead call, or a few in sequence, runs before the fan-out: to learn
+    /// the index version, or as the canary. `leads` counts those sent.
     Lead { leads: u32 },
     /// Every shard is called.
-    Wide,
-    /// The answer is given.
+    FanOut,
+    /// The answer was given or the search abandoned.
     Done,
 }
 
-/// What falls due at a moment.
+/// What to do when a timer expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
     Hedge(u32),
-    Retry { slot: u32, round: u32 },
+    Retry { slot: u32, restarts: u32 },
     Trial,
     Lead,
 }
 
-const NONE: u32 = u32::MAX;
+/// Marks a shard of the plan that has no slot.
+const NO_SLOT: u32 = u32::MAX;
 
 impl Gather {
-    /// A search over `asked` shards of `plan`; nothing is sent yet.
+    /// Creates a search over the `asked` shards of `plan`. Nothing is sent
+    /// before [`Event::Start`].
     pub fn new(
         setup: Setup,
         plan: sync::Arc<plan::Plan>,
@@ -108,33 +116,34 @@
             slots: Vec::new(),
             slot_of: Vec::new(),
             attempts: Vec::with_capacity(asked.len() + asked.len() / 8),
-            due: collections::BinaryHeap::with_capacity(asked.len()),
-            spans: Vec::with_capacity(asked.len()),
+            timers: collections::BinaryHeap::with_capacity(asked.len()),
+            call_times: Vec::with_capacity(asked.len()),
             pin: None,
             phase: Phase::Lead { leads: 0 },
             verdict: quarantine::Verdict::Clear,
             trial: suspect::Trial::default(),
-            judging: false,
+            verdict_pending: false,
             restart: restart::Restart::default(),
             homes: homes::Homes::new(&plan),
-            late: false,
+            soft_deadline_passed: false,
             covered: 0,
-            open: 0,
+            open_calls: 0,
             scheduled: 0,
-            first_hits: false,
+            completed: false,
             counts: Counts::default(),
-            out: calls::Out::default(),
+            outbox: calls::Outbox::default(),
             rng,
             setup,
             fleet,
             plan,
             asked,
         };
-        gather.number();
+        gather.assign_slots();
         gather
     }
 
-    /// Takes one event. [`Action::Finish`] comes exactly once, as the last.
+    /// Handles one event and returns the resulting actions. Over the life of a
+    /// search [`Action::Finish`] is returned exactly once, as the last action.
     pub fn handle(&mut self, event: Event, now: clock::Moment) -> Vec<Action> {
         if self.phase == Phase::Done {
             return Vec::new();
@@ -148,54 +157,56 @@
             }
             Event::Unsent(attempts) => self.unsent(&attempts, now),
             Event::LinkLost(vm) => self.link_lost(&vm, now),
-            Event::Verdict(verdict) => self.judged(verdict, now),
-            Event::Plan(plan) => self.replanned(plan, now),
-            Event::Granted(down) => self.granted(&down, now),
-            Event::Denied(after) => self.denied(after, now),
+            Event::Verdict(verdict) => self.verdict_changed(verdict, now),
+            Event::Plan(plan) => self.plan_received(plan, now),
+            Event::Granted(down) => self.trial_granted(&down, now),
+            Event::Denied(after) => self.trial_denied(after, now),
             Event::Tick => {}
         }
         self.tick(now);
-        self.settle(now);
-        self.out.take(self.pin, &self.plan, &self.homes)
+        self.finish_if_ready(now);
+        self.outbox.take(self.pin, &self.plan, &self.homes)
     }
 
-    /// When to call [`Self::handle`] with [`Event::Tick`] at the latest.
+    /// Returns the latest time to call [`Self::handle`] with [`Event::Tick`].
     pub fn wake(&self) -> clock::Moment {
-        let due = self.due.peek().map(|cmp::Reverse((at, _))| *at);
+        let due = self.timers.peek().map(|cmp::Reverse((at, _))| *at);
         let soft = self.setup.soft.map(|soft| soft.at);
-        let soft = soft.filter(|_| !self.late);
+        let soft = soft.filter(|_| !self.soft_deadline_passed);
         let due = due.into_iter().chain(soft).min();
         due.map_or(self.setup.deadline, |due| due.min(self.setup.deadline))
     }
 
-    /// Ends a search whose caller is gone: cancels what runs.
+    /// Ends a search whose caller has disconnected and cancels its calls.
     pub fn abandon(&mut self) -> Vec<Action> {
         if self.phase == Phase::Done {
             return Vec::new();
         }
         self.cancel_all();
         self.phase = Phase::Done;
-        self.out.take(self.pin, &self.plan, &self.homes)
+        self.outbox.take(self.pin, &self.plan, &self.homes)
     }
 
-    /// Whether calls were cancelled of which no end is known yet: one of them
-    /// may still be found to have crashed its upstream.
+    /// Returns whether the outcome of any cancelled call is still unknown. Such
+    /// a call may yet turn out to have crashed its upstream.
     pub fn leaves_calls(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.recalled)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.cancel_unconfirmed)
     }
 
-    /// What was sent.
+    /// Returns the numbers of calls, cancels and restarts so far.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Measured times of the shard calls.
-    pub fn spans(&self) -> &[time::Duration] {
-        &self.spans
+    /// Returns the measured durations of shard calls.
+    pub fn call_times(&self) -> &[time::Duration] {
+        &self.call_times
     }
 
-    fn number(&mut self) {
-        self.slot_of = vec![NONE; self.plan.shards.len()];
+    fn assign_slots(&mut self) {
+        self.slot_of = vec![NO_SLOT; self.plan.shards.len()];
         for (slot, shard) in self.asked.iter().enumerate() {
             self.slot_of[*shard as usize] = slot as u32;
         }
@@ -206,24 +217,24 @@
     fn start(&mut self, verdict: quarantine::Verdict, now: clock::Moment) {
         self.pin = query::version::pick(&self.plan, &self.asked, now).map(|pick| pick.version);
         match verdict {
-            quarantine::Verdict::Quarantined => self.judged(verdict, now),
+            quarantine::Verdict::Quarantined => self.verdict_changed(verdict, now),
             quarantine::Verdict::Suspect => self.verdict = verdict,
             quarantine::Verdict::Clear => self.begin(now),
         }
     }
 
-    /// Sends the lead, or all where none is needed.
+    /// Sends the first lead call, or starts the fan-out if none is needed.
     fn begin(&mut self, now: clock::Moment) {
         let lead = self.pin.is_none() || self.setup.canary;
         if lead && self.covered == 0 && self.asked.len() > 1 {
             self.send_lead(now);
         } else {
-            self.go_wide(now);
+            self.start_fan_out(now);
         }
     }
 
-    fn go_wide(&mut self, now: clock::Moment) {
-        self.phase = Phase::Wide;
+    fn start_fan_out(&mut self, now: clock::Moment) {
+        self.phase = Phase::FanOut;
         for slot in 0..self.slots.len() as u32 {
             match self.slots[slot as usize].state {
                 slot::State::Unsent => self.send_first(slot, now),
@@ -234,28 +245,29 @@
     }
 
     fn tick(&mut self, now: clock::Moment) {
-        while let Some(cmp::Reverse((at, due))) = self.due.peek().copied() {
+        while let Some(cmp::Reverse((at, due))) = self.timers.peek().copied() {
             if at > now || self.phase == Phase::Done {
                 return;
             }
-            self.due.pop();
+            self.timers.pop();
             match due {
-                Due::Hedge(attempt) => self.hedge_due(attempt, now),
-                Due::Retry { slot, round } => self.retry_due(slot, round, now),
-                Due::Trial => self.trial_due(now),
-                Due::Lead => self.lead_due(now),
+                Timer::Hedge(attempt) => self.hedge_due(attempt, now),
+                Timer::Retry { slot, restarts } => self.retry_due(slot, restarts, now),
+                Timer::Trial => self.trial_due(now),
+                Timer::Lead => self.lead_due(now),
             }
         }
     }
 
-    /// Time for another call before the answer is due.
-    fn fits(&self, now: clock::Moment) -> bool {
+    /// Returns whether a typical call would still end before the deadline.
+    fn has_time_for_call(&self, now: clock::Moment) -> bool {
         now + self.setup.typical < self.setup.deadline
     }
 }
 
 impl Drop for Gather {
-    /// Calls left open would count as load on their replicas for ever.
+    /// Ends the remaining calls: left open, they would count as load on their
+    /// replicas forever.
     fn drop(&mut self) {
         for attempt in &self.attempts {
             if attempt.running() {
@@ -265,7 +277,7 @@
     }
 }
 
-/// The text form of an attempt's number and upstream, as a call says it.
+/// Builds the message for one call.
 fn call(
     id: u64,
     upstream: &ids::Upstream,
--- a/crates/geraniumgauge/src/query/gather/restart.rs
+++ b/crates/geraniumgauge/src/query/gather/restart.rs
@@ -1,4 +1,5 @@
-//! Starting again at another pin, and calls whose home has moved.
+//! Restarts a search at another index version or layout, and adopts new plans
+//! for calls whose home has moved.
 
 use std::sync;
 
@@ -11,50 +12,56 @@
 use crate::query::version;
 use crate::time as clock;
 
-/// Pins that one search gives up at most: each costs its calls once more.
-const MOST_ROUNDS: u32 = 2;
-/// Times that one search looks at layout and view again, at most.
-const MOST_LOOKS: u32 = 6;
-/// Typical calls that must fit before the deadline for another pin.
-const ROOM: u32 = 3;
+/// Restarts of one search at most: each one repeats its calls.
+const MAX_RESTARTS: u32 = 2;
+/// Times that one search may request a new plan.
+const MAX_REPLANS: u32 = 6;
+/// A restart needs time for this many typical calls before the deadline.
+const MIN_CALLS_LEFT: u32 = 3;
 
-/// Whether and when to start again.
+/// Tracks restarts and requests for a new plan.
 #[derive(Debug, Default)]
 pub(super) struct Restart {
-    /// Pins given up.
-    pub(super) rounds: u32,
-    /// A shard can't be had at this pin.
+    /// Number of restarts so far.
+    pub(super) count: u32,
+    /// Set when a shard can't be covered at the present pin.
     pub(super) wanted: bool,
-    /// The plan is being looked at.
-    pub(super) asked: bool,
-    looks: u32,
+    /// Set while a new plan is pending.
+    pub(super) pending: bool,
+    /// Number of plans requested so far.
+    replans: u32,
 }
 
 impl Restart {
-    /// Asks for the present plan, once at a time.
+    /// Requests a new plan unless a request is pending.
     pub(super) fn replan(&mut self, actions: &mut Vec<Action>) {
-        if !self.asked {
-            self.asked = true;
-            self.looks += 1;
+        if !self.pending {
+            self.pending = true;
+            self.replans += 1;
             actions.push(Action::Replan);
         }
     }
 
-    /// Whether a look may help.
-    pub(super) fn looks(&mut self) -> bool {
+    /// Returns whether to request a new plan, and clears `wanted`.
+    pub(super) fn take_replan(&mut self) -> bool {
         let wanted = std::mem::take(&mut self.wanted);
-        wanted && !self.asked && self.looks < MOST_LOOKS && self.rounds < MOST_ROUNDS
+        wanted && !self.pending && self.replans < MAX_REPLANS && self.count < MAX_RESTARTS
     }
 }
 
 impl Gather {
-    /// The plan as it is now. Under the same layout it only tells the homes; a
-    /// new layout changes nothing unless the search starts again at it.
-    pub(super) fn replanned(&mut self, plan: Option<sync::Arc<plan::Plan>>, now: clock::Moment) {
-        self.restart.asked = false;
+    /// Handles a new plan. Restarts the search if the plan allows better
+    /// coverage; otherwise adopts its homes if the layout is unchanged, and
+    /// ignores it if not.
+    pub(super) fn plan_received(
+        &mut self,
+        plan: Option<sync::Arc<plan::Plan>>,
+        now: clock::Moment,
+    ) {
+        self.restart.pending = false;
         let plan = plan.unwrap_or_else(|| self.plan.clone());
-        if self.better(&plan, now) {
-            self.start_again(plan, now);
+        if self.should_restart(&plan, now) {
+            self.restart_with(plan, now);
             return;
         }
         if plan.layout.version == self.plan.layout.version {
@@ -62,17 +69,18 @@
             self.plan = plan;
         }
         for slot in 0..self.slots.len() as u32 {
-            if matches!(self.slots[slot as usize].state, slot::State::Moving) {
+            if matches!(self.slots[slot as usize].state, slot::State::AwaitingPlan) {
                 self.send_first(slot, now);
             }
         }
     }
 
-    /// Whether another pin would cover more, in the time left.
-    fn better(&self, plan: &plan::Plan, now: clock::Moment) -> bool {
-        let room = self.setup.typical * ROOM;
-        let clear = self.verdict == query::CLEAR && !self.judging;
-        if self.restart.rounds >= MOST_ROUNDS || now + room >= self.setup.deadline || !clear {
+    /// Returns whether a restart with `plan` would cover more shards and fits in
+    /// the time left.
+    fn should_restart(&self, plan: &plan::Plan, now: clock::Moment) -> bool {
+        let room = self.setup.typical * MIN_CALLS_LEFT;
+        let clear = self.verdict == query::CLEAR && !self.verdict_pending;
+        if self.restart.count >= MAX_RESTARTS || now + room >= self.setup.deadline || !clear {
             return false;
         }
         let given_up = |slot: &&slot::Slot| matches!(slot.state, slot::State::GivenUp);
@@ -91,8 +99,8 @@
         other && pick.covers * self.slots.len() > here * asked.len()
     }
 
-    /// The shards asked, by their numbers in another plan; `None` where the
-    /// caller named one that isn't there.
+    /// Returns the requested shards as indexes into another plan; `None` if the
+    /// caller listed one that this plan lacks.
     fn asked_in(&self, plan: &plan::Plan) -> Option<Vec<u32>> {
         if !self.setup.subset {
             return Some((0..plan.shards.len() as u32).collect());
@@ -101,35 +109,36 @@
         names.map(|name| plan.position(name)).collect()
     }
 
-    /// Gives the pin up with all that was gathered at it: hits of two pins in
-    /// one answer would show a record twice, or neither its old nor new form.
-    fn start_again(&mut self, plan: sync::Arc<plan::Plan>, now: clock::Moment) {
+    /// Discards the pin and all hits collected at it, and starts over. Hits of
+    /// two pins in one answer could show a record twice, or miss both its old
+    /// and its new form.
+    fn restart_with(&mut self, plan: sync::Arc<plan::Plan>, now: clock::Moment) {
         let Some(asked) = self.asked_in(&plan) else {
             return;
         };
         self.cancel_all();
-        self.out.flush(self.pin, &self.plan, &self.homes);
-        self.forget_calls();
+        self.outbox.flush(self.pin, &self.plan, &self.homes);
+        self.discard_calls();
         self.homes.follow(&plan);
         self.pin = version::pick(&plan, &asked, now).map(|pick| pick.version);
         self.plan = plan;
         self.asked = asked;
-        self.number();
-        self.restart.rounds += 1;
+        self.assign_slots();
+        self.restart.count += 1;
         self.counts.restarts += 1;
         self.covered = 0;
         self.scheduled = 0;
         self.phase = Phase::Lead { leads: 0 };
-        self.setup.canary &= !self.first_hits;
+        self.setup.canary &= !self.completed;
         self.begin(now);
     }
 
-    /// Calls of the abandoned pin speak of replicas by the old plan's numbers.
-    /// The next calls are numbered on, so a late reply to one of these finds
-    /// no call.
-    fn forget_calls(&mut self) {
+    /// Discards the attempts of the old pin, whose indexes refer to the old plan.
+    /// Numbering continues after them, so a late reply to one of them matches no
+    /// attempt.
+    fn discard_calls(&mut self) {
         self.setup.base += self.attempts.len() as u64;
         self.attempts.clear();
-        self.due.clear();
+        self.timers.clear();
     }
 }
--- a/crates/geraniumgauge/src/query/gather/slot.rs
+++ b/crates/geraniumgauge/src/query/gather/slot.rs
@@ -1,54 +1,55 @@
-//! One shard of a search.
+//! The state of one shard of a search.
 
 use crate::query;
 use crate::query::merge;
 
-/// Calls of one shard that may run at once.
-pub(super) const MOST_OPEN: usize = 3;
+/// Calls of one shard that may run at the same time.
+pub(super) const MAX_OPEN_CALLS: usize = 3;
 
-/// One shard.
+/// A shard of the search.
 #[derive(Debug, Clone)]
 pub(super) struct Slot {
-    /// Its number in the plan.
+    /// Index of the shard in the plan.
     pub(super) shard: u32,
-    /// How far it is.
+    /// The shard's state.
     pub(super) state: State,
-    /// Running calls, by their number.
-    open: [u32; MOST_OPEN],
+    /// Indexes of the running attempts; the first `open_len` are valid.
+    open: [u32; MAX_OPEN_CALLS],
     open_len: u8,
-    /// Replicas called at this pin, one bit each by their place in the shard.
+    /// Replicas already called, as a bit mask over their positions in the shard.
+    /// Cleared before a delayed retry and after a failed lead call.
     pub(super) tried: u64,
-    /// Calls that failed at this pin.
-    pub(super) fails: u32,
-    /// Whether any call was sent at this pin.
+    /// Number of failed calls at this pin.
+    pub(super) failures: u32,
+    /// Set once a call was sent at this pin.
     pub(super) called: bool,
-    /// Whether a call was sent to another home for free already.
+    /// Set once a call was moved to another home without using the retry budget.
     pub(super) moved: bool,
-    /// Why the last call failed.
+    /// Reason of the last failure.
     pub(super) reason: Option<query::Reason>,
 }
 
-/// How far a shard is.
+/// The state of a shard.
 #[derive(Debug, Clone)]
 pub(super) enum State {
     /// No call at this pin yet.
     Unsent,
     /// Calls are running.
     Running,
-    /// Its lead failed: its turn comes with the rest.
+    /// Its lead call failed; it is called again in the fan-out.
     Deferred,
-    /// Waits for its next call to fall due; the answer waits with it.
+    /// Waits for the delay before its next call. The answer waits for it.
     Scheduled,
-    /// The budget refused its next call: it is asked again as long as others
-    /// keep the answer waiting.
-    Parked,
-    /// Waits for the verdict or a trial.
+    /// The retry budget refused its next call. It tries again later, but the
+    /// answer doesn't wait for it.
+    AwaitingBudget,
+    /// Waits for the quarantine verdict or an isolated trial.
     Held,
-    /// Waits for the plan to be looked at again.
-    Moving,
-    /// Its own reply is here.
+    /// Waits for a new plan because its home has moved.
+    AwaitingPlan,
+    /// Has a valid reply.
     Covered(merge::Found),
-    /// Nothing more is tried.
+    /// No further call is made.
     GivenUp,
 }
 
@@ -57,10 +58,10 @@
         Self {
             shard,
             state: State::Unsent,
-            open: [0; MOST_OPEN],
+            open: [0; MAX_OPEN_CALLS],
             open_len: 0,
             tried: 0,
-            fails: 0,
+            failures: 0,
             called: false,
             moved: false,
             reason: None,
@@ -90,8 +91,8 @@
         matches!(self.state, State::Covered(_))
     }
 
-    /// Whether neither a reply nor a call is to come.
-    pub(super) fn over(&self) -> bool {
+    /// Returns whether the shard is covered or given up.
+    pub(super) fn is_final(&self) -> bool {
         matches!(self.state, State::Covered(_) | State::GivenUp)
     }
 }
--- a/crates/geraniumgauge/src/query/gather/suspect.rs
+++ b/crates/geraniumgauge/src/query/gather/suspect.rs
@@ -1,13 +1,13 @@
-//! A request that may have crashed an upstream: it is neither hedged nor
-//! retried, and goes on only after a lone trial has completed.
+//! Handles a request that is suspected of crashing an upstream: it is neither
+//! hedged nor retried, and continues only after an isolated trial has completed.
 
 use std::cmp;
 use std::time;
 
 use super::Action;
-use super::Due;
 use super::Gather;
 use super::Phase;
+use super::Timer;
 use super::slot;
 use crate::ids;
 use crate::mesh::message;
@@ -18,46 +18,54 @@
 use crate::query;
 use crate::time as clock;
 
-/// Times that one search asks for a trial.
-const MOST_ASKS: u32 = 8;
-/// When to ask again after a trial that wasn't run.
-const ASK_AGAIN: time::Duration = time::Duration::from_millis(50);
-/// When to look again for a replica whose siblings are all up.
-const NO_TARGET: time::Duration = time::Duration::from_millis(100);
-/// Typical calls that must fit before the deadline: a trial cut short by it
-/// proves nothing.
-const ROOM: u32 = 2;
+/// Times that one search may request a trial.
+const MAX_TRIAL_REQUESTS: u32 = 8;
+/// Delay before another request after a trial that wasn't run.
+const TRIAL_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Delay before looking again for a replica whose siblings are all up.
+const TARGET_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
+/// A trial needs time for this many typical calls before the deadline: one that
+/// the deadline cuts short proves nothing.
+const MIN_CALLS_LEFT: u32 = 2;
 
-/// How far the trial is.
+/// The isolated trial of a search.
 #[derive(Debug, Default)]
 pub(super) struct Trial {
     state: State,
-    asks: u32,
-    /// The slot and the replica that were asked for.
+    requests: u32,
+    /// The slot, and the replica's position in its shard, of the last request.
     target: Option<(u32, usize)>,
 }
 
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// No trial is requested.
     #[default]
     Idle,
-    Asked,
+    /// Requested; the decision is pending.
+    Requested,
+    /// Waits for the delay before the next request.
     Waiting,
+    /// The trial's call is running.
     Running,
+    /// No further trial is requested.
     Refused,
 }
 
 impl Trial {
-    /// Whether something may still come of it.
+    /// Returns whether a trial may still run or complete.
     pub(super) fn pending(&self) -> bool {
-        matches!(self.state, State::Asked | State::Waiting | State::Running)
+        matches!(
+            self.state,
+            State::Requested | State::Waiting | State::Running
+        )
     }
 }
 
 impl Gather {
-    /// The verdict as it is now.
-    pub(super) fn judged(&mut self, verdict: Verdict, now: clock::Moment) {
-        let own = std::mem::take(&mut self.judging);
+    /// Handles the present verdict.
+    pub(super) fn verdict_changed(&mut self, verdict: Verdict, now: clock::Moment) {
+        let own = std::mem::take(&mut self.verdict_pending);
         if verdict == self.verdict && !own {
             return;
         }
@@ -67,17 +75,17 @@
                 self.cancel_all();
                 self.trial.state = State::Refused;
                 self.give_up_all(query::Reason::Quarantined);
-                self.phase = Phase::Wide;
+                self.phase = Phase::FanOut;
             }
-            Verdict::Suspect => self.suspected(),
-            Verdict::Clear => self.release(now),
+            Verdict::Suspect => self.cancel_leads(),
+            Verdict::Clear => self.release_held(now),
         }
     }
 
-    /// Leads under way are called back: the first crash may have been another
-    /// VM's, and each of them could be the next. A fan-out under way goes on,
-    /// since its canary came back.
-    fn suspected(&mut self) {
+    /// Cancels running lead calls of a request that became suspect: it may have
+    /// crashed an upstream of another VM, and each lead call could crash one
+    /// more. A fan-out that has started continues, since its canary succeeded.
+    fn cancel_leads(&mut self) {
         if !matches!(self.phase, Phase::Lead { .. }) {
             return;
         }
@@ -91,39 +99,41 @@
         }
     }
 
-    /// Asks for the trial that held shards wait for, or gives them up.
-    pub(super) fn tend_trial(&mut self, now: clock::Moment) {
+    /// Requests the trial that held shards wait for, or gives them up.
+    pub(super) fn advance_trial(&mut self, now: clock::Moment) {
         let held = |slot: &slot::Slot| matches!(slot.state, slot::State::Held);
         let leads = matches!(self.phase, Phase::Lead { .. });
         if !leads && !self.slots.iter().any(held) {
             return;
         }
         match self.trial.state {
-            State::Idle => self.ask_trial(now),
-            State::Refused => self.no_trial(),
-            State::Asked | State::Waiting | State::Running => {}
+            State::Idle => self.request_trial(now),
+            State::Refused => self.give_up_trial(),
+            State::Requested | State::Waiting | State::Running => {}
         }
     }
 
-    fn ask_trial(&mut self, now: clock::Moment) {
-        let room = now + self.setup.typical * ROOM < self.setup.deadline;
-        if !room || self.trial.asks >= MOST_ASKS {
-            self.no_trial();
+    /// Requests a trial if time and the request limit permit.
+    fn request_trial(&mut self, now: clock::Moment) {
+        let room = now + self.setup.typical * MIN_CALLS_LEFT < self.setup.deadline;
+        if !room || self.trial.requests >= MAX_TRIAL_REQUESTS {
+            self.give_up_trial();
             return;
         }
-        self.trial.asks += 1;
-        let Some((slot, place)) = self.trial_target(now) else {
-            self.ask_later(now + NO_TARGET);
+        self.trial.requests += 1;
+        let Some((slot, position)) = self.trial_target(now) else {
+            self.delay_trial(now + TARGET_RETRY_DELAY);
             return;
         };
-        self.trial.state = State::Asked;
-        self.trial.target = Some((slot, place));
-        let place = self.trial_place(slot, place);
-        self.out.actions.push(Action::AskTrial(place));
+        self.trial.state = State::Requested;
+        self.trial.target = Some((slot, position));
+        let place = self.trial_place(slot, position);
+        self.outbox.actions.push(Action::AskTrial(place));
     }
 
-    fn trial_place(&self, slot: u32, place: usize) -> trial::Place {
-        let replica = self.replica_at(slot, place);
+    /// Describes the trial's upstream and its siblings.
+    fn trial_place(&self, slot: u32, position: usize) -> trial::Place {
+        let replica = self.replica_at(slot, position);
         let shards = self.plan.replica(replica).shards.iter();
         let others = shards
             .flat_map(|shard| self.plan.replicas_of(*shard))
@@ -135,57 +145,61 @@
         }
     }
 
-    fn replica_at(&self, slot: u32, place: usize) -> u32 {
+    /// Returns the plan's index of the replica at a position of a slot's shard.
+    fn replica_at(&self, slot: u32, position: usize) -> u32 {
         let shard = self.slots[slot as usize].shard;
-        self.plan.shard(shard).replicas[place]
+        self.plan.shard(shard).replicas[position]
     }
 
     pub(super) fn trial_due(&mut self, now: clock::Moment) {
         if self.trial.state == State::Waiting {
             self.trial.state = State::Idle;
-            self.tend_trial(now);
+            self.advance_trial(now);
         }
     }
 
-    pub(super) fn denied(&mut self, after: Option<time::Duration>, now: clock::Moment) {
-        if self.trial.state != State::Asked {
+    pub(super) fn trial_denied(&mut self, after: Option<time::Duration>, now: clock::Moment) {
+        if self.trial.state != State::Requested {
             return;
         }
         match after {
-            Some(after) => self.ask_later(now + after),
-            None => self.no_trial(),
+            Some(after) => self.delay_trial(now + after),
+            None => self.give_up_trial(),
         }
     }
 
-    fn ask_later(&mut self, at: clock::Moment) {
-        if at + self.setup.typical * ROOM >= self.setup.deadline {
-            self.no_trial();
+    /// Schedules another request, or gives up if it would come too late.
+    fn delay_trial(&mut self, at: clock::Moment) {
+        if at + self.setup.typical * MIN_CALLS_LEFT >= self.setup.deadline {
+            self.give_up_trial();
             return;
         }
         self.trial.state = State::Waiting;
-        self.due.push(cmp::Reverse((at, Due::Trial)));
+        self.timers.push(cmp::Reverse((at, Timer::Trial)));
     }
 
-    /// Without a trial the held shards are missing. The answer isn't held back
-    /// for a verdict that may not come.
-    fn no_trial(&mut self) {
+    /// Gives up the shards that wait for a trial. The answer isn't delayed for a
+    /// verdict that may never arrive.
+    fn give_up_trial(&mut self) {
         self.trial.state = State::Refused;
         let leads = matches!(self.phase, Phase::Lead { .. });
         for slot in 0..self.slots.len() as u32 {
             let state = &self.slots[slot as usize].state;
             let held = matches!(state, slot::State::Held);
-            let over = self.slots[slot as usize].over();
+            let over = self.slots[slot as usize].is_final();
             if held || (leads && !over) {
                 self.give_up(slot, query::Reason::Quarantined);
             }
         }
         if leads {
-            self.phase = Phase::Wide;
+            self.phase = Phase::FanOut;
         }
     }
 
-    pub(super) fn granted(&mut self, down: &[tracker::Down], now: clock::Moment) {
-        if self.trial.state != State::Asked {
+    /// Sends the trial's call, unless circumstances have changed since the
+    /// request. `down` are the upstreams that the marks list as lost.
+    pub(super) fn trial_granted(&mut self, down: &[tracker::Down], now: clock::Moment) {
+        if self.trial.state != State::Requested {
             self.end_trial(trial::End::NotRun, None);
             return;
         }
@@ -198,37 +212,39 @@
             let replica = self.replica_at(target.0, target.1);
             self.siblings_up(replica, down) && self.ready(replica, now)
         };
-        let Some((slot, place)) = self.trial.target.filter(fits) else {
+        let Some((slot, position)) = self.trial.target.filter(fits) else {
             self.end_trial(trial::End::NotRun, None);
-            self.ask_later(now + NO_TARGET);
+            self.delay_trial(now + TARGET_RETRY_DELAY);
             return;
         };
         self.trial.state = State::Running;
-        self.send(slot, place, message::Kind::Trial, None, now);
+        self.send(slot, position, message::Kind::Trial, None, now);
     }
 
-    /// A replica whose siblings are all up, so that no shard is left without
-    /// any where it crashes; of a shard that isn't covered yet, if there is one.
-    /// Of several it is the one that the fingerprint ranks first, so that trials
-    /// of different requests mostly run at different upstreams.
+    /// Chooses a replica for the trial whose siblings are all up, so that a crash
+    /// leaves no shard without replicas. Prefers shards that have neither a
+    /// reply nor a running call, then the replica that the fingerprint ranks
+    /// first, so that trials of different requests mostly use different
+    /// upstreams.
     fn trial_target(&self, now: clock::Moment) -> Option<(u32, usize)> {
-        let places = (0..self.slots.len() as u32).flat_map(|slot| {
+        let positions = (0..self.slots.len() as u32).flat_map(|slot| {
             let shard = self.slots[slot as usize].shard;
-            (0..self.plan.shard(shard).replicas.len()).map(move |place| (slot, place))
+            (0..self.plan.shard(shard).replicas.len()).map(move |position| (slot, position))
         });
-        let fits = |(slot, place): &(u32, usize)| {
-            let replica = self.replica_at(*slot, *place);
+        let fits = |(slot, position): &(u32, usize)| {
+            let replica = self.replica_at(*slot, *position);
             self.siblings_up(replica, &[]) && self.ready(replica, now)
         };
-        let rank = |(slot, place): &(u32, usize)| {
+        let rank = |(slot, position): &(u32, usize)| {
             let held = &self.slots[*slot as usize];
-            let covered = held.over() || !held.open().is_empty();
-            let replica = self.replica_at(*slot, *place);
+            let covered = held.is_final() || !held.open().is_empty();
+            let replica = self.replica_at(*slot, *position);
             (covered, self.rank(self.plan.replica(replica).id.as_str()))
         };
-        places.filter(fits).min_by_key(rank)
+        positions.filter(fits).min_by_key(rank)
     }
 
+    /// Returns whether the replica isn't avoided and may offer the pinned version.
     fn ready(&self, replica: u32, now: clock::Moment) -> bool {
         let stats = &self.plan.replica(replica).stats;
         let offers = self
@@ -237,6 +253,8 @@
         offers && !stats.avoided(now)
     }
 
+    /// Returns whether each shard of `replica` has another replica and all of its
+    /// replicas are up, as far as this VM and the marks in `down` show.
     pub(super) fn siblings_up(&self, replica: u32, down: &[tracker::Down]) -> bool {
         let up = |upstream: &query::plan::Replica| {
             let answered = upstream.stats.answered();
@@ -257,11 +275,11 @@
         self.end_trial(trial::End::Completed, Some(upstream));
         self.trial.state = State::Idle;
         self.verdict = Verdict::Clear;
-        self.release(now);
+        self.release_held(now);
     }
 
-    /// Lets the held shards go on. Their next calls are retries like any other.
-    fn release(&mut self, now: clock::Moment) {
+    /// Resumes the held shards. Their next calls count as retries.
+    fn release_held(&mut self, now: clock::Moment) {
         let held = |slot: &slot::Slot| matches!(slot.state, slot::State::Held);
         if matches!(self.phase, Phase::Lead { .. }) {
             for slot in &mut self.slots {
@@ -269,7 +287,7 @@
                     slot.state = slot::State::Deferred;
                 }
             }
-            if self.open == 0 {
+            if self.open_calls == 0 {
                 self.begin(now);
             }
             return;
@@ -281,6 +299,8 @@
         }
     }
 
+    /// Handles the outcome of a trial that returned no hits. An answer of any
+    /// kind completes it, since the upstream survived.
     pub(super) fn trial_failed(
         &mut self,
         outcome: Outcome,
@@ -290,7 +310,7 @@
         self.trial.state = State::Idle;
         match outcome {
             Outcome::Lost => {
-                self.judging = true;
+                self.verdict_pending = true;
                 self.end_trial(trial::End::Lost, Some(upstream));
             }
             Outcome::Failed | Outcome::Crossed | Outcome::Hits => {
@@ -306,12 +326,12 @@
             }
             _ => {
                 self.end_trial(trial::End::NotRun, Some(upstream));
-                self.ask_later(now + ASK_AGAIN);
+                self.delay_trial(now + TRIAL_RETRY_DELAY);
             }
         }
     }
 
-    /// The search ends while its trial runs: how that ends isn't known.
+    /// Ends a running trial with an unknown outcome when the search ends first.
     pub(super) fn end_trial_unknown(&mut self) {
         if self.trial.state == State::Running {
             self.trial.state = State::Refused;
@@ -320,6 +340,6 @@
     }
 
     fn end_trial(&mut self, end: trial::End, upstream: Option<ids::Upstream>) {
-        self.out.actions.push(Action::EndTrial { end, upstream });
+        self.outbox.actions.push(Action::EndTrial { end, upstream });
     }
 }
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Single failures, one after another.
+//! Tests of single failures.
 
 use std::time;
 
@@ -11,12 +11,17 @@
 use crate::query::fleet;
 use crate::query::gather;
 
-fn all(world: &world::World) -> Vec<u32> {
+fn all_shards(world: &world::World) -> Vec<u32> {
     (0..world.plan.shards.len() as u32).collect()
 }
 
 fn search(world: &world::World, setup: gather::Setup) -> gather::Gather {
-    gather::Gather::new(setup, world.plan.clone(), all(world), world.fleet.clone())
+    gather::Gather::new(
+        setup,
+        world.plan.clone(),
+        all_shards(world),
+        world.fleet.clone(),
+    )
 }
 
 fn sends(actions: &[gather::Action]) -> Vec<(ids::Vm, Vec<message::Call>)> {
@@ -44,8 +49,8 @@
     }
 }
 
-/// Learns the versions of all upstreams, so that no lead is needed.
-fn known(world: &world::World) {
+/// Makes the versions of all upstreams known, so that no lead call is needed.
+fn learn_versions(world: &world::World) {
     for replica in &world.plan.replicas {
         let reply = message::Reply {
             oldest: 1,
@@ -56,8 +61,8 @@
     }
 }
 
-/// A caller sees shards missing although other replicas hold them. The first
-/// call of a shard is refused, and nothing asks its sibling.
+/// Guards against missing shards that another replica holds, when a refused
+/// first call isn't retried at the sibling.
 #[test]
 fn a_refused_call_is_tried_at_the_sibling() {
     let mut world = world::World::new(
@@ -66,18 +71,18 @@
         2,
         world::Faults {
             bad: 20,
-            ..world::NONE
+            ..world::NO_FAULTS
         },
     );
-    known(&world);
+    learn_versions(&world);
     let setup = world.setup(1 << 20);
     let counts = world.run(setup);
     assert!(counts.retries > 0);
     assert!(world.answers[0].coverage.complete);
 }
 
-/// One in a hundred shard calls takes thirty times as long. Without hedges
-/// nearly every wide answer waits for one of them.
+/// Two in a hundred shard calls take thirty times as long. Without hedges
+/// nearly every wide search would wait for one of them.
 #[test]
 fn a_straggler_is_hedged_and_the_loser_cancelled() {
     let mut world = world::World::new(
@@ -86,10 +91,10 @@
         2,
         world::Faults {
             slow: 2,
-            ..world::NONE
+            ..world::NO_FAULTS
         },
     );
-    known(&world);
+    learn_versions(&world);
     let setup = world.setup(1 << 20);
     let started = world.now;
     let counts = world.run(setup.clone());
@@ -99,14 +104,14 @@
     assert!(counts.cancels > 0 && started < setup.deadline);
 }
 
-/// A search is pinned to a version that one shard doesn't offer any more. The
-/// caller would see that shard missing although a version just as new covers all.
+/// A search is pinned to a version that one shard no longer offers. Without a
+/// restart that shard would be missing although the previous version covers all.
 #[test]
-fn a_version_gone_everywhere_starts_the_search_again() {
-    let mut world = world::World::new(4, 5, 2, world::NONE);
-    known(&world);
-    for place in 0..2 {
-        world.ranges.insert(format!("u-3-{place}"), (1, 4));
+fn a_version_no_longer_offered_restarts_the_search() {
+    let mut world = world::World::new(4, 5, 2, world::NO_FAULTS);
+    learn_versions(&world);
+    for position in 0..2 {
+        world.ranges.insert(format!("u-3-{position}"), (1, 4));
     }
     let setup = world.setup(1 << 20);
     let counts = world.run(setup);
@@ -115,12 +120,12 @@
     assert!(world.answers[0].coverage.complete);
 }
 
-/// Every upstream refuses the old layout after a repartition. The search that
-/// runs would end without hits; it starts again at the new layout instead.
+/// After a repartition every upstream refuses the old layout. A running search
+/// would end without hits; it must restart at the new layout instead.
 #[test]
 fn a_repartition_restarts_a_search_that_it_leaves_without_shards() {
-    let mut world = world::World::new(5, 4, 2, world::NONE);
-    known(&world);
+    let mut world = world::World::new(5, 4, 2, world::NO_FAULTS);
+    learn_versions(&world);
     world.repartition(6, 2);
     for range in world.ranges.values_mut() {
         *range = (9, 9);
@@ -132,11 +137,11 @@
     assert!(world.answers[0].coverage.complete);
 }
 
-/// All replicas of a shard are unreachable and nothing else is awaited. A
-/// caller would wait until the deadline for an answer that is already final.
+/// All replicas of the only shard are unreachable. The answer is final then,
+/// and the caller must not wait for it until the deadline.
 #[test]
-fn the_answer_comes_at_once_when_nothing_more_can_come() {
-    let world = world::World::new(6, 1, 1, world::NONE);
+fn a_final_answer_does_not_wait_for_the_deadline() {
+    let world = world::World::new(6, 1, 1, world::NO_FAULTS);
     let mut setup = world.setup(1 << 20);
     setup.deadline = world.now + time::Duration::from_millis(60);
     let mut search = search(&world, setup);
@@ -162,20 +167,20 @@
     panic!("no answer");
 }
 
-/// The retry budget is empty, as in an overload. Each refused call would be
-/// sent again and raise the load that refused it.
+/// The retry budget is empty, as in an overload. Retrying refused calls would
+/// add to the load that caused the refusals.
 #[test]
-fn an_empty_budget_ends_in_a_truthful_answer() {
+fn an_empty_retry_budget_gives_an_incomplete_answer() {
     let mut world = world::World::new(
         7,
         8,
         2,
         world::Faults {
             bad: 100,
-            ..world::NONE
+            ..world::NO_FAULTS
         },
     );
-    known(&world);
+    learn_versions(&world);
     while world.fleet.retry() {}
     let setup = world.setup(1 << 20);
     let counts = world.run(setup);
@@ -184,15 +189,15 @@
     assert!(!world.answers[0].coverage.complete);
 }
 
-/// A wide search that was never run before goes to one upstream first: were it
-/// to crash them, every shard would lose a replica at once.
+/// A wide search that never ran before is sent to one upstream first. If it
+/// crashes upstreams, a full fan-out would take a replica from every shard.
 #[test]
-fn a_canary_runs_ahead_and_meets_the_others_at_one_replica() {
-    let world = world::World::new(8, 20, 2, world::NONE);
-    known(&world);
+fn canaries_of_one_request_go_to_the_same_replica() {
+    let world = world::World::new(8, 20, 2, world::NO_FAULTS);
+    learn_versions(&world);
     let targets: Vec<_> = (0..4)
-        .map(|entry| {
-            let mut setup = world.setup(entry << 20);
+        .map(|coordinator| {
+            let mut setup = world.setup(coordinator << 20);
             setup.canary = true;
             let mut search = search(&world, setup);
             let start = gather::Event::Start(quarantine::Verdict::Clear);
@@ -205,12 +210,13 @@
     assert!(targets.iter().all(|target| *target == targets[0]));
 }
 
-/// A canary's connection is lost and the search is now suspect. Its next call
-/// would be the second crash; it waits for a trial, and without one it says so.
+/// A canary's connection is lost and the search becomes suspect. Its next call
+/// could cause a second crash, so it waits for a trial; if that is denied, the
+/// shards are missing as quarantined.
 #[test]
 fn a_lost_canary_stops_the_search_until_a_trial() {
-    let world = world::World::new(9, 20, 2, world::NONE);
-    known(&world);
+    let world = world::World::new(9, 20, 2, world::NO_FAULTS);
+    learn_versions(&world);
     let mut setup = world.setup(1 << 20);
     setup.canary = true;
     let mut search = search(&world, setup);
@@ -232,12 +238,12 @@
     );
 }
 
-/// A lone trial completes. The rest of the search follows, and no shard whose
-/// sibling is down was put at risk.
+/// The fan-out follows a completed isolated trial. The trial must not run at a
+/// replica whose sibling is down.
 #[test]
 fn a_completed_trial_lets_the_search_go_on() {
-    let world = world::World::new(10, 6, 2, world::NONE);
-    known(&world);
+    let world = world::World::new(10, 6, 2, world::NO_FAULTS);
+    learn_versions(&world);
     let mut search = search(&world, world.setup(1 << 20));
     let now = world.now;
     let start = gather::Event::Start(quarantine::Verdict::Suspect);
@@ -266,12 +272,12 @@
     assert_eq!(rest, 5);
 }
 
-/// A home has handed its upstreams over. Its refusals would use the retry
-/// budget up although nothing is wrong with any upstream.
+/// A home has handed over its upstreams and refuses calls. Calls to the new home
+/// must not use up the retry budget, since no upstream has failed.
 #[test]
-fn a_moved_home_costs_no_budget_but_only_once() {
-    let world = world::World::new(11, 4, 1, world::NONE);
-    known(&world);
+fn a_call_moves_to_another_home_without_budget_only_once() {
+    let world = world::World::new(11, 4, 1, world::NO_FAULTS);
+    learn_versions(&world);
     while world.fleet.retry() {}
     let mut search = search(&world, world.setup(1 << 20));
     let start = gather::Event::Start(quarantine::Verdict::Clear);
@@ -303,8 +309,8 @@
     assert!(search.counts().retries_refused > 0);
 }
 
-/// Under the latency objective the truck waits at the quay for the last shard.
-/// The answer goes out at its target and names the shard as cut off.
+/// Under the latency objective the answer is given at the latency target, and
+/// outstanding shards are missing as cut off.
 #[test]
 fn the_latency_objective_cuts_the_last_shards_off() {
     let mut world = world::World::new(
@@ -313,10 +319,10 @@
         1,
         world::Faults {
             lost: 30,
-            ..world::NONE
+            ..world::NO_FAULTS
         },
     );
-    known(&world);
+    learn_versions(&world);
     let mut setup = world.setup(1 << 20);
     let at = world.now + time::Duration::from_millis(30);
     setup.policy = query::Policy::NoHedge;
@@ -334,7 +340,7 @@
 
 #[test]
 fn budgets_start_full_and_no_fuller() {
-    let world = world::World::new(13, 1, 1, world::NONE);
+    let world = world::World::new(13, 1, 1, world::NO_FAULTS);
     let mut paid = 0.0;
     while world.fleet.hedge() {
         paid += 1.0;
--- a/crates/geraniumgauge/src/query/gather/tests/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Searches against a fake of everything around them.
+//! Tests of a search against simulated upstreams, homes and links.
 
 mod failures;
 mod properties;
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Whatever the order, loss, doubling and lateness of replies.
+//! Properties that hold when replies are reordered, lost, duplicated or late.
 
 use std::collections;
 use std::time;
@@ -8,13 +8,13 @@
 use crate::query::fleet;
 use crate::query::gather;
 
-const EVERYTHING: world::Faults = world::Faults {
+const ALL_FAULTS: world::Faults = world::Faults {
     bad: 15,
     lost: 5,
-    doubled: 15,
-    crossed: 10,
+    duplicated: 15,
+    corrupted: 10,
     slow: 5,
-    moving: true,
+    versions_change: true,
 };
 
 fn size(seed: u64) -> (usize, usize) {
@@ -25,7 +25,7 @@
 
 fn run(seed: u64) -> (world::World, gather::Counts) {
     let (shards, replicas) = size(seed);
-    let mut world = world::World::new(seed, shards, replicas, EVERYTHING);
+    let mut world = world::World::new(seed, shards, replicas, ALL_FAULTS);
     if seed.is_multiple_of(3) {
         world.repartition(shards + 2, replicas);
     }
@@ -42,8 +42,9 @@
     (world, counts)
 }
 
-/// Checks an answer against the fake's hits, which say what they are of.
-fn sound(answer: &query::Answer, shards: usize) -> Result<(), String> {
+/// Checks an answer against the simulated hits, which name their shard, version
+/// and layout.
+fn check_answer(answer: &query::Answer, shards: usize) -> Result<(), String> {
     let coverage = &answer.coverage;
     if coverage.shards != shards || coverage.covered + coverage.missing.len() != shards {
         return Err(format!("{coverage:?} of {shards}"));
@@ -74,14 +75,14 @@
 }
 
 quickcheck::quickcheck! {
-    fn one_answer_of_one_pin_with_true_coverage(seed: u64) -> Result<(), String> {
+    fn one_answer_at_one_pin_with_correct_coverage(seed: u64) -> Result<(), String> {
         let (world, _) = run(seed);
         let [answer] = world.answers.as_slice() else {
             return Err(format!("{} answers", world.answers.len()));
         };
         let (shards, _) = size(seed);
         let repartitioned = answer.snapshot.layout.0 == 2;
-        sound(answer, if repartitioned { shards + 2 } else { shards })
+        check_answer(answer, if repartitioned { shards + 2 } else { shards })
     }
 
     fn extra_calls_stay_within_the_budgets(seed: u64) -> bool {
@@ -101,14 +102,14 @@
     fn every_call_ends_by_its_reply_or_a_cancel(seed: u64) -> bool {
         let (world, _) = run(seed);
         let replicas = world.plan.replicas.iter();
-        let later = world.later.iter().flat_map(|plan| &plan.replicas);
+        let later = world.next_plan.iter().flat_map(|plan| &plan.replicas);
         replicas.chain(later).all(|replica| replica.stats.outstanding() == 0)
     }
 
     fn the_order_of_replies_changes_nothing(seed: u64) -> bool {
         let (shards, replicas) = size(seed);
         let ids = |seed| {
-            let mut world = world::World::new(seed, shards, replicas, world::NONE);
+            let mut world = world::World::new(seed, shards, replicas, world::NO_FAULTS);
             let setup = world.setup(1 << 20);
             world.run(setup);
             let hits = world.answers.remove(0).hits;
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -1,4 +1,4 @@
-//! Upstreams, homes and links as one queue of replies, driven by a seed.
+//! Simulates upstreams, homes and links as one queue of replies, seeded.
 
 use std::cmp;
 use std::collections;
@@ -21,40 +21,41 @@
 use crate::query::replica;
 use crate::time as clock;
 
-/// What the fakes do.
+/// Which faults the simulation injects.
 #[derive(Debug, Clone)]
 pub(super) struct Faults {
-    /// Chance in 100 of each outcome other than hits.
+    /// Chance in 100 that the outcome of a reply is drawn at random.
     pub(super) bad: u32,
-    /// Chance in 100 that a reply never comes.
+    /// Chance in 100 that a reply is lost.
     pub(super) lost: u32,
-    /// Chance in 100 that a reply comes twice, the second time later.
-    pub(super) doubled: u32,
-    /// Chance in 100 that a reply is of another shard, version or layout.
-    pub(super) crossed: u32,
+    /// Chance in 100 that a reply is delivered twice.
+    pub(super) duplicated: u32,
+    /// Chance in 100 that a reply is malformed or has the wrong shard, version,
+    /// layout or attempt.
+    pub(super) corrupted: u32,
     /// Chance in 100 that a reply takes thirty times as long.
     pub(super) slow: u32,
-    /// Whether versions move while the search runs.
-    pub(super) moving: bool,
+    /// Whether the offered versions change while the search runs.
+    pub(super) versions_change: bool,
 }
 
-pub(super) const NONE: Faults = Faults {
+pub(super) const NO_FAULTS: Faults = Faults {
     bad: 0,
     lost: 0,
-    doubled: 0,
-    crossed: 0,
+    duplicated: 0,
+    corrupted: 0,
     slow: 0,
-    moving: false,
+    versions_change: false,
 };
 
 pub(super) struct World {
     pub(super) fleet: sync::Arc<fleet::Fleet>,
     pub(super) plan: sync::Arc<plan::Plan>,
-    /// The plan after a repartition, which a search is given when it asks.
-    pub(super) later: Option<sync::Arc<plan::Plan>>,
+    /// The plan after a repartition, returned for `Action::Replan`.
+    pub(super) next_plan: Option<sync::Arc<plan::Plan>>,
     pub(super) faults: Faults,
     pub(super) rng: rand::rngs::StdRng,
-    /// Oldest and newest version by upstream.
+    /// Oldest and newest version that each upstream offers.
     pub(super) ranges: collections::BTreeMap<String, (u64, u64)>,
     pub(super) now: clock::Moment,
     pub(super) answers: Vec<query::Answer>,
@@ -95,9 +96,10 @@
     }
 }
 
-/// A layout of `shards` shards with `replicas` replicas, each upstream with one.
+/// Builds a layout of `shards` shards with `replicas` replicas each; every
+/// upstream holds one replica.
 pub(super) fn layout(version: u64, shards: usize, replicas: usize) -> layout::Layout {
-    let name = |shard: usize, place: usize| format!("u-{shard}-{place}").parse().unwrap();
+    let name = |shard: usize, position: usize| format!("u-{shard}-{position}").parse().unwrap();
     let upstream = |at: usize| layout::Upstream {
         id: name(at / replicas, at % replicas),
         address: ([127, 0, 0, 1], at as u16).into(),
@@ -108,7 +110,9 @@
     };
     let shard = |shard: usize| layout::Shard {
         id: format!("s{shard}").parse().unwrap(),
-        replicas: (0..replicas).map(|place| name(shard, place)).collect(),
+        replicas: (0..replicas)
+            .map(|position| name(shard, position))
+            .collect(),
     };
     layout::Layout {
         version: ids::LayoutVersion(version),
@@ -129,7 +133,7 @@
         Self {
             plan: sync::Arc::new(plan),
             fleet: sync::Arc::new(fleet),
-            later: None,
+            next_plan: None,
             rng: rand::rngs::StdRng::seed_from_u64(seed),
             ranges: ranges.collect(),
             faults,
@@ -142,13 +146,13 @@
         }
     }
 
-    /// Puts a layout with other shard names in force.
+    /// Puts a new layout with another number of shards in force.
     pub(super) fn repartition(&mut self, shards: usize, replicas: usize) {
         let layout = sync::Arc::new(layout(2, shards, replicas));
         for upstream in &layout.upstreams {
             self.ranges.entry(upstream.id.to_string()).or_insert((1, 5));
         }
-        self.later = Some(sync::Arc::new(plan::Plan::new(
+        self.next_plan = Some(sync::Arc::new(plan::Plan::new(
             &layout,
             &mut Source(&self.fleet),
         )));
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Runs one search to its answer and on until no reply is left.
+    /// Runs one search to its answer, then delivers the remaining replies.
     pub(super) fn run(&mut self, setup: gather::Setup) -> gather::Counts {
         let asked: Vec<u32> = (0..self.plan.shards.len() as u32).collect();
         self.fleet.earn(asked.len());
@@ -227,7 +231,7 @@
             gather::Action::AskTrial(_) => return Some(gather::Event::Denied(None)),
             gather::Action::EndTrial { .. } | gather::Action::Completed => {}
             gather::Action::Replan => {
-                let plan = self.later.clone().unwrap_or_else(|| self.plan.clone());
+                let plan = self.next_plan.clone().unwrap_or_else(|| self.plan.clone());
                 return Some(gather::Event::Plan(Some(plan)));
             }
             gather::Action::Finish(answer) => self.answers.push(*answer),
@@ -247,7 +251,7 @@
         call: message::Call,
     ) {
         self.sent.push(call.clone());
-        if self.faults.moving && self.chance(10) {
+        if self.faults.versions_change && self.chance(10) {
             let step = self.rng.random_range(0..2);
             let range = self.ranges.get_mut(&call.upstream).unwrap();
             *range = (range.0 + step, range.1 + 1);
@@ -279,10 +283,10 @@
                 reply.outcome = outcome;
             }
         }
-        if self.chance(self.faults.crossed) {
-            self.cross(&mut reply);
+        if self.chance(self.faults.corrupted) {
+            self.corrupt(&mut reply);
         }
-        if self.chance(self.faults.doubled) {
+        if self.chance(self.faults.duplicated) {
             let late = delay + self.rng.random_range(0..900_000);
             self.enqueue(vm, reply.clone(), late);
         }
@@ -291,7 +295,8 @@
         }
     }
 
-    fn cross(&mut self, reply: &mut message::Reply) {
+    /// Makes a reply wrong in one random way.
+    fn corrupt(&mut self, reply: &mut message::Reply) {
         match self.rng.random_range(0..5) {
             0 => {
                 reply.shard = "s0".to_owned();
@@ -318,7 +323,7 @@
     }
 }
 
-/// Two hits that say what they are of.
+/// Builds a reply body with two hits that name their shard, version and layout.
 fn hits(shard: &str, version: u64, layout: u64) -> bytes::Bytes {
     let hit = |n: u64| {
         serde_json::json!({
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -233,7 +233,7 @@
         if counts.overloads * MANY_REFUSED > counts.first {
             self.sign = admission::Sign::Congested;
         }
-        let spans = self.gather.spans();
+        let spans = self.gather.call_times();
         self.desk.fleet.measured(spans, &self.document.budgets, now);
         let mut missing = collections::BTreeMap::new();
         for shard in &answer.coverage.missing {
