--- a/crates/geraniumgauge/src/query/admission.rs
+++ b/crates/geraniumgauge/src/query/admission.rs
@@ -1,36 +1,36 @@
-//! How many searches of one service run at once at this entry.
+//! Limits how many searches of one service run at the same time on this VM.
 //!
-//! The document's limit is the VM's share of the service. Below it the limit
-//! follows what the homes say: where calls are refused for load, or wait long
-//! in queues, fewer searches whole are worth more than many in part. Fewer are
-//! let in then, and the others are refused before anything is sent.
+//! The document sets the maximum. Below it the limit adapts to congestion: when
+//! homes refuse calls for load or queue them for long, fewer searches are
+//! admitted and the others are refused before any call is sent, since a few
+//! complete answers are worth more than many partial ones.
 
 use std::time;
 
 use crate::time as clock;
 
-/// Least searches that may run, however loaded the upstreams are.
-const LEAST: f64 = 2.0;
-/// What is kept of the limit under congestion.
-const CUT: f64 = 0.85;
-/// Least time between two cuts: the first one must show its effect.
-const HOLD: time::Duration = time::Duration::from_millis(100);
+/// Minimum of the limit, however loaded the upstreams are.
+const MIN_LIMIT: f64 = 2.0;
+/// Factor that the limit is multiplied by on congestion.
+const DECREASE_FACTOR: f64 = 0.85;
+/// Minimum time between two reductions, so that the first can take effect.
+const MIN_DECREASE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// What one search met.
+/// The load that one search observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
-    /// Room.
+pub enum Load {
+    /// No congestion.
     Free,
-    /// Refusals for load, or long queues.
+    /// Calls were refused for load or queued for long.
     Congested,
 }
 
-/// The searches of one service that run here.
+/// The adaptive limit and the number of running searches of one service.
 #[derive(Debug, Clone)]
 pub struct Limit {
     limit: f64,
     running: u32,
-    cut: Option<clock::Moment>,
+    last_decrease: Option<clock::Moment>,
 }
 
 impl Default for Limit {
@@ -38,15 +38,15 @@
         Self {
             limit: f64::INFINITY,
             running: 0,
-            cut: None,
+            last_decrease: None,
         }
     }
 }
 
 impl Limit {
-    /// Lets one search in, where fewer than `most` and than the limit run.
+    /// Admits one search if fewer than `most` and fewer than the limit are running.
     pub fn admit(&mut self, most: u32) -> bool {
-        self.limit = self.limit.min(f64::from(most)).max(LEAST);
+        self.limit = self.limit.min(f64::from(most)).max(MIN_LIMIT);
         let room = self.running < most && f64::from(self.running) < self.limit;
         if room {
             self.running += 1;
@@ -54,27 +54,31 @@
         room
     }
 
-    /// One search has ended.
-    pub fn done(&mut self, sign: Sign, now: clock::Moment) {
+    /// Records the end of one search and adapts the limit: additive increase while
+    /// at least half of it is used, multiplicative decrease on congestion.
+    pub fn finish(&mut self, load: Load, now: clock::Moment) {
         let used = f64::from(self.running) * 2.0 > self.limit;
         self.running = self.running.saturating_sub(1);
-        match sign {
-            Sign::Free if used => self.limit += 1.0 / self.limit,
-            Sign::Free => {}
-            Sign::Congested => self.congested(now),
+        match load {
+            Load::Free if used => self.limit += 1.0 / self.limit,
+            Load::Free => {}
+            Load::Congested => self.congested(now),
         }
     }
 
     fn congested(&mut self, now: clock::Moment) {
-        if self.cut.is_some_and(|cut| now.since(cut) < HOLD) {
+        if self
+            .last_decrease
+            .is_some_and(|last_decrease| now.since(last_decrease) < MIN_DECREASE_INTERVAL)
+        {
             return;
         }
-        self.cut = Some(now);
+        self.last_decrease = Some(now);
         let present = self.limit.min(f64::from(self.running + 1));
-        self.limit = (present * CUT).max(LEAST);
+        self.limit = (present * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
-    /// Searches that run now.
+    /// Returns the number of running searches.
     pub fn running(&self) -> u32 {
         self.running
     }
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -1,4 +1,4 @@
-//! Lets searches in, or refuses them before anything is sent.
+//! Admits searches, or refuses them before any call is sent.
 
 use std::sync;
 use std::sync::atomic;
@@ -12,32 +12,33 @@
 use crate::query;
 use crate::query::Policy;
 use crate::query::admission;
-use crate::query::desk;
 use crate::query::gather;
 use crate::query::plan;
-use crate::query::route;
+use crate::query::router;
 use crate::query::service::Inner;
+use crate::query::state;
 use crate::query::task;
 use crate::slo;
 
-/// Searches of all services that run at once at this VM; beyond it each
-/// service keeps to its even share.
-const MOST_RUNNING: usize = 4096;
-/// Part of the time left that is kept for merging and sending the answer: one
-/// part in this, and [`MOST_MARGIN`] at most.
-const MARGIN: u32 = 20;
-/// Most time kept for merging and sending the answer.
-const MOST_MARGIN: time::Duration = time::Duration::from_millis(15);
-/// Hedge point while none is measured, as one part of the time left in this.
-const UNMEASURED_HEDGE: u32 = 4;
-/// Least hedge point.
-const LEAST_HEDGE: time::Duration = time::Duration::from_micros(500);
-/// Call time while none is measured.
-const UNMEASURED_CALL: time::Duration = time::Duration::from_millis(1);
-/// When a refused caller may come back.
-const COME_BACK: time::Duration = time::Duration::from_millis(500);
+/// Running searches of all services on this VM from which each service is limited
+/// to an equal share.
+const MAX_RUNNING: usize = 4096;
+/// The time left divided by this is reserved for merging and sending the answer,
+/// up to [`MAX_ANSWER_MARGIN`].
+const ANSWER_MARGIN_DIVISOR: u32 = 20;
+/// Maximum time reserved for merging and sending the answer.
+const MAX_ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
+/// Until a hedge point is measured it is the time left divided by this.
+const DEFAULT_HEDGE_DIVISOR: u32 = 4;
+/// Minimum hedge point.
+const MIN_HEDGE_AFTER: time::Duration = time::Duration::from_micros(500);
+/// Typical call time until one is measured.
+const DEFAULT_CALL_TIME: time::Duration = time::Duration::from_millis(1);
+/// Delay after which a refused caller may retry.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
 
 impl Inner {
+    /// Validates a search and reserves capacity for it. The returned task runs it.
     pub(super) fn admit(
         self: &sync::Arc<Self>,
         search: query::Search,
@@ -45,65 +46,69 @@
         let started = self.clock.now();
         let in_force = self.in_force(&search.service)?;
         let document = in_force.document.clone();
-        let desk = self.desk(&search.service, &document.budgets);
-        let plan = self.plan_of(&desk, &in_force);
+        let state = self.service_state(&search.service, &document.budgets);
+        let plan = self.plan_of(&state, &in_force);
         let asked = asked(&plan, search.shards.as_deref())?;
         let time_left = search.time_left.unwrap_or(document.deadline);
         let time_left = time_left.min(document.max_deadline);
-        let typical = desk.fleet.typical().unwrap_or(UNMEASURED_CALL);
+        let typical = state.fleet.typical().unwrap_or(DEFAULT_CALL_TIME);
         if time_left <= typical {
-            let message = format!("a call takes {typical:?}; give more than {time_left:?}");
+            let message = format!(
+                "a shard call typically takes {typical:?}, but only {time_left:?} is left; \
+                 allow more time"
+            );
             return Err(query::Refusal::not_run(query::Code::Deadline, message));
         }
         let body = body(&search)?;
-        self.enter(&desk, document.limits.searches)?;
-        let margin = (time_left / MARGIN).min(MOST_MARGIN);
+        self.reserve(&state, document.limits.searches)?;
+        let margin = (time_left / ANSWER_MARGIN_DIVISOR).min(MAX_ANSWER_MARGIN);
         let fingerprint = ids::Fingerprint::of(&search.service, &body);
-        let ask = task::Ask {
+        let context = task::Context {
             request: search.request,
             service: search.service,
             body,
             fingerprint,
             deadline: started + (time_left - margin),
-            promised: started + time_left,
+            answer_due: started + time_left,
             started,
         };
         let (sender, inbox) = mpsc::unbounded_channel();
-        let number = self.numbers.fetch_add(1, atomic::Ordering::Relaxed);
-        let hedge_after = desk.fleet.hedge_after();
+        let number = self.next_search.fetch_add(1, atomic::Ordering::Relaxed);
+        let hedge_after = state.fleet.hedge_after();
         let setup = gather::Setup {
-            request: ask.request.clone(),
+            request: context.request.clone(),
             fingerprint,
             limit: search.limit as usize,
-            deadline: ask.deadline,
+            deadline: context.deadline,
             soft: gather::Soft::of(&document, asked.len(), started),
             subset: search.shards.is_some(),
-            canary: self.canary(&ask, &document.limits, asked.len()),
+            canary: self.canary(&context, &document.limits, asked.len()),
             hedge_after: hedge_after
-                .unwrap_or(time_left / UNMEASURED_HEDGE)
-                .max(LEAST_HEDGE),
+                .unwrap_or(time_left / DEFAULT_HEDGE_DIVISOR)
+                .max(MIN_HEDGE_AFTER),
             hedge_last: hedge_last(&document.budgets, asked.len()),
             typical,
             policy: self.config.policy,
-            base: route::Route::base(number),
+            base: router::Router::base(number),
             seed: number ^ started.0 ^ fingerprint.0,
         };
-        desk.fleet.earn(asked.len());
-        self.route.add(number, sender.clone());
+        state.fleet.earn(asked.len());
+        self.router.add(number, sender.clone());
         Ok(task::Task {
             owner: self.clone(),
-            gather: gather::Gather::new(setup, plan, asked, desk.fleet.clone()),
-            desk,
+            gather: gather::Gather::new(setup, plan, asked, state.fleet.clone()),
+            state,
             document,
-            ask,
+            context,
             number,
             inbox,
             sender,
             trial: None,
-            sign: admission::Sign::Free,
+            load: admission::Load::Free,
         })
     }
 
+    /// Returns the document and layout of a service that isn't retired.
     fn in_force(&self, service: &ids::Service) -> Result<document::InForce, query::Refusal> {
         let known = self.catalog.get(service);
         let live = known.filter(|in_force| !in_force.document.retired);
@@ -113,87 +118,100 @@
         })
     }
 
-    fn canary(&self, ask: &task::Ask, limits: &document::Limits, width: usize) -> bool {
+    /// Returns whether a search of `width` shards needs a canary: it is wide, and
+    /// its query hasn't completed recently.
+    fn canary(&self, context: &task::Context, limits: &document::Limits, width: usize) -> bool {
         let wide = width >= limits.canary_width as usize;
         let guarded = self.config.policy != Policy::Direct;
-        wide && guarded && !self.book.completed_recently(&ask.service, ask.fingerprint)
+        wide && guarded
+            && !self
+                .quarantine
+                .completed_recently(&context.service, context.fingerprint)
     }
 
-    /// Takes a place among the running searches. One service's storm fills its
-    /// own share, and beyond the VM's means no more than its even part.
-    fn enter(&self, desk: &desk::Desk, most: u32) -> Result<(), query::Refusal> {
+    /// Reserves capacity for one search. A service that receives too many searches
+    /// fills only its own limit and, once the VM is full, an equal share of it.
+    fn reserve(&self, state: &state::State, most: u32) -> Result<(), query::Refusal> {
         let total = self.running.load(atomic::Ordering::Relaxed);
-        let share = if total < MOST_RUNNING {
+        let share = if total < MAX_RUNNING {
             most
         } else {
-            let services = read(&self.desks).len().max(1);
-            most.min((MOST_RUNNING / services) as u32)
+            let services = read(&self.states).len().max(1);
+            most.min((MAX_RUNNING / services) as u32)
         };
-        if !lock(&desk.admission).admit(share) {
+        if !lock(&state.admission).admit(share) {
             let message = format!(
-                "{} has as many searches here as it may; come back later or elsewhere",
-                desk.service
+                "service {} has reached its limit of running searches on this VM; \
+                 retry later or at another VM",
+                state.service
             );
             let refusal = query::Refusal::not_run(query::Code::Overloaded, message);
-            return Err(refusal.retry_after(COME_BACK));
+            return Err(refusal.retry_after(RETRY_DELAY));
         }
         self.running.fetch_add(1, atomic::Ordering::Relaxed);
         Ok(())
     }
 
-    /// One search has ended.
-    pub(super) fn done(&self, desk: &desk::Desk, sign: admission::Sign) {
-        let sign = match self.config.policy {
-            Policy::Direct => admission::Sign::Free,
-            _ => sign,
+    /// Releases the capacity of a search that has ended.
+    pub(super) fn release(&self, state: &state::State, load: admission::Load) {
+        let load = match self.config.policy {
+            Policy::Direct => admission::Load::Free,
+            _ => load,
         };
-        lock(&desk.admission).done(sign, self.clock.now());
+        lock(&state.admission).finish(load, self.clock.now());
         self.running.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 
-    /// The present plan of a service; `None` where it has ended.
-    pub(super) fn plan(&self, desk: &desk::Desk) -> Option<sync::Arc<plan::Plan>> {
-        let in_force = self.catalog.get(&desk.service)?;
-        Some(self.plan_of(desk, &in_force))
+    /// Returns the present plan of a service; `None` if it no longer exists.
+    pub(super) fn plan(&self, state: &state::State) -> Option<sync::Arc<plan::Plan>> {
+        let in_force = self.catalog.get(&state.service)?;
+        Some(self.plan_of(state, &in_force))
     }
 
-    fn plan_of(&self, desk: &desk::Desk, in_force: &document::InForce) -> sync::Arc<plan::Plan> {
+    fn plan_of(&self, state: &state::State, in_force: &document::InForce) -> sync::Arc<plan::Plan> {
         let view = self.view.borrow().clone();
-        desk.plan(in_force, &view, &self.homes, &self.links)
+        state.plan(in_force, &view, &self.homes, &self.links)
     }
 
-    fn desk(&self, service: &ids::Service, budgets: &document::Budgets) -> sync::Arc<desk::Desk> {
-        if let Some(known) = read(&self.desks).get(service) {
+    /// Returns the state of a service, created at its first search.
+    fn service_state(
+        &self,
+        service: &ids::Service,
+        budgets: &document::Budgets,
+    ) -> sync::Arc<state::State> {
+        if let Some(known) = read(&self.states).get(service) {
             return known.clone();
         }
-        let mut desks = self
-            .desks
+        let mut states = self
+            .states
             .write()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        let fresh = || sync::Arc::new(desk::Desk::new(service.clone(), budgets));
-        desks.entry(service.clone()).or_insert_with(fresh).clone()
+        let fresh = || sync::Arc::new(state::State::new(service.clone(), budgets));
+        states.entry(service.clone()).or_insert_with(fresh).clone()
     }
 
-    /// A call of a search that has ended lost its connection. It is held
-    /// against the request all the same, or a request that takes longer than
-    /// its deadline to crash an upstream would never be found out.
-    pub(super) fn lost_late(&self, reply: &message::Reply) {
-        let Some(ended) = self.route.late(reply.attempt) else {
+    /// Reports a lost connection of a call whose search has ended. Otherwise a
+    /// request that takes longer than its deadline to crash an upstream would
+    /// never become suspect.
+    pub(super) fn report_late_loss(&self, reply: &message::Reply) {
+        let Some(ended) = self.router.find_ended(reply.attempt) else {
             return;
         };
         let guarded = self.config.policy != Policy::Direct;
         if let (true, Ok(upstream)) = (guarded, reply.upstream.parse()) {
-            self.book.lost(&ended.service, ended.fingerprint, &upstream);
+            self.quarantine
+                .lost(&ended.service, ended.fingerprint, &upstream);
         }
     }
 
+    /// Records a refused search in the metrics and the service's objectives.
     pub(super) fn refused(&self, service: ids::Service, refusal: &query::Refusal) {
-        // A service that isn't there has no objectives, and a caller could make
-        // up any number of names.
+        // A service that doesn't exist has no objectives, and recording made-up
+        // names would let a caller create any number of metric series.
         if refusal.code == query::Code::NotFound {
             return;
         }
-        self.figures.refused(&service, refusal.code);
+        self.instruments.refused(&service, refusal.code);
         self.slo.record(&slo::Event {
             service,
             in_time: false,
@@ -206,13 +224,14 @@
     }
 }
 
-/// Half of what the budget earns with `asked` shards: the other half is left
-/// for calls that reach their hedge point before.
+/// Returns the number of last shards to hedge early: half of what the hedge
+/// budget earns with `asked` shards. The other half is left for calls that reach
+/// their hedge point first.
 fn hedge_last(budgets: &document::Budgets, asked: usize) -> usize {
     (budgets.hedge.get() * asked as f64 / 2.0) as usize
 }
 
-/// The numbers of the shards asked, each once.
+/// Returns the plan's indexes of the requested shards, without duplicates.
 fn asked(plan: &plan::Plan, named: Option<&[ids::Shard]>) -> Result<Vec<u32>, query::Refusal> {
     let Some(named) = named else {
         return Ok((0..plan.shards.len() as u32).collect());
@@ -235,6 +254,7 @@
     Ok(asked)
 }
 
+/// The request body that upstreams receive.
 #[derive(serde::Serialize)]
 struct Body<'a> {
     query: &'a serde_json::value::RawValue,
@@ -247,7 +267,7 @@
         limit: search.limit,
     };
     let bytes = serde_json::to_vec(&body).map_err(|error| {
-        let message = format!("the query can't be passed on: {error}");
+        let message = format!("the query can't be encoded as JSON: {error}");
         query::Refusal::not_run(query::Code::BadRequest, message)
     })?;
     Ok(bytes.into())
--- a/crates/geraniumgauge/src/query/answer.rs
+++ b/crates/geraniumgauge/src/query/answer.rs
@@ -1,36 +1,36 @@
-//! What callers ask and are told. The JSON forms are a contract with callers.
+//! Searches, answers and refusals. The JSON forms are part of the HTTP API.
 
 use std::collections;
 use std::time;
 
 use crate::ids;
 
-/// A search as it was admitted.
+/// A search request.
 #[derive(Debug, Clone)]
 pub struct Search {
-    /// The caller's request.
+    /// The id of the caller's request.
     pub request: ids::Request,
-    /// The service asked.
+    /// The service to search.
     pub service: ids::Service,
     /// The query, as the caller's JSON.
     pub query: Box<serde_json::value::RawValue>,
-    /// Most hits wanted.
+    /// Maximum number of hits.
     pub limit: u32,
-    /// Only these shards; all where `None`.
+    /// The shards to search; all if `None`.
     pub shards: Option<Vec<ids::Shard>>,
-    /// Time left for the whole answer; `None` for the service's default.
+    /// Time left until the answer is due; `None` for the service's default.
     pub time_left: Option<time::Duration>,
 }
 
-/// A whole answer.
+/// The answer to a search, complete or partial.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Answer {
-    /// The caller's request.
+    /// The id of the caller's request.
     pub request_id: ids::Request,
-    /// The one snapshot that every hit is of.
+    /// The snapshot that all hits belong to.
     pub snapshot: Snapshot,
-    /// Which shards the hits are from.
+    /// Which shards are covered and which are missing.
     pub coverage: Coverage,
     /// The best hits, best first.
     pub hits: Vec<Hit>,
@@ -46,17 +46,17 @@
     pub layout: ids::LayoutVersion,
 }
 
-/// Which shards an answer covers.
+/// The shards that an answer covers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Coverage {
-    /// Shards of the pinned layout that were asked for.
+    /// Number of requested shards of the pinned layout.
     pub shards: usize,
-    /// Shards whose own reply is merged.
+    /// Number of shards whose reply is merged.
     pub covered: usize,
     /// Whether every shard is covered.
     pub complete: bool,
-    /// The others, each with its reason.
+    /// The shards that aren't covered, each with a reason.
     pub missing: Vec<Missing>,
 }
 
@@ -64,13 +64,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Missing {
-    /// The shard.
+    /// The shard's id.
     pub shard: ids::Shard,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// Why a shard is missing.
+/// The reason why a shard is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[serde(rename_all = "snake_case")]
@@ -78,51 +78,51 @@
 pub enum Reason {
     /// No reply before the deadline.
     Deadline,
-    /// Every replica was too loaded to take the call in time.
+    /// The call was refused for load.
     Overloaded,
-    /// No replica could be reached.
+    /// No replica could be called, or the connection was lost.
     Unreachable,
     /// No replica offers the pinned version.
     VersionUnavailable,
-    /// The query is held to crash upstreams.
+    /// The query is suspected of crashing upstreams.
     Quarantined,
-    /// The latency objective answered without it.
+    /// The latency objective cut it off.
     CutOff,
-    /// The replies were not what was asked for.
+    /// The upstream's reply was an error, malformed or of another shard or version.
     BadReply,
 }
 
-/// One hit. Fields beyond these three pass through as the upstream gave them.
+/// One hit. Further fields are passed through as the upstream returned them.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Hit {
     /// The record's id.
     pub id: String,
-    /// How well it fits; higher is better.
+    /// Relevance; higher is better.
     pub score: f64,
-    /// The shard it is from.
+    /// The shard that returned it.
     pub shard: ids::Shard,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub rest: collections::BTreeMap<String, serde_json::Value>,
 }
 
-/// A request that is not answered.
+/// The error response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("{code}: {message}")]
 pub struct Refusal {
-    /// What kind of refusal.
+    /// The kind of refusal.
     pub code: Code,
-    /// What the caller reads: what is wrong, where, and what to do.
+    /// Message for the caller: what is wrong, where, and what to do.
     pub message: String,
     /// Whether the request may have run.
     pub ran: Ran,
-    /// When another try may succeed.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<time::Duration>,
 }
 
-/// Whether a refused request ran.
+/// Whether a refused request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(
     serde::Serialize,
@@ -134,9 +134,10 @@
 #[display(rename_all = "lowercase")]
 #[from_str(rename_all = "lowercase")]
 pub enum Ran {
-    /// No byte that could start the work was sent, or the upstream said so.
+    /// It didn't run: nothing that could start it was sent, or the upstream
+    /// reported that it wasn't run.
     No,
-    /// Everything else.
+    /// It may have run.
     Unknown,
 }
 
@@ -152,30 +153,30 @@
 #[display(rename_all = "snake_case")]
 #[from_str(rename_all = "snake_case")]
 pub enum Code {
-    /// 400: the request can't be understood.
+    /// 400: the request is malformed.
     BadRequest,
     /// 404: no such service, shard or path.
     NotFound,
-    /// 409: the key stands for another request, or is being run.
+    /// 409: the key belongs to another request, or its request is still running.
     Conflict,
     /// 413: the body or a field exceeds its limit.
     TooLarge,
-    /// 429: the service is over its share of this VM.
+    /// 429: the service has reached its limit on this VM.
     Overloaded,
-    /// 503: something that is needed is not available.
+    /// 503: a dependency is unavailable.
     Unavailable,
-    /// 503: the request is held to crash upstreams.
+    /// 503: the request is suspected of crashing upstreams.
     Quarantined,
-    /// 503: this VM is stopping; another one will answer.
+    /// 503: this VM is stopping; retry at another one.
     Stopping,
     /// 504: no answer before the deadline.
     Deadline,
-    /// 500: a fault of this program.
+    /// 500: an internal error.
     Internal,
 }
 
 impl Code {
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -191,7 +192,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that was not run.
+    /// Creates a refusal of a request that wasn't run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -211,7 +212,7 @@
         }
     }
 
-    /// The same, with the time after which another try may succeed.
+    /// Sets the time after which a retry may succeed.
     pub fn retry_after(self, span: time::Duration) -> Self {
         Self {
             retry_after: Some(span),
--- a/crates/geraniumgauge/src/query/fleet.rs
+++ b/crates/geraniumgauge/src/query/fleet.rs
@@ -1,5 +1,5 @@
-//! What the searches of one service share at this entry: budgets, call times,
-//! what was seen of its replicas.
+//! State that the searches of one service share on this VM: budgets, call times
+//! and replica statistics.
 
 use std::collections;
 use std::sync;
@@ -13,14 +13,14 @@
 use crate::rate;
 use crate::time as clock;
 
-/// Tokens that the hedge budget holds at most.
-pub const HEDGE_CAP: f64 = 32.0;
-/// Tokens that the retry budget holds at most: one home lost under a wide
-/// fan-out takes some tens of calls at once.
-pub const RETRY_CAP: f64 = 64.0;
+/// Maximum tokens of the hedge budget.
+pub const MAX_HEDGE_TOKENS: f64 = 32.0;
+/// Maximum tokens of the retry budget: losing one home during a wide fan-out
+/// fails some tens of calls at once.
+pub const MAX_RETRY_TOKENS: f64 = 64.0;
 
-/// What the searches of one service share. Locks are held for a few
-/// instructions, once a search or once an extra call, never once a reply.
+/// State that the searches of one service share. Locks are held briefly, per
+/// search or extra call but never per reply.
 #[derive(Debug)]
 pub struct Fleet {
     hedge: sync::Mutex<rate::Budget>,
@@ -33,11 +33,11 @@
 }
 
 impl Fleet {
-    /// Full budgets of the given shares; no times measured yet.
+    /// Creates full budgets with the given shares, and no measured times.
     pub fn new(budgets: &document::Budgets) -> Self {
         Self {
-            hedge: sync::Mutex::new(rate::Budget::new(budgets.hedge, HEDGE_CAP)),
-            retry: sync::Mutex::new(rate::Budget::new(budgets.retry, RETRY_CAP)),
+            hedge: sync::Mutex::new(rate::Budget::new(budgets.hedge, MAX_HEDGE_TOKENS)),
+            retry: sync::Mutex::new(rate::Budget::new(budgets.retry, MAX_RETRY_TOKENS)),
             times: sync::Mutex::default(),
             hedge_after: atomic::AtomicU64::new(0),
             typical: atomic::AtomicU64::new(0),
@@ -46,60 +46,61 @@
         }
     }
 
-    /// Follows a changed document.
-    pub fn set(&self, budgets: &document::Budgets) {
-        lock(&self.hedge).set(budgets.hedge, HEDGE_CAP);
-        lock(&self.retry).set(budgets.retry, RETRY_CAP);
+    /// Adopts the budgets of a changed document.
+    pub fn set_budgets(&self, budgets: &document::Budgets) {
+        lock(&self.hedge).set(budgets.hedge, MAX_HEDGE_TOKENS);
+        lock(&self.retry).set(budgets.retry, MAX_RETRY_TOKENS);
     }
 
-    /// Earns for first attempts.
+    /// Adds to the budgets for `count` first attempts.
     pub fn earn(&self, count: usize) {
         lock(&self.hedge).earn(count);
         lock(&self.retry).earn(count);
     }
 
-    /// Pays for one hedge.
-    pub fn hedge(&self) -> bool {
+    /// Takes one hedge from the budget; returns `false` if it is exhausted.
+    pub fn spend_hedge(&self) -> bool {
         lock(&self.hedge).spend()
     }
 
-    /// Pays for one retry.
-    pub fn retry(&self) -> bool {
+    /// Takes one retry from the budget; returns `false` if it is exhausted.
+    pub fn spend_retry(&self) -> bool {
         lock(&self.retry).spend()
     }
 
-    /// When a call is hedged; `None` while too few are measured.
+    /// Returns the time after which a call is hedged; `None` until enough calls are
+    /// measured.
     pub fn hedge_after(&self) -> Option<time::Duration> {
         known(&self.hedge_after)
     }
 
-    /// The median call time; `None` while too few are measured.
+    /// Returns the median call time; `None` until enough calls are measured.
     pub fn typical(&self) -> Option<time::Duration> {
         known(&self.typical)
     }
 
-    /// Counts the shard call times of one search.
-    pub fn measured(
+    /// Records the shard call times of one search.
+    pub fn record_call_times(
         &self,
-        spans: &[time::Duration],
+        call_times: &[time::Duration],
         budgets: &document::Budgets,
         now: clock::Moment,
     ) {
         let mut times = lock(&self.times);
-        times.record(spans, now);
-        let Some(points) = times.points(budgets, now) else {
+        times.record(call_times, now);
+        let Some(quantiles) = times.quantiles(budgets, now) else {
             return;
         };
-        store(&self.hedge_after, points.hedge);
-        store(&self.typical, points.typical);
+        store(&self.hedge_after, quantiles.hedge);
+        store(&self.typical, quantiles.typical);
     }
 
-    /// The next turn, for round robin.
-    pub fn turn(&self) -> usize {
+    /// Returns the next number of a round robin.
+    pub fn next_turn(&self) -> usize {
         self.turn.fetch_add(1, atomic::Ordering::Relaxed)
     }
 
-    /// What was seen of `upstream`; kept over changes of the layout.
+    /// Returns the statistics of `upstream`, which survive changes of the layout.
     pub fn stats(&self, upstream: &ids::Upstream) -> sync::Arc<replica::Stats> {
         let mut replicas = lock(&self.replicas);
         if let Some(known) = replicas.get(upstream) {
@@ -110,7 +111,7 @@
         stats
     }
 
-    /// Forgets upstreams that `keep` doesn't name.
+    /// Removes the statistics of upstreams that `keep` rejects.
     pub fn retain(&self, keep: impl Fn(&ids::Upstream) -> bool) {
         lock(&self.replicas).retain(|upstream, _| keep(upstream));
     }
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -179,7 +179,7 @@
         }
         if self.setup.policy == query::Policy::Direct {
             let count = may.count_ones() as usize;
-            return (count > 0).then(|| nth(may, self.fleet.turn() % count));
+            return (count > 0).then(|| nth(may, self.fleet.next_turn() % count));
         }
         let from = if healthy == 0 { may } else { healthy };
         let (first, second) = pick_two(&mut self.rng, from)?;
@@ -233,7 +233,7 @@
         if self.queue_is_long(slot, position, now) {
             return;
         }
-        if !self.fleet.hedge() {
+        if !self.fleet.spend_hedge() {
             self.counts.hedges_refused += 1;
             let again = now + self.setup.hedge_after.max(MIN_HEDGE_DELAY);
             self.timers
@@ -350,7 +350,10 @@
     pub(super) fn record_loser(&mut self, attempt: u32, now: clock::Moment) {
         let called = &self.attempts[attempt as usize];
         let span = now.since(called.sent);
-        self.plan.replica(called.replica).stats.took(span, now);
+        self.plan
+            .replica(called.replica)
+            .stats
+            .record_time(span, now);
         self.call_times.push(span);
     }
 }
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -86,7 +86,7 @@
             && reply.layout == self.plan.layout.version.0
             && self.pin.is_none_or(|pin| pin == version);
         let body = own.then(|| reply.body.clone())?;
-        merge::read(body, shard, self.setup.limit)
+        merge::parse(body, shard, self.setup.limit)
     }
 
     /// Handles a valid reply: covers its shard and cancels the shard's other
@@ -101,8 +101,8 @@
         let called = &self.attempts[attempt as usize];
         let (number, kind, span) = (called.slot, called.kind, now.since(called.sent));
         let upstream = self.plan.replica(called.replica);
-        upstream.stats.good(now);
-        upstream.stats.took(span, now);
+        upstream.stats.record_success(now);
+        upstream.stats.record_time(span, now);
         let upstream = upstream.id.clone();
         self.call_times.push(span);
         self.end(attempt);
@@ -178,7 +178,7 @@
     ) {
         let called = self.attempts[attempt as usize].clone();
         let replica = self.plan.replica(called.replica);
-        replica.stats.bad(outcome, retry_after, now);
+        replica.stats.record_failure(outcome, retry_after, now);
         let upstream = replica.id.clone();
         self.end(attempt);
         if matches!(outcome, Outcome::Shed | Outcome::Late) {
@@ -318,7 +318,7 @@
         now: clock::Moment,
     ) {
         let direct = self.setup.policy == query::Policy::Direct;
-        if direct || self.fleet.retry() {
+        if direct || self.fleet.spend_retry() {
             self.send(slot, position, message::Kind::Retry, avoid, now);
             return;
         }
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -90,8 +90,8 @@
         let (world, counts) = run(seed);
         let earned = shards as f64 * 0.05;
         let sent = world.sent.len() as u64;
-        counts.hedges as f64 <= fleet::HEDGE_CAP + earned
-            && counts.retries as f64 <= fleet::RETRY_CAP + earned
+        counts.hedges as f64 <= fleet::MAX_HEDGE_TOKENS + earned
+            && counts.retries as f64 <= fleet::MAX_RETRY_TOKENS + earned
             && counts.first <= shards as u64
             && counts.moved <= 3 * (shards as u64 + 2)
             && counts.restarts <= 2
--- a/crates/geraniumgauge/src/query/figures.rs
+++ b/crates/geraniumgauge/src/query/instruments.rs
@@ -7,9 +7,9 @@
 use crate::query;
 use crate::query::gather;
 
-/// Instruments of searches.
+/// OpenTelemetry instruments of searches.
 #[derive(Debug)]
-pub(super) struct Figures {
+pub(super) struct Instruments {
     answers: metrics::Counter<u64>,
     refusals: metrics::Counter<u64>,
     missing: metrics::Counter<u64>,
@@ -20,7 +20,7 @@
     restarts: metrics::Counter<u64>,
 }
 
-impl Figures {
+impl Instruments {
     pub(super) fn new(meter: &metrics::Meter) -> Self {
         let counter = |name: &'static str, description: &'static str| {
             meter
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn counted(&self, service: &ids::Service, counts: &gather::Counts) {
+    pub(super) fn record_counts(&self, service: &ids::Service, counts: &gather::Counts) {
         let calls = [
             ("first", counts.first),
             ("hedge", counts.hedges),
--- a/crates/geraniumgauge/src/query/links.rs
+++ b/crates/geraniumgauge/src/query/links.rs
@@ -1,4 +1,4 @@
-//! What was seen of the links to other VMs, shared by all services.
+//! State of the links to other VMs, shared by all services.
 
 use std::collections;
 use std::sync;
@@ -6,26 +6,26 @@
 use crate::ids;
 use crate::query::plan;
 
-/// Links by VM.
+/// The link states by VM.
 #[derive(Debug, Default)]
 pub(super) struct Links {
     known: sync::Mutex<collections::HashMap<ids::Vm, sync::Arc<plan::Link>>>,
 }
 
 impl Links {
-    /// The link to `vm`.
+    /// Returns the state of the link to `vm`, created on first use.
     pub(super) fn get(&self, vm: &ids::Vm) -> sync::Arc<plan::Link> {
         let mut known = self
             .known
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        // Links that no plan holds any more are of VMs that are gone.
-        if known.len() > MOST {
+        // Links that no plan refers to belong to VMs that have left.
+        if known.len() > MAX_LINKS {
             known.retain(|_, link| sync::Arc::strong_count(link) > 1);
         }
         known.entry(vm.clone()).or_default().clone()
     }
 }
 
-/// Links kept before unused ones are dropped.
-const MOST: usize = 4096;
+/// Number of links above which unused ones are dropped.
+const MAX_LINKS: usize = 4096;
--- a/crates/geraniumgauge/src/query/merge.rs
+++ b/crates/geraniumgauge/src/query/merge.rs
@@ -1,4 +1,4 @@
-//! Reads shard replies and merges their hits.
+//! Parses shard replies and merges their hits.
 
 use std::borrow;
 use std::cmp;
@@ -9,15 +9,16 @@
 use crate::ids;
 use crate::query;
 
-/// The hits of one shard: where they stand in its reply, best first.
+/// The hits of one shard's reply, best first, as byte ranges of its body.
 #[derive(Debug, Clone)]
 pub struct Found {
     body: Bytes,
-    hits: Vec<Place>,
+    hits: Vec<Candidate>,
 }
 
+/// The sort key of one hit and its byte range in the body.
 #[derive(Debug, Clone)]
-struct Place {
+struct Candidate {
     score: f64,
     id: String,
     start: usize,
@@ -30,6 +31,7 @@
     hits: Vec<&'a serde_json::value::RawValue>,
 }
 
+/// The fields of a hit that are needed for merging.
 #[derive(serde::Deserialize)]
 struct Head<'a> {
     #[serde(borrow)]
@@ -39,17 +41,19 @@
     shard: Option<borrow::Cow<'a, str>>,
 }
 
+/// All fields of a hit.
 #[derive(serde::Deserialize)]
-struct Whole {
+struct FullHit {
     id: String,
     score: f64,
     #[serde(flatten)]
     rest: collections::BTreeMap<String, serde_json::Value>,
 }
 
-/// Reads a shard's reply; `None` where it is no reply of that shard. Only ids
-/// and scores are read here: most hits never reach the answer.
-pub fn read(body: Bytes, shard: &ids::Shard, limit: usize) -> Option<Found> {
+/// Parses a shard's reply and keeps the best `limit` hits; `None` if it is
+/// malformed or names another shard. Decodes only ids and scores, since most hits
+/// don't reach the answer.
+pub fn parse(body: Bytes, shard: &ids::Shard, limit: usize) -> Option<Found> {
     let mut hits = {
         let reply: Reply<'_> = serde_json::from_slice(&body).ok()?;
         let base = body.as_ptr() as usize;
@@ -60,7 +64,7 @@
                 return None;
             }
             let start = (raw.get().as_ptr() as usize).checked_sub(base)?;
-            hits.push(Place {
+            hits.push(Candidate {
                 score: head.score,
                 id: head.id.into_owned(),
                 start,
@@ -69,22 +73,22 @@
         }
         hits
     };
-    hits.sort_by(best);
+    hits.sort_by(by_rank);
     hits.truncate(limit);
     Some(Found { body, hits })
 }
 
-/// The best `limit` hits, best first; equal scores by shard, then by id, so
-/// that every order of replies gives the same answer.
+/// Returns the best `limit` hits, best first. Equal scores are ordered by shard,
+/// then by id, so that the order of replies doesn't affect the answer.
 pub fn merge<'a>(
     found: impl Iterator<Item = (&'a ids::Shard, &'a Found)>,
     limit: usize,
 ) -> Vec<query::Hit> {
     let mut all = Vec::new();
     for (shard, found) in found {
-        all.extend(found.hits.iter().map(|place| (shard, found, place)));
+        all.extend(found.hits.iter().map(|candidate| (shard, found, candidate)));
     }
-    let order = |a: &(&ids::Shard, &Found, &Place), b: &(&ids::Shard, &Found, &Place)| {
+    let order = |a: &(&ids::Shard, &Found, &Candidate), b: &(&ids::Shard, &Found, &Candidate)| {
         let score = b.2.score.total_cmp(&a.2.score);
         score
             .then_with(|| a.0.cmp(b.0))
@@ -95,26 +99,26 @@
     }
     all.truncate(limit);
     all.sort_by(order);
-    let whole = all
+    let hits = all
         .into_iter()
-        .filter_map(|(shard, found, place)| found.hit(shard, place));
-    whole.collect()
+        .filter_map(|(shard, found, candidate)| found.hit(shard, candidate));
+    hits.collect()
 }
 
 impl Found {
-    fn hit(&self, shard: &ids::Shard, place: &Place) -> Option<query::Hit> {
-        let raw = self.body.get(place.start..place.end)?;
-        let mut whole: Whole = serde_json::from_slice(raw).ok()?;
-        whole.rest.remove("shard");
+    fn hit(&self, shard: &ids::Shard, candidate: &Candidate) -> Option<query::Hit> {
+        let raw = self.body.get(candidate.start..candidate.end)?;
+        let mut hit: FullHit = serde_json::from_slice(raw).ok()?;
+        hit.rest.remove("shard");
         Some(query::Hit {
-            id: whole.id,
-            score: whole.score,
+            id: hit.id,
+            score: hit.score,
             shard: shard.clone(),
-            rest: whole.rest,
+            rest: hit.rest,
         })
     }
 }
 
-fn best(a: &Place, b: &Place) -> cmp::Ordering {
+fn by_rank(a: &Candidate, b: &Candidate) -> cmp::Ordering {
     b.score.total_cmp(&a.score).then_with(|| a.id.cmp(&b.id))
 }
--- a/crates/geraniumgauge/src/query/mod.rs
+++ b/crates/geraniumgauge/src/query/mod.rs
@@ -1,4 +1,5 @@
-//! Searches: one snapshot, true coverage, on time.
+//! Runs searches over many index shards. Every answer is taken from one snapshot,
+//! states its coverage correctly and meets its deadline.
 
 pub mod fleet;
 pub mod gather;
@@ -11,11 +12,11 @@
 pub mod admission;
 mod admit;
 mod answer;
-mod desk;
-mod figures;
+mod instruments;
 mod links;
-mod route;
+mod router;
 mod service;
+mod state;
 mod task;
 
 pub use answer::Answer;
@@ -32,7 +33,7 @@
 pub use service::Policy;
 pub use service::Service;
 
-/// What holds for most requests.
+/// The verdict on a request that isn't suspect.
 pub(crate) const CLEAR: crate::quarantine::Verdict = crate::quarantine::Verdict::Clear;
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/query/plan.rs
+++ b/crates/geraniumgauge/src/query/plan.rs
@@ -1,5 +1,5 @@
-//! A layout made ready for searches: shards and replicas by number, with the
-//! VMs that hold the connections and what was seen of each.
+//! A layout prepared for searches: shards, replicas and homes by index, with
+//! their statistics.
 
 use std::collections;
 use std::sync;
@@ -11,90 +11,94 @@
 use crate::query::replica;
 use crate::time as clock;
 
-/// How long a VM whose link was lost is left alone, until the view shows it.
-const LINK_LOST_FOR: time::Duration = time::Duration::from_millis(1000);
+/// Time for which a VM whose link was lost is avoided; by then the membership view
+/// shows whether it has left.
+const LINK_LOST_AVOID_TIME: time::Duration = time::Duration::from_millis(1000);
 
-/// A layout with its homes; shared by all searches that pin it.
+/// A layout with the homes of its upstreams, shared by searches.
 #[derive(Debug)]
 pub struct Plan {
-    /// The layout.
+    /// The layout that the plan is built from.
     pub layout: layout::Shared,
-    /// The VMs that are a home of some replica.
+    /// The VMs that are a home of any replica.
     pub vms: Vec<Vm>,
-    /// The replicas' upstreams.
+    /// The upstreams that hold replicas, in the layout's order.
     pub replicas: Vec<Replica>,
     /// The shards, in the layout's order.
     pub shards: Vec<Shard>,
+    /// Indexes of the shards by id.
     positions: collections::HashMap<ids::Shard, u32>,
 }
 
-/// A VM that is a home.
+/// A VM that is the home of a replica.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub id: ids::Vm,
-    /// What was seen of the link to it.
+    /// State of the link to it.
     pub link: sync::Arc<Link>,
 }
 
-/// What was seen of the link to a VM.
+/// The state of the link to a VM.
 #[derive(Debug, Default)]
 pub struct Link {
-    avoid: atomic::AtomicU64,
+    /// Moment until which the VM is avoided, in microseconds.
+    avoid_until: atomic::AtomicU64,
 }
 
 /// An upstream that holds replicas.
 #[derive(Debug)]
 pub struct Replica {
-    /// Its name.
+    /// Name of the upstream.
     pub id: ids::Upstream,
-    /// Where it runs.
+    /// The data centre that it runs in.
     pub data_centre: ids::DataCentre,
-    /// Its homes in [`Plan::vms`], the primary first.
+    /// Indexes of its homes in [`Plan::vms`], the primary first.
     pub homes: Vec<u32>,
-    /// Its shards in [`Plan::shards`].
+    /// Indexes of its shards in [`Plan::shards`], ascending.
     pub shards: Vec<u32>,
-    /// What was seen of it.
+    /// Statistics of the upstream.
     pub stats: sync::Arc<replica::Stats>,
 }
 
-/// A shard.
+/// A shard and its replicas.
 #[derive(Debug)]
 pub struct Shard {
-    /// Its name.
+    /// Name of the shard.
     pub id: ids::Shard,
-    /// Its replicas in [`Plan::replicas`].
+    /// Indexes of its replicas in [`Plan::replicas`].
     pub replicas: Vec<u32>,
 }
 
-/// What a plan is made from.
+/// Provides homes and statistics for a plan.
 pub trait Source {
-    /// The homes of `upstream`, the primary first.
+    /// Returns the homes of `upstream`, the primary first.
     fn homes(&mut self, upstream: &layout::Upstream) -> Vec<ids::Vm>;
-    /// What was seen of `upstream`.
+    /// Returns the statistics of `upstream`.
     fn stats(&mut self, upstream: &ids::Upstream) -> sync::Arc<replica::Stats>;
-    /// What was seen of the link to `vm`.
+    /// Returns the state of the link to `vm`.
     fn link(&mut self, vm: &ids::Vm) -> sync::Arc<Link>;
 }
 
 impl Link {
-    /// The link was lost.
+    /// Records that the link was lost.
     pub fn lost(&self, now: clock::Moment) {
-        let until = now + LINK_LOST_FOR;
-        self.avoid.fetch_max(until.0, atomic::Ordering::Relaxed);
+        let until = now + LINK_LOST_AVOID_TIME;
+        self.avoid_until
+            .fetch_max(until.0, atomic::Ordering::Relaxed);
     }
 
-    /// Whether the VM had better be left alone.
+    /// Returns whether calls should prefer other VMs.
     pub fn avoided(&self, now: clock::Moment) -> bool {
-        now.0 < self.avoid.load(atomic::Ordering::Relaxed)
+        now.0 < self.avoid_until.load(atomic::Ordering::Relaxed)
     }
 }
 
 impl Plan {
-    /// Numbers the parts of `layout`. Replicas of upstreams that the layout
-    /// doesn't list are left out.
+    /// Builds the plan of `layout`. Replicas on upstreams that the layout doesn't
+    /// list are left out.
     pub fn new(layout: &layout::Shared, source: &mut impl Source) -> Self {
-        let mut vms = Numbers::default();
+        let mut vms = VmIndexes::default();
         let mut replicas = Vec::with_capacity(layout.upstreams.len());
         let mut upstreams = collections::HashMap::new();
         for upstream in &layout.upstreams {
@@ -103,7 +107,7 @@
             replicas.push(Replica {
                 id: upstream.id.clone(),
                 data_centre: upstream.data_centre.clone(),
-                homes: homes.into_iter().map(|vm| vms.number(vm)).collect(),
+                homes: homes.into_iter().map(|vm| vms.index_of(vm)).collect(),
                 shards: Vec::new(),
                 stats: source.stats(&upstream.id),
             });
@@ -136,47 +140,52 @@
         }
     }
 
-    /// The number of the shard named `id`.
+    /// Returns the index of the shard `id`.
     pub fn position(&self, id: &ids::Shard) -> Option<u32> {
         self.positions.get(id).copied()
     }
 
-    /// The shard numbered `shard`.
+    /// Returns the shard at index `shard`.
     pub fn shard(&self, shard: u32) -> &Shard {
         &self.shards[shard as usize]
     }
 
-    /// The replica numbered `replica`.
+    /// Returns the replica at index `replica`.
     pub fn replica(&self, replica: u32) -> &Replica {
         &self.replicas[replica as usize]
     }
 
-    /// The replicas of a shard.
+    /// Returns the replicas of the shard at index `shard`.
     pub fn replicas_of(&self, shard: u32) -> impl Iterator<Item = &Replica> {
         let numbers = &self.shard(shard).replicas;
         numbers.iter().map(|replica| self.replica(*replica))
     }
 
-    /// The home to call `replica` through: the first that is neither `not` nor
-    /// avoided, else the first that is not `not`, else the primary.
-    pub fn home(&self, replica: u32, not: Option<&ids::Vm>, now: clock::Moment) -> Option<u32> {
+    /// Returns the index of the home to call `replica` through: the first that is
+    /// neither `avoid` nor avoided for a lost link, else the first that isn't
+    /// `avoid`, else the primary.
+    pub fn home(&self, replica: u32, avoid: Option<&ids::Vm>, now: clock::Moment) -> Option<u32> {
         let homes = &self.replica(replica).homes;
         let vm = |home: &u32| &self.vms[*home as usize];
-        let other = |home: &&u32| Some(&vm(home).id) != not;
-        let well = |home: &&u32| other(home) && !vm(home).link.avoided(now);
-        let found = homes.iter().find(well).or_else(|| homes.iter().find(other));
+        let other = |home: &&u32| Some(&vm(home).id) != avoid;
+        let healthy = |home: &&u32| other(home) && !vm(home).link.avoided(now);
+        let found = homes
+            .iter()
+            .find(healthy)
+            .or_else(|| homes.iter().find(other));
         found.or(homes.first()).copied()
     }
 }
 
+/// Assigns indexes to VMs in the order of their first use.
 #[derive(Default)]
-struct Numbers {
+struct VmIndexes {
     names: Vec<ids::Vm>,
     known: collections::HashMap<ids::Vm, u32>,
 }
 
-impl Numbers {
-    fn number(&mut self, vm: ids::Vm) -> u32 {
+impl VmIndexes {
+    fn index_of(&mut self, vm: ids::Vm) -> u32 {
         if let Some(known) = self.known.get(&vm) {
             return *known;
         }
--- a/crates/geraniumgauge/src/query/replica.rs
+++ b/crates/geraniumgauge/src/query/replica.rs
@@ -1,7 +1,8 @@
-//! What this entry has seen of one replica, shared by all searches that use it.
+//! Statistics of one replica as observed by this VM, shared by all searches that
+//! use it.
 //!
-//! All fields are relaxed atomics: each is a hint on its own, and a reader that
-//! sees them slightly apart only picks a slightly worse replica.
+//! All fields are relaxed atomics: each is an independent hint, and a reader that
+//! sees them out of step at worst chooses a slightly worse replica.
 
 use std::sync::atomic;
 use std::time;
@@ -12,228 +13,249 @@
 
 const ORDER: atomic::Ordering = atomic::Ordering::Relaxed;
 
-/// How long a range of versions is believed without a new reply.
-const RANGE_FOR: time::Duration = time::Duration::from_secs(10);
-/// How long a replica is believed to lag behind a version. New versions arrive
-/// all the time; a replica that is never asked again would never catch up here.
-const LAG_FOR: time::Duration = time::Duration::from_millis(250);
-/// How long a measured call time is believed.
-const TOOK_FOR: time::Duration = time::Duration::from_secs(1);
-/// First time for which a lost replica is left alone; doubles from the third
-/// loss on. One call a quarter of a second sees a restart's end in time for the
-/// searches that wait for it, whose deadlines are a second or less.
-const DOWN_FOR: time::Duration = time::Duration::from_millis(250);
-/// Losses within this span are one: a crash ends all calls that run there.
-const TOGETHER: time::Duration = time::Duration::from_millis(100);
-/// Most doublings of [`DOWN_FOR`]: one that is gone for good gets a call each
-/// eight seconds.
-const DOWN_DOUBLINGS: u32 = 5;
-/// How long one call probes a lost replica before another one may.
-const PROBE: time::Duration = time::Duration::from_millis(250);
-/// How long a draining replica is left alone.
-const DRAIN_FOR: time::Duration = time::Duration::from_secs(5);
-/// How long a replica that sheds is left alone where it names no time.
-const SHED_FOR: time::Duration = time::Duration::from_millis(20);
-/// How long a replica is left alone whose connection stayed silent.
-const SILENT_FOR: time::Duration = time::Duration::from_millis(200);
-/// How long a share of failed calls counts against a replica.
-const FAILED_FOR: time::Duration = time::Duration::from_secs(4);
-/// How many times as costly a replica counts of which every call fails.
-const PENALTY: u64 = 16;
-/// A share of one.
-const WHOLE: u64 = 1_000_000;
-/// One sample's weight in the mean call time: one part in this.
-const WEIGHT: u64 = 8;
-/// A sample counts for at most this many times the mean: a single straggler is
-/// no reason to leave a replica.
-const OUTLIER: u64 = 4;
-
-/// The versions that a replica offers, both ends included.
+/// Time after which a reported version range expires.
+const RANGE_TTL: time::Duration = time::Duration::from_secs(10);
+/// Time for which a replica is considered to lag behind a newer version. New
+/// versions arrive all the time, and only another call shows that the replica has
+/// caught up.
+const LAG_TTL: time::Duration = time::Duration::from_millis(250);
+/// Time after which a measured call time expires.
+const CALL_TIME_TTL: time::Duration = time::Duration::from_secs(1);
+/// Time for which a lost replica is avoided at first; doubles from the third loss
+/// on. One call per quarter of a second notices the end of a restart in time for
+/// waiting searches, whose deadlines are a second or less.
+const INITIAL_DOWN_TIME: time::Duration = time::Duration::from_millis(250);
+/// Losses within this time count as one: a crash ends all running calls.
+const SAME_LOSS_WINDOW: time::Duration = time::Duration::from_millis(100);
+/// Maximum number of doublings of [`INITIAL_DOWN_TIME`]: a replica that stays down
+/// gets a call every eight seconds.
+const MAX_DOWN_DOUBLINGS: u32 = 5;
+/// Time for which a probe of a lost replica keeps other calls away.
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(250);
+/// Time for which a draining replica is avoided.
+const DRAIN_AVOID_TIME: time::Duration = time::Duration::from_secs(5);
+/// Minimum time for which a replica that sheds load is avoided.
+const MIN_SHED_AVOID_TIME: time::Duration = time::Duration::from_millis(20);
+/// Time for which a replica whose connection stayed silent is avoided.
+const SILENT_AVOID_TIME: time::Duration = time::Duration::from_millis(200);
+/// Time over which the penalty for failed calls fades to nothing.
+const FAILURE_FADE_TIME: time::Duration = time::Duration::from_secs(4);
+/// Load penalty of a replica whose calls all fail: this many times its load is
+/// added.
+const FAILURE_PENALTY: u64 = 16;
+/// A share of one, in millionths.
+const FULL_SHARE: u64 = 1_000_000;
+/// The weight of one sample in a moving average is one divided by this.
+const SAMPLE_WEIGHT_DIVISOR: u64 = 8;
+/// Samples are capped at this many times the mean, so that a single straggler
+/// doesn't divert calls from a replica.
+const MAX_SAMPLE_FACTOR: u64 = 4;
+
+/// The inclusive range of index versions that a replica offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Range {
-    /// The oldest.
+    /// The oldest version.
     pub oldest: ids::IndexVersion,
-    /// The newest.
+    /// The newest version.
     pub newest: ids::IndexVersion,
 }
 
-/// What this entry has seen of one replica.
+/// Statistics of one replica. Moments and durations are in microseconds.
 #[derive(Debug, Default)]
 pub struct Stats {
     outstanding: atomic::AtomicU32,
     oldest: atomic::AtomicU64,
     newest: atomic::AtomicU64,
-    ranged: atomic::AtomicU64,
-    took: atomic::AtomicU64,
-    timed: atomic::AtomicU64,
-    wait: atomic::AtomicU64,
-    avoid: atomic::AtomicU64,
-    /// Mean share of calls that failed, in millionths, and when one last did.
-    fails: atomic::AtomicU64,
-    failed: atomic::AtomicU64,
-    answered: atomic::AtomicU64,
-    downs: atomic::AtomicU32,
-    /// When the loss came that was counted last.
-    lost: atomic::AtomicU64,
+    /// When the version range was reported.
+    range_updated: atomic::AtomicU64,
+    /// Mean call time.
+    call_time: atomic::AtomicU64,
+    /// When call time or queue wait were last updated.
+    times_updated: atomic::AtomicU64,
+    /// Mean time that calls waited in the home's queue.
+    queue_wait: atomic::AtomicU64,
+    /// Moment until which the replica is avoided.
+    avoid_until: atomic::AtomicU64,
+    /// Moving average of the share of calls that failed, in millionths.
+    failure_share: atomic::AtomicU64,
+    /// When a call last failed.
+    last_failure: atomic::AtomicU64,
+    /// When the replica last answered.
+    last_answer: atomic::AtomicU64,
+    /// Number of losses since it last answered.
+    losses: atomic::AtomicU32,
+    /// When the last counted loss occurred.
+    last_loss: atomic::AtomicU64,
 }
 
 impl Stats {
-    /// A call was sent.
+    /// Records that a call was sent.
     pub fn sent(&self) {
         self.outstanding.fetch_add(1, ORDER);
     }
 
-    /// A call came to its end, whichever.
+    /// Records that a call has ended, whatever its outcome.
     pub fn ended(&self) {
         self.outstanding.fetch_sub(1, ORDER);
     }
 
-    /// Calls under way from this entry.
+    /// Returns the number of running calls from this VM.
     pub fn outstanding(&self) -> u32 {
         self.outstanding.load(ORDER)
     }
 
-    /// Whether it is believed lost: its siblings carry its shards.
+    /// Returns whether the replica was lost and hasn't answered since.
     pub fn down(&self) -> bool {
-        self.downs.load(ORDER) > 0
+        self.losses.load(ORDER) > 0
     }
 
-    /// Whether calls had better go elsewhere.
+    /// Returns whether calls should prefer other replicas.
     pub fn avoided(&self, now: clock::Moment) -> bool {
-        now.0 < self.avoid.load(ORDER)
+        now.0 < self.avoid_until.load(ORDER)
     }
 
-    /// Lets one call through to a replica believed lost, and no more until it
-    /// is known what became of that one.
+    /// Records a call to a lost replica as its probe: other calls avoid the replica
+    /// until the probe has ended or [`PROBE_TIMEOUT`] has passed.
     pub fn probe(&self, now: clock::Moment) {
         if self.down() {
-            self.avoid.fetch_max((now + PROBE).0, ORDER);
+            self.avoid_until.fetch_max((now + PROBE_TIMEOUT).0, ORDER);
         }
     }
 
-    /// How long a call is expected to take, in microseconds, behind those that
-    /// are under way.
+    /// Returns the expected duration of a call behind the running ones, in
+    /// microseconds, weighted by the penalty for failures.
     pub fn load(&self, typical: time::Duration, now: clock::Moment) -> u64 {
-        let fresh = now.0 < self.timed.load(ORDER) + clock::micros(TOOK_FOR);
-        let took = if fresh {
-            self.took.load(ORDER)
+        let recent = now.0 < self.times_updated.load(ORDER) + clock::micros(CALL_TIME_TTL);
+        let took = if recent {
+            self.call_time.load(ORDER)
         } else {
             clock::micros(typical)
         };
         u64::from(self.outstanding() + 1) * took.max(1) * self.penalty(now)
     }
 
-    /// How many times as costly its calls count for the share that fails. It
-    /// fades with time, or a replica once left would never be tried again.
+    /// Returns the load factor for the share of failed calls. It fades with time,
+    /// otherwise an abandoned replica would never be called again.
     fn penalty(&self, now: clock::Moment) -> u64 {
-        let age = now.since(clock::Moment(self.failed.load(ORDER)));
-        let left = FAILED_FOR.saturating_sub(age).as_micros() as u64;
-        let share = self.fails.load(ORDER) * left / clock::micros(FAILED_FOR);
-        1 + PENALTY * share / WHOLE
+        let age = now.since(clock::Moment(self.last_failure.load(ORDER)));
+        let left = FAILURE_FADE_TIME.saturating_sub(age).as_micros() as u64;
+        let share = self.failure_share.load(ORDER) * left / clock::micros(FAILURE_FADE_TIME);
+        1 + FAILURE_PENALTY * share / FULL_SHARE
     }
 
-    /// When it last answered.
+    /// Returns when the replica last answered.
     pub fn answered(&self) -> clock::Moment {
-        clock::Moment(self.answered.load(ORDER))
+        clock::Moment(self.last_answer.load(ORDER))
     }
 
-    /// Mean time that calls waited at the home, while it is fresh.
+    /// Returns the mean time that calls waited in the home's queue; zero if it
+    /// wasn't measured recently.
     pub fn wait(&self, now: clock::Moment) -> time::Duration {
-        let fresh = now.0 < self.timed.load(ORDER) + clock::micros(TOOK_FOR);
-        let wait = if fresh { self.wait.load(ORDER) } else { 0 };
+        let recent = now.0 < self.times_updated.load(ORDER) + clock::micros(CALL_TIME_TTL);
+        let wait = if recent {
+            self.queue_wait.load(ORDER)
+        } else {
+            0
+        };
         time::Duration::from_micros(wait)
     }
 
-    /// Whether it offers `version`; `None` where that isn't known any more.
+    /// Returns whether the replica offers `version`; `None` if unknown.
     pub fn offers(&self, version: ids::IndexVersion, now: clock::Moment) -> Option<bool> {
         let range = self.range(now)?;
         if version > range.newest {
-            let age = now.since(clock::Moment(self.ranged.load(ORDER)));
-            return (age < LAG_FOR).then_some(false);
+            let age = now.since(clock::Moment(self.range_updated.load(ORDER)));
+            return (age < LAG_TTL).then_some(false);
         }
         Some(version >= range.oldest)
     }
 
-    /// The versions it offers, where that is known.
+    /// Returns the offered versions; `None` if they aren't known or have expired.
     pub fn range(&self, now: clock::Moment) -> Option<Range> {
         let newest = self.newest.load(ORDER);
-        let ranged = clock::Moment(self.ranged.load(ORDER));
-        let known = newest > 0 && now.since(ranged) < RANGE_FOR;
+        let ranged = clock::Moment(self.range_updated.load(ORDER));
+        let known = newest > 0 && now.since(ranged) < RANGE_TTL;
         known.then(|| Range {
             oldest: ids::IndexVersion(self.oldest.load(ORDER)),
             newest: ids::IndexVersion(newest),
         })
     }
 
-    /// Learns from a reply of the replica.
+    /// Updates version range and queue wait from a reply.
     pub fn learn(&self, reply: &message::Reply, now: clock::Moment) {
         if reply.newest > 0 {
             self.oldest.store(reply.oldest, ORDER);
             self.newest.store(reply.newest, ORDER);
-            self.ranged.store(now.0, ORDER);
+            self.range_updated.store(now.0, ORDER);
         }
-        mean(&self.wait, reply.queued_us);
-        self.timed.store(now.0, ORDER);
+        mean(&self.queue_wait, reply.queued_us);
+        self.times_updated.store(now.0, ORDER);
     }
 
-    /// A call took this long, or had not ended after it.
-    pub fn took(&self, span: time::Duration, now: clock::Moment) {
-        let held = self.took.load(ORDER);
+    /// Records the duration of a call, or how long a cancelled one had run.
+    pub fn record_time(&self, span: time::Duration, now: clock::Moment) {
+        let held = self.call_time.load(ORDER);
         let span = clock::micros(span).max(1);
         let sample = if held == 0 {
             span
         } else {
-            span.min(held * OUTLIER)
+            span.min(held * MAX_SAMPLE_FACTOR)
         };
-        mean(&self.took, sample);
-        self.timed.store(now.0, ORDER);
+        mean(&self.call_time, sample);
+        self.times_updated.store(now.0, ORDER);
     }
 
-    /// It answered.
-    pub fn good(&self, now: clock::Moment) {
-        self.answered.store(now.0, ORDER);
-        if self.fails.load(ORDER) > 0 {
-            blend(&self.fails, 0);
+    /// Records a good reply.
+    pub fn record_success(&self, now: clock::Moment) {
+        self.last_answer.store(now.0, ORDER);
+        if self.failure_share.load(ORDER) > 0 {
+            blend(&self.failure_share, 0);
         }
-        if self.downs.load(ORDER) > 0 {
-            self.downs.store(0, ORDER);
-            self.avoid.store(0, ORDER);
+        if self.losses.load(ORDER) > 0 {
+            self.losses.store(0, ORDER);
+            self.avoid_until.store(0, ORDER);
         }
     }
 
-    /// It failed in the way that `outcome` says.
-    pub fn bad(&self, outcome: message::Outcome, retry_after: time::Duration, now: clock::Moment) {
+    /// Records a failed call.
+    pub fn record_failure(
+        &self,
+        outcome: message::Outcome,
+        retry_after: time::Duration,
+        now: clock::Moment,
+    ) {
         use message::Outcome;
         let span = match outcome {
-            Outcome::Lost | Outcome::Unreachable => self.lost(now),
-            Outcome::Draining => DRAIN_FOR,
-            Outcome::Shed | Outcome::Late => retry_after.max(SHED_FOR),
-            Outcome::Silent => SILENT_FOR,
+            Outcome::Lost | Outcome::Unreachable => self.record_loss(now),
+            Outcome::Draining => DRAIN_AVOID_TIME,
+            Outcome::Shed | Outcome::Late => retry_after.max(MIN_SHED_AVOID_TIME),
+            Outcome::Silent => SILENT_AVOID_TIME,
             Outcome::Crossed | Outcome::Failed => time::Duration::ZERO,
             _ => return,
         };
-        blend(&self.fails, WHOLE);
-        self.failed.store(now.0, ORDER);
-        self.avoid.fetch_max((now + span).0, ORDER);
+        blend(&self.failure_share, FULL_SHARE);
+        self.last_failure.store(now.0, ORDER);
+        self.avoid_until.fetch_max((now + span).0, ORDER);
     }
 }
 
 impl Stats {
-    /// How long it is left alone after one more loss. Counted one by one, calls
-    /// lost together in a restart of 300 ms kept a replica unused for seconds.
-    fn lost(&self, now: clock::Moment) -> time::Duration {
-        let first = clock::Moment(self.lost.load(ORDER));
-        if self.down() && now.since(first) < TOGETHER {
+    /// Records a loss and returns for how long to avoid the replica. When calls that
+    /// were lost together counted separately, a restart of 300 ms left a replica
+    /// unused for seconds.
+    fn record_loss(&self, now: clock::Moment) -> time::Duration {
+        let first = clock::Moment(self.last_loss.load(ORDER));
+        if self.down() && now.since(first) < SAME_LOSS_WINDOW {
             return time::Duration::ZERO;
         }
-        self.lost.store(now.0, ORDER);
-        let times = self.downs.fetch_add(1, ORDER);
+        self.last_loss.store(now.0, ORDER);
+        let times = self.losses.fetch_add(1, ORDER);
         let doublings = times.saturating_sub(1);
-        DOWN_FOR * 2_u32.pow(doublings.min(DOWN_DOUBLINGS))
+        INITIAL_DOWN_TIME * 2_u32.pow(doublings.min(MAX_DOWN_DOUBLINGS))
     }
 }
 
-/// As [`blend`], but the first sample counts whole.
+/// Updates a moving average like [`blend`], but starts at the first sample.
 fn mean(held: &atomic::AtomicU64, sample: u64) {
     if held.load(ORDER) == 0 {
         held.store(sample, ORDER);
@@ -242,7 +264,11 @@
     }
 }
 
+/// Updates an exponentially weighted moving average.
 fn blend(held: &atomic::AtomicU64, sample: u64) {
     let before = held.load(ORDER);
-    held.store((before * (WEIGHT - 1) + sample) / WEIGHT, ORDER);
+    held.store(
+        (before * (SAMPLE_WEIGHT_DIVISOR - 1) + sample) / SAMPLE_WEIGHT_DIVISOR,
+        ORDER,
+    );
 }
--- a/crates/geraniumgauge/src/query/service.rs
+++ b/crates/geraniumgauge/src/query/service.rs
@@ -1,4 +1,4 @@
-//! Admits searches and hands replies to them.
+//! Admits searches, runs them and delivers replies to them.
 
 use std::collections;
 use std::sync;
@@ -16,23 +16,24 @@
 use crate::mesh::message;
 use crate::quarantine;
 use crate::query;
-use crate::query::desk;
-use crate::query::figures;
+use crate::query::instruments;
 use crate::query::links;
-use crate::query::route;
+use crate::query::router;
+use crate::query::state;
 use crate::query::task;
 use crate::slo;
 use crate::time as clock;
 use crate::timer;
 
-/// How calls are placed and repeated. All but [`Policy::Full`] are baselines
-/// for measurements.
+/// How replicas are chosen and calls retried or hedged. All policies but
+/// [`Policy::Full`] are baselines for measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::FromStr)]
 #[display(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Everything.
+    /// Load-aware choice of replicas, canaries, quarantine, budgeted retries and
+    /// hedges.
     #[default]
     Full,
     /// As `Full`, without hedges.
@@ -43,18 +44,18 @@
     Direct,
 }
 
-/// Settings.
+/// Settings of the service.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This VM.
+    /// Name of this VM.
     pub vm: ids::Vm,
-    /// Where it runs.
+    /// Data centre of this VM.
     pub data_centre: ids::DataCentre,
-    /// How calls are placed.
+    /// How calls are made.
     pub policy: Policy,
 }
 
-/// Runs searches; cheap to clone.
+/// Runs searches. Cheap to clone.
 #[derive(Clone)]
 pub struct Service {
     inner: sync::Arc<Inner>,
@@ -62,70 +63,70 @@
 
 pub(super) struct Inner {
     pub(super) config: Config,
-    pub(super) post: sync::Arc<dyn mesh::Sender>,
-    pub(super) book: quarantine::Service,
+    pub(super) mesh: sync::Arc<dyn mesh::Sender>,
+    pub(super) quarantine: quarantine::Service,
     pub(super) slo: sync::Arc<dyn slo::Record>,
     pub(super) clock: clock::Clock,
-    pub(super) route: route::Route,
-    pub(super) figures: figures::Figures,
+    pub(super) router: router::Router,
+    pub(super) instruments: instruments::Instruments,
     pub(super) catalog: document::Catalog,
     pub(super) view: watch::Receiver<member::SharedView>,
-    pub(super) desks: sync::RwLock<collections::HashMap<ids::Service, sync::Arc<desk::Desk>>>,
+    pub(super) states: sync::RwLock<collections::HashMap<ids::Service, sync::Arc<state::State>>>,
     pub(super) homes: placement::Cache,
     pub(super) links: links::Links,
-    pub(super) numbers: atomic::AtomicU64,
+    pub(super) next_search: atomic::AtomicU64,
     pub(super) running: atomic::AtomicUsize,
 }
 
 impl Service {
-    /// A service over what is in force and who is there. Call within a runtime.
+    /// Starts the service. Must be called within a Tokio runtime.
     #[expect(
         clippy::too_many_arguments,
-        reason = "each is a part that the daemon wires"
+        reason = "the daemon passes each dependency once"
     )]
     pub fn start(
         config: Config,
         catalog: document::Catalog,
         view: watch::Receiver<member::SharedView>,
-        post: sync::Arc<dyn mesh::Sender>,
-        book: quarantine::Service,
+        mesh: sync::Arc<dyn mesh::Sender>,
+        quarantine: quarantine::Service,
         slo: sync::Arc<dyn slo::Record>,
         clock: clock::Clock,
         timer: timer::Service,
         meter: &metrics::Meter,
     ) -> Self {
-        let changes = book.changes();
+        let changes = quarantine.changes();
         let homes = match config.policy {
             Policy::Direct => placement::Cache::direct(),
             Policy::Full | Policy::NoHedge => placement::Cache::default(),
         };
         let inner = Inner {
             config,
-            post,
-            book,
+            mesh,
+            quarantine,
             slo,
             clock,
-            route: route::Route::default(),
-            figures: figures::Figures::new(meter),
+            router: router::Router::default(),
+            instruments: instruments::Instruments::new(meter),
             catalog,
             view,
-            desks: sync::RwLock::default(),
+            states: sync::RwLock::default(),
             homes,
             links: links::Links::default(),
-            numbers: atomic::AtomicU64::new(1),
+            next_search: atomic::AtomicU64::new(1),
             running: atomic::AtomicUsize::new(0),
         };
         let this = Self {
             inner: sync::Arc::new(inner),
         };
-        tokio::spawn(this.clone().tell_marks(changes, timer));
+        tokio::spawn(this.clone().notify_marks(changes, timer));
         this
     }
 
-    /// Runs one search to its answer. Dropping the future cancels the search.
+    /// Runs one search and returns its answer. Dropping the future cancels it.
     ///
     /// # Errors
-    /// A refusal with a truthful `ran`.
+    /// Returns a refusal whose `ran` says whether the search may have run.
     pub async fn search(&self, search: query::Search) -> Result<query::Answer, query::Refusal> {
         let service = search.service.clone();
         let answer = match self.inner.admit(search) {
@@ -138,51 +139,54 @@
         answer
     }
 
-    /// Replies from a home.
+    /// Delivers replies from a home.
     pub fn replies(&self, from: &ids::Vm, replies: message::Replies) {
-        let late = self.inner.route.replies(from, replies.replies);
+        let late = self.inner.router.replies(from, replies.replies);
         let lost = |reply: &&message::Reply| reply.outcome() == message::Outcome::Lost;
         for reply in late.iter().filter(lost) {
-            self.inner.lost_late(reply);
+            self.inner.report_late_loss(reply);
         }
     }
 
-    /// The link to a VM was lost.
+    /// Handles the loss of the link to a VM.
     pub fn lost(&self, vm: &ids::Vm) {
         self.inner.links.get(vm).lost(self.inner.clock.now());
-        self.inner.route.all(|| task::Input::Lost(vm.clone()));
+        self.inner
+            .router
+            .broadcast(|| task::Input::LinkLost(vm.clone()));
     }
 
-    /// Searches that run now.
+    /// Returns the number of running searches.
     pub fn running(&self) -> usize {
         self.inner.running.load(atomic::Ordering::Relaxed)
     }
 
-    /// A task of its own: a panic under one search ends that search only.
+    /// Runs a search as its own Tokio task, so that a panic ends only that search.
     async fn spawn(task: task::Task) -> Result<query::Answer, query::Refusal> {
         let handle = tasks::spawn(task.run());
         let _abort = Abort(handle.abort_handle());
         handle.await.map_err(|error| {
-            log::error!("a search failed: {error}");
-            let message = "a fault of this program; other requests go on";
+            log::error!("search task failed: {error}");
+            let message = "internal error; other requests are not affected";
             query::Refusal::unknown(query::Code::Internal, message)
         })
     }
 
-    /// Running searches look at their verdict again when any mark changes, so
-    /// that canaries of a request that crashed elsewhere are called back.
-    async fn tell_marks(self, mut changes: watch::Receiver<u64>, timer: timer::Service) {
+    /// Makes running searches check their verdict when any quarantine mark changes,
+    /// so that canaries of a request that crashed an upstream of another VM are
+    /// cancelled.
+    async fn notify_marks(self, mut changes: watch::Receiver<u64>, timer: timer::Service) {
         loop {
             tokio::select! {
                 changed = changes.changed() => if changed.is_err() { return },
                 () = timer.stop().cancelled() => return,
             }
-            self.inner.route.all(|| task::Input::Marked);
+            self.inner.router.broadcast(|| task::Input::MarksChanged);
         }
     }
 }
 
-/// Ends the search's task with its caller.
+/// Aborts the search's task when the caller's future is dropped.
 struct Abort(tasks::AbortHandle);
 
 impl Drop for Abort {
--- a/crates/geraniumgauge/src/query/desk.rs
+++ b/crates/geraniumgauge/src/query/state.rs
@@ -1,4 +1,4 @@
-//! What this entry keeps for one service between searches.
+//! State of one service on this VM that persists between searches.
 
 use std::sync;
 
@@ -13,17 +13,17 @@
 use crate::query::plan;
 use crate::query::replica;
 
-/// One service's state at this entry.
+/// The state of one service.
 #[derive(Debug)]
-pub(super) struct Desk {
+pub(super) struct State {
     pub(super) service: ids::Service,
     pub(super) fleet: sync::Arc<fleet::Fleet>,
     pub(super) admission: sync::Mutex<admission::Limit>,
     plan: sync::Mutex<Option<Ready>>,
 }
 
-/// The present plan and what it was made from; these are kept alive, so that
-/// their addresses name them only.
+/// A plan and the inputs that it was built from. The inputs are kept alive, so
+/// that comparing their addresses identifies them.
 #[derive(Debug)]
 struct Ready {
     generation: ids::Generation,
@@ -33,13 +33,13 @@
 }
 
 struct Source<'a> {
-    desk: &'a Desk,
+    state: &'a State,
     view: &'a member::SharedView,
     homes: &'a placement::Cache,
     links: &'a links::Links,
 }
 
-impl Desk {
+impl State {
     pub(super) fn new(service: ids::Service, budgets: &document::Budgets) -> Self {
         Self {
             service,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The plan of what is in force, made anew where layout or view changed.
+    /// Returns the plan for the layout in force, rebuilt if the document, the layout
+    /// or the membership view has changed.
     pub(super) fn plan(
         &self,
         in_force: &document::InForce,
@@ -63,10 +64,10 @@
         }
         let earlier = ready.as_ref().map(|held| held.generation);
         if earlier != Some(in_force.generation) {
-            self.fleet.set(&in_force.document.budgets);
+            self.fleet.set_budgets(&in_force.document.budgets);
         }
         let source = Source {
-            desk: self,
+            state: self,
             view,
             homes,
             links,
@@ -85,6 +86,7 @@
 }
 
 impl Ready {
+    /// Returns whether the plan was built from these inputs.
     fn fits(&self, in_force: &document::InForce, view: &member::SharedView) -> bool {
         self.generation == in_force.generation
             && sync::Arc::ptr_eq(&self.layout, &in_force.layout)
@@ -94,14 +96,14 @@
 
 impl plan::Source for Source<'_> {
     fn homes(&mut self, upstream: &layout::Upstream) -> Vec<ids::Vm> {
-        let homes = self.homes.of(self.view, upstream, &self.desk.service);
+        let homes = self.homes.of(self.view, upstream, &self.state.service);
         std::iter::once(homes.primary)
             .chain(homes.standby)
             .collect()
     }
 
     fn stats(&mut self, upstream: &ids::Upstream) -> sync::Arc<replica::Stats> {
-        self.desk.fleet.stats(upstream)
+        self.state.fleet.stats(upstream)
     }
 
     fn link(&mut self, vm: &ids::Vm) -> sync::Arc<plan::Link> {
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -1,4 +1,4 @@
-//! One search's task: carries the state machine's actions out.
+//! The task of one search, which carries out the state machine's actions.
 
 use std::collections;
 use std::sync;
@@ -14,65 +14,71 @@
 use crate::quarantine::trial;
 use crate::query;
 use crate::query::admission;
-use crate::query::desk;
 use crate::query::gather;
-use crate::query::route;
+use crate::query::router;
 use crate::query::service;
+use crate::query::state;
 use crate::slo;
 use crate::time as clock;
 
-/// Share of the time left that a call may wait in a queue before the entry
-/// lets fewer searches in: one part in this.
-const LONG_WAIT: u32 = 3;
-/// Share of calls refused for load from which the entry lets fewer searches in:
-/// one part in this.
-const MANY_REFUSED: u64 = 8;
+/// A call that waited in a queue for more than the search's time divided by this
+/// is a sign of congestion.
+const LONG_QUEUE_DIVISOR: u32 = 3;
+/// A search of which more than one in this many calls was refused for load is a
+/// sign of congestion.
+const REFUSED_SHARE_DIVISOR: u64 = 8;
 
-/// What a search is told from outside.
+/// An input of a running search.
 pub(super) enum Input {
+    /// Replies from a home.
     Replies(ids::Vm, Vec<message::Reply>),
-    Lost(ids::Vm),
-    Marked,
+    /// The link to a VM was lost.
+    LinkLost(ids::Vm),
+    /// Quarantine marks have changed.
+    MarksChanged,
+    /// The isolated trial may run.
     Granted(quarantine::Trial),
+    /// The isolated trial may not run; may be requested again after the delay, if
+    /// there is one.
     Denied(Option<time::Duration>),
 }
 
-/// What all calls of a search carry.
+/// The parts of a search that all its calls share.
 #[derive(Debug, Clone)]
-pub(super) struct Ask {
+pub(super) struct Context {
     pub(super) request: ids::Request,
     pub(super) service: ids::Service,
     pub(super) body: Bytes,
     pub(super) fingerprint: ids::Fingerprint,
-    /// When the upstreams' replies are due here.
+    /// When the upstreams' replies are due at this VM.
     pub(super) deadline: clock::Moment,
     /// When the caller's answer is due.
-    pub(super) promised: clock::Moment,
+    pub(super) answer_due: clock::Moment,
     pub(super) started: clock::Moment,
 }
 
 /// One running search.
 pub(super) struct Task {
     pub(super) owner: sync::Arc<service::Inner>,
-    pub(super) desk: sync::Arc<desk::Desk>,
+    pub(super) state: sync::Arc<state::State>,
     pub(super) document: sync::Arc<document::Document>,
-    pub(super) ask: Ask,
+    pub(super) context: Context,
     pub(super) number: u64,
     pub(super) gather: gather::Gather,
     pub(super) inbox: mpsc::UnboundedReceiver<Input>,
-    pub(super) sender: route::Inbox,
+    pub(super) sender: router::InputSender,
     pub(super) trial: Option<quarantine::Trial>,
-    pub(super) sign: admission::Sign,
+    pub(super) load: admission::Load,
 }
 
 impl Task {
-    /// Runs to the answer.
+    /// Runs the search until it has an answer.
     pub(super) async fn run(mut self) -> query::Answer {
         let verdict = self.verdict();
         let mut event = gather::Event::Start(verdict);
         loop {
             if let Some(answer) = self.step(event) {
-                self.account(&answer);
+                self.record(&answer);
                 return answer;
             }
             event = self.next().await;
@@ -90,44 +96,45 @@
     fn event(&mut self, input: Input) -> gather::Event {
         match input {
             Input::Replies(from, replies) => {
-                self.watch_load(&replies);
+                self.check_queue_times(&replies);
                 gather::Event::Replies { from, replies }
             }
-            Input::Lost(vm) => gather::Event::LinkLost(vm),
-            Input::Marked => gather::Event::Verdict(self.verdict()),
+            Input::LinkLost(vm) => gather::Event::LinkLost(vm),
+            Input::MarksChanged => gather::Event::Verdict(self.verdict()),
             Input::Granted(trial) => {
                 self.trial = Some(trial);
-                gather::Event::Granted(self.owner.book.down())
+                gather::Event::Granted(self.owner.quarantine.down())
             }
             Input::Denied(after) => gather::Event::Denied(after),
         }
     }
 
-    fn watch_load(&mut self, replies: &[message::Reply]) {
-        let whole = self.ask.deadline.since(self.ask.started);
-        let long = clock::micros(whole / LONG_WAIT);
+    /// Notes congestion if any call waited in a queue for long.
+    fn check_queue_times(&mut self, replies: &[message::Reply]) {
+        let whole = self.context.deadline.since(self.context.started);
+        let long = clock::micros(whole / LONG_QUEUE_DIVISOR);
         if replies.iter().any(|reply| reply.queued_us > long) {
-            self.sign = admission::Sign::Congested;
+            self.load = admission::Load::Congested;
         }
     }
 
-    /// Handles one event and those that its actions bring about.
+    /// Handles one event and the events that its actions cause.
     fn step(&mut self, event: gather::Event) -> Option<query::Answer> {
         let mut events = collections::VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let now = self.owner.clock.now();
             for action in self.gather.handle(event, now) {
                 match self.carry_out(action) {
-                    Done::Nothing => {}
-                    Done::Event(event) => events.push_back(event),
-                    Done::Answer(answer) => return Some(*answer),
+                    Effect::Nothing => {}
+                    Effect::Event(event) => events.push_back(event),
+                    Effect::Answer(answer) => return Some(*answer),
                 }
             }
         }
         None
     }
 
-    fn carry_out(&mut self, action: gather::Action) -> Done {
+    fn carry_out(&mut self, action: gather::Action) -> Effect {
         match action {
             gather::Action::Send {
                 vm,
@@ -137,29 +144,31 @@
             } => return self.send(&vm, version, layout, calls),
             gather::Action::Cancel { vm, attempts } => self.cancel(&vm, attempts),
             gather::Action::Lost { upstream, run } => {
-                let ask = &self.ask;
-                let book = &self.owner.book;
-                book.lost_while(&ask.service, ask.fingerprint, &upstream, run);
-                return Done::Event(gather::Event::Verdict(self.verdict()));
+                let context = &self.context;
+                let quarantine = &self.owner.quarantine;
+                quarantine.lost_while(&context.service, context.fingerprint, &upstream, run);
+                return Effect::Event(gather::Event::Verdict(self.verdict()));
             }
             gather::Action::Completed => {
-                let ask = &self.ask;
-                self.owner.book.completed(&ask.service, ask.fingerprint);
+                let context = &self.context;
+                self.owner
+                    .quarantine
+                    .completed(&context.service, context.fingerprint);
             }
             gather::Action::AskTrial(place) => self.ask_trial(place),
             gather::Action::EndTrial { end, upstream } => {
                 if let Some(trial) = self.trial.take() {
                     trial.finish(end, upstream.as_ref());
                 }
-                return Done::Event(gather::Event::Verdict(self.verdict()));
+                return Effect::Event(gather::Event::Verdict(self.verdict()));
             }
             gather::Action::Replan => {
-                let plan = self.owner.plan(&self.desk);
-                return Done::Event(gather::Event::Plan(plan));
+                let plan = self.owner.plan(&self.state);
+                return Effect::Event(gather::Event::Plan(plan));
             }
-            gather::Action::Finish(answer) => return Done::Answer(answer),
+            gather::Action::Finish(answer) => return Effect::Answer(answer),
         }
-        Done::Nothing
+        Effect::Nothing
     }
 
     fn send(
@@ -168,53 +177,53 @@
         version: Option<ids::IndexVersion>,
         layout: ids::LayoutVersion,
         calls: Vec<message::Call>,
-    ) -> Done {
-        let lone = |call: &message::Call| call.kind() == message::Kind::Trial;
-        if calls.iter().any(lone)
+    ) -> Effect {
+        let isolated = |call: &message::Call| call.kind() == message::Kind::Trial;
+        if calls.iter().any(isolated)
             && let Some(trial) = &mut self.trial
         {
             trial.begin();
         }
         let attempts: Vec<u64> = calls.iter().map(|call| call.attempt).collect();
-        let ask = &self.ask;
+        let context = &self.context;
         let batch = message::Batch {
-            request: ask.request.to_string(),
-            service: ask.service.to_string(),
-            body: ask.body.clone(),
-            fingerprint: ask.fingerprint.0,
-            time_left_us: clock::micros(self.owner.clock.now().until(ask.deadline)),
+            request: context.request.to_string(),
+            service: context.service.to_string(),
+            body: context.body.clone(),
+            fingerprint: context.fingerprint.0,
+            time_left_us: clock::micros(self.owner.clock.now().until(context.deadline)),
             index_version: version.map(|version| version.0),
             layout: layout.0,
             calls,
         };
-        match self.owner.post.send(vm, message::Body::Batch(batch)) {
-            Ok(()) => Done::Nothing,
+        match self.owner.mesh.send(vm, message::Body::Batch(batch)) {
+            Ok(()) => Effect::Nothing,
             Err(error) => {
-                log::debug!("calls go to another home: {error}");
-                Done::Event(gather::Event::Unsent(attempts))
+                log::debug!("failed to send calls to {vm}, trying another home: {error}");
+                Effect::Event(gather::Event::Unsent(attempts))
             }
         }
     }
 
     fn cancel(&self, vm: &ids::Vm, attempts: Vec<u64>) {
         let body = message::Body::Cancel(message::Cancel { attempts });
-        if let Err(error) = self.owner.post.send(vm, body) {
-            log::debug!("a cancel isn't sent: {error}");
+        if let Err(error) = self.owner.mesh.send(vm, body) {
+            log::debug!("failed to send a cancel to {vm}: {error}");
         }
     }
 
-    /// Asks the store beside the search, which goes on meanwhile.
+    /// Requests the trial in the background; the search continues meanwhile.
     fn ask_trial(&self, place: trial::Place) {
-        let book = self.owner.book.clone();
-        let (service, fingerprint) = (self.ask.service.clone(), self.ask.fingerprint);
+        let quarantine = self.owner.quarantine.clone();
+        let (service, fingerprint) = (self.context.service.clone(), self.context.fingerprint);
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let input = match book.trial(&service, fingerprint, Some(place)).await {
+            let input = match quarantine.trial(&service, fingerprint, Some(place)).await {
                 Ok(trial) => Input::Granted(trial),
                 Err(quarantine::Denied::Later { after }) => Input::Denied(Some(after)),
-                Err(quarantine::Denied::Quarantined) => Input::Marked,
+                Err(quarantine::Denied::Quarantined) => Input::MarksChanged,
             };
-            // A search that has ended drops the trial, which was not begun.
+            // If the search has ended, the trial is dropped without being started.
             let _ = sender.send(input);
         });
     }
@@ -223,25 +232,30 @@
         if self.owner.config.policy == query::Policy::Direct {
             return quarantine::Verdict::Clear;
         }
-        let ask = &self.ask;
-        self.owner.book.verdict(&ask.service, ask.fingerprint)
+        let context = &self.context;
+        self.owner
+            .quarantine
+            .verdict(&context.service, context.fingerprint)
     }
 
-    fn account(&mut self, answer: &query::Answer) {
+    /// Records the search in the statistics, objectives and metrics.
+    fn record(&mut self, answer: &query::Answer) {
         let now = self.owner.clock.now();
         let counts = self.gather.counts();
-        if counts.overloads * MANY_REFUSED > counts.first {
-            self.sign = admission::Sign::Congested;
+        if counts.overloads * REFUSED_SHARE_DIVISOR > counts.first {
+            self.load = admission::Load::Congested;
         }
-        let spans = self.gather.call_times();
-        self.desk.fleet.measured(spans, &self.document.budgets, now);
+        let call_times = self.gather.call_times();
+        self.state
+            .fleet
+            .record_call_times(call_times, &self.document.budgets, now);
         let mut missing = collections::BTreeMap::new();
         for shard in &answer.coverage.missing {
             *missing.entry(shard.reason).or_default() += 1;
         }
         let event = slo::Event {
-            service: self.ask.service.clone(),
-            in_time: now <= self.ask.promised,
+            service: self.context.service.clone(),
+            in_time: now <= self.context.answer_due,
             complete: answer.coverage.complete,
             refused: false,
             missing: missing.into_iter().collect(),
@@ -249,35 +263,38 @@
             extra_attempts: counts.extra(),
         };
         self.owner.slo.record(&event);
-        let figures = &self.owner.figures;
-        figures.answered(&self.ask.service, &answer.coverage, &event.missing);
+        let instruments = &self.owner.instruments;
+        instruments.answered(&self.context.service, &answer.coverage, &event.missing);
     }
 }
 
 impl Drop for Task {
-    /// Also runs where the caller hung up or a step panicked: what runs for
-    /// this search is cancelled, and its place is free again.
+    /// Cancels the remaining calls and releases the search's capacity. Runs also
+    /// when the caller has disconnected or a step has panicked.
     fn drop(&mut self) {
-        self.owner.route.remove(self.number);
+        self.owner.router.remove(self.number);
         for action in self.gather.abandon() {
             if let gather::Action::Cancel { vm, attempts } = action {
                 self.cancel(&vm, attempts);
             }
         }
         if self.gather.leaves_calls() {
-            self.owner.route.ended(route::Ended {
+            self.owner.router.keep_ended(router::Ended {
                 search: self.number,
-                service: self.ask.service.clone(),
-                fingerprint: self.ask.fingerprint,
+                service: self.context.service.clone(),
+                fingerprint: self.context.fingerprint,
             });
         }
         let counts = self.gather.counts();
-        self.owner.figures.counted(&self.ask.service, counts);
-        self.owner.done(&self.desk, self.sign);
+        self.owner
+            .instruments
+            .record_counts(&self.context.service, counts);
+        self.owner.release(&self.state, self.load);
     }
 }
 
-enum Done {
+/// The result of carrying out an action.
+enum Effect {
     Nothing,
     Event(gather::Event),
     Answer(Box<query::Answer>),
--- a/crates/geraniumgauge/src/query/tests/service.rs
+++ b/crates/geraniumgauge/src/query/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service with a fake of the homes, on paused time.
+//! Tests of the service with fake homes, on paused time.
 
 use std::collections;
 use std::sync;
@@ -21,7 +21,8 @@
 use crate::time as clock;
 use crate::timer;
 
-/// Homes that answer every call with `outcome` after 5 ms, or never.
+/// Fake homes that answer every call with `outcome` after 5 ms, or never if it is
+/// `None`.
 #[derive(Default)]
 struct Homes {
     service: sync::OnceLock<query::Service>,
@@ -79,16 +80,16 @@
     }
 }
 
-struct Silent;
+struct NoPublisher;
 
-impl quarantine::Publisher for Silent {
+impl quarantine::Publisher for NoPublisher {
     fn publish(&self, _: member::Update) {}
 }
 
-struct Site {
+struct Fixture {
     homes: sync::Arc<Homes>,
     service: query::Service,
-    book: quarantine::Service,
+    quarantine: quarantine::Service,
     events: sync::Arc<Events>,
     _view: watch::Sender<member::SharedView>,
 }
@@ -116,7 +117,7 @@
     }
 }
 
-fn site(outcome: Option<Outcome>, searches: u32) -> Site {
+fn fixture(outcome: Option<Outcome>, searches: u32) -> Fixture {
     let catalog = document::Catalog::default();
     for name in ["port", "desk"] {
         let mut document = document::Document::default();
@@ -139,10 +140,10 @@
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
     let meter = metrics::Metrics::new().unwrap().meter();
     let store = sync::Arc::new(store::Fake::default());
-    let book = quarantine::Service::start(
+    let quarantine = quarantine::Service::start(
         quarantine::Config { vm: local.clone() },
         store,
-        sync::Arc::new(Silent),
+        sync::Arc::new(NoPublisher),
         clock,
         timer.clone(),
         &meter,
@@ -159,17 +160,17 @@
         catalog,
         view,
         homes.clone(),
-        book.clone(),
+        quarantine.clone(),
         events.clone(),
         clock,
         timer,
         &meter,
     );
     let _ = homes.service.set(service.clone());
-    Site {
+    Fixture {
         homes,
         service,
-        book,
+        quarantine,
         events,
         _view: sender,
     }
@@ -188,33 +189,33 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_search_covers_every_shard() {
-    let site = site(Some(Outcome::Hits), 8);
-    let answer = site.service.search(search("port")).await.unwrap();
+    let fixture = fixture(Some(Outcome::Hits), 8);
+    let answer = fixture.service.search(search("port")).await.unwrap();
     assert!(answer.coverage.complete);
     assert_eq!(answer.snapshot.version, ids::IndexVersion(3));
-    let events = site.events.0.lock().unwrap();
+    let events = fixture.events.0.lock().unwrap();
     assert!(events[0].in_time && events[0].complete);
     assert_eq!((events[0].first_attempts, events[0].extra_attempts), (4, 0));
-    assert_eq!(site.service.running(), 0);
+    assert_eq!(fixture.service.running(), 0);
 }
 
-/// One service's callers send more than its upstreams answer. Their searches
-/// pile up, and another service's callers must not be refused for it.
+/// One service receives more searches than its upstreams can answer. Searches of
+/// another service must not be refused for that.
 #[tokio::test(start_paused = true)]
-async fn a_storm_on_one_service_refuses_no_other() {
-    let site = site(None, 2);
-    let storm: Vec<_> = (0..6)
+async fn overload_of_one_service_refuses_no_other() {
+    let fixture = fixture(None, 2);
+    let overload: Vec<_> = (0..6)
         .map(|_| {
-            let service = site.service.clone();
+            let service = fixture.service.clone();
             tokio::spawn(async move { service.search(search("port")).await })
         })
         .collect();
     tokio::time::sleep(time::Duration::from_millis(1)).await;
-    *site.homes.outcome.lock().unwrap() = Some(Outcome::Hits);
-    let other = site.service.search(search("desk")).await.unwrap();
+    *fixture.homes.outcome.lock().unwrap() = Some(Outcome::Hits);
+    let other = fixture.service.search(search("desk")).await.unwrap();
     assert!(other.coverage.complete);
     let mut refused = 0;
-    for task in storm {
+    for task in overload {
         if let Err(refusal) = task.await.unwrap() {
             assert_eq!(refusal.code, query::Code::Overloaded);
             assert_eq!(refusal.ran, query::Ran::No);
@@ -225,32 +226,32 @@
     assert_eq!(refused, 4);
 }
 
-/// The caller hangs up. Its calls would go on using the upstreams' slots, and
-/// its place would stay taken.
+/// When the caller disconnects, its calls must not keep using the upstreams'
+/// slots, and its capacity must be released.
 #[tokio::test(start_paused = true)]
-async fn hanging_up_cancels_what_runs() {
-    let site = site(None, 8);
-    let service = site.service.clone();
+async fn disconnecting_cancels_the_running_calls() {
+    let fixture = fixture(None, 8);
+    let service = fixture.service.clone();
     let caller = tokio::spawn(async move { service.search(search("port")).await });
     tokio::time::sleep(time::Duration::from_millis(1)).await;
-    assert_eq!(site.service.running(), 1);
+    assert_eq!(fixture.service.running(), 1);
     caller.abort();
     tokio::time::sleep(time::Duration::from_millis(1)).await;
-    assert_eq!(site.service.running(), 0);
-    let calls = site.homes.calls.lock().unwrap();
-    let cancelled = site.homes.cancelled.lock().unwrap();
+    assert_eq!(fixture.service.running(), 0);
+    let calls = fixture.homes.calls.lock().unwrap();
+    let cancelled = fixture.homes.cancelled.lock().unwrap();
     assert!(!calls.is_empty());
     assert!(calls.iter().all(|call| cancelled.contains(&call.attempt)));
 }
 
-/// A query takes longer than its deadline to crash the upstream. Its answer is
-/// out already, and the loss must be held against it all the same.
+/// A query takes longer than its deadline to crash the upstream. It must become
+/// suspect although its answer was already given.
 #[tokio::test(start_paused = true)]
 async fn a_loss_after_the_answer_makes_the_query_suspect() {
-    let site = site(None, 8);
-    let answer = site.service.search(search("port")).await.unwrap();
+    let fixture = fixture(None, 8);
+    let answer = fixture.service.search(search("port")).await.unwrap();
     assert_eq!(answer.coverage.covered, 0);
-    let call = site.homes.calls.lock().unwrap()[0].clone();
+    let call = fixture.homes.calls.lock().unwrap()[0].clone();
     let lost = message::Reply {
         attempt: call.attempt,
         upstream: call.upstream,
@@ -261,19 +262,19 @@
     let replies = message::Replies {
         replies: vec![lost],
     };
-    site.service.replies(&"vm-0".parse().unwrap(), replies);
-    assert_eq!(site.book.list().len(), 1);
+    fixture.service.replies(&"vm-0".parse().unwrap(), replies);
+    assert_eq!(fixture.quarantine.list().len(), 1);
 }
 
-/// A caller names a shard that doesn't exist. Leaving it out silently would be
-/// a gap that nobody sees.
+/// A search of a shard that doesn't exist must be refused: leaving the shard out
+/// would return an incomplete answer that looks complete.
 #[tokio::test(start_paused = true)]
 async fn an_unknown_shard_is_refused_not_run() {
-    let site = site(Some(Outcome::Hits), 8);
+    let fixture = fixture(Some(Outcome::Hits), 8);
     let mut wrong = search("port");
     wrong.shards = Some(vec!["s1".parse().unwrap(), "s9".parse().unwrap()]);
-    let refusal = site.service.search(wrong).await.unwrap_err();
+    let refusal = fixture.service.search(wrong).await.unwrap_err();
     assert_eq!(refusal.code, query::Code::NotFound);
     assert_eq!(refusal.ran, query::Ran::No);
-    assert!(site.homes.calls.lock().unwrap().is_empty());
+    assert!(fixture.homes.calls.lock().unwrap().is_empty());
 }
--- a/crates/geraniumgauge/src/query/times.rs
+++ b/crates/geraniumgauge/src/query/times.rs
@@ -1,84 +1,91 @@
-//! Shard call times of one service, over the last seconds.
+//! Quantiles of one service's shard call times over the last seconds.
 
 use std::time;
 
 use crate::document;
 use crate::time as clock;
 
-/// Calls before any quantile is believed.
-const ENOUGH: u64 = 64;
-/// How long one histogram is filled before it becomes the older one.
+/// Minimum number of recorded calls for a quantile.
+const MIN_SAMPLES: u64 = 64;
+/// Time that one histogram is filled before it becomes the old one.
 const WINDOW: time::Duration = time::Duration::from_secs(5);
-/// How often the quantiles are taken anew.
-const REFRESH: time::Duration = time::Duration::from_millis(20);
-/// Longest call time told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
-/// Significant digits of a call time.
-const DIGITS: u8 = 2;
+/// Minimum time between two computations of the quantiles.
+const REFRESH_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Longest call time that the histograms distinguish, in microseconds.
+const MAX_CALL_TIME_US: u64 = 60_000_000;
+/// Significant digits of recorded call times.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Call times in two windows that take turns.
+/// Call times in two histograms that rotate.
 #[derive(Debug)]
 pub struct Times {
-    young: hdrhistogram::Histogram<u64>,
-    old: hdrhistogram::Histogram<u64>,
+    current: hdrhistogram::Histogram<u64>,
+    previous: hdrhistogram::Histogram<u64>,
     since: clock::Moment,
-    taken: Option<clock::Moment>,
+    refreshed: Option<clock::Moment>,
 }
 
-/// Quantiles that searches go by.
+/// Quantiles of the call time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Points {
-    /// When a call is hedged.
+pub struct Quantiles {
+    /// Time after which a call is hedged.
     pub hedge: time::Duration,
-    /// The median.
+    /// The median call time.
     pub typical: time::Duration,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Self {
-            young: empty(),
-            old: empty(),
+            current: empty(),
+            previous: empty(),
             since: clock::Moment::default(),
-            taken: None,
+            refreshed: None,
         }
     }
 }
 
 impl Times {
-    /// Counts call times.
-    pub fn record(&mut self, spans: &[time::Duration], now: clock::Moment) {
+    /// Records call times.
+    pub fn record(&mut self, call_times: &[time::Duration], now: clock::Moment) {
         if now.since(self.since) > WINDOW {
-            self.old = std::mem::replace(&mut self.young, empty());
+            self.previous = std::mem::replace(&mut self.current, empty());
             self.since = now;
         }
-        for span in spans {
-            self.young.saturating_record(clock::micros(*span).max(1));
+        for span in call_times {
+            self.current.saturating_record(clock::micros(*span).max(1));
         }
     }
 
-    /// The quantiles, now and then; `None` in between and while too few calls
-    /// are measured.
-    pub fn points(&mut self, budgets: &document::Budgets, now: clock::Moment) -> Option<Points> {
-        let waiting = self.taken.is_some_and(|taken| now.since(taken) < REFRESH);
-        if waiting || self.young.len() + self.old.len() < ENOUGH {
+    /// Returns the quantiles; `None` if the last computation is too recent or too
+    /// few calls are recorded.
+    pub fn quantiles(
+        &mut self,
+        budgets: &document::Budgets,
+        now: clock::Moment,
+    ) -> Option<Quantiles> {
+        let waiting = self
+            .refreshed
+            .is_some_and(|refreshed| now.since(refreshed) < REFRESH_INTERVAL);
+        if waiting || self.current.len() + self.previous.len() < MIN_SAMPLES {
             return None;
         }
-        self.taken = Some(now);
-        let mut both = self.young.clone();
-        both.add(&self.old).ok()?;
+        self.refreshed = Some(now);
+        let mut both = self.current.clone();
+        both.add(&self.previous).ok()?;
         let at = |quantile| time::Duration::from_micros(both.value_at_quantile(quantile));
-        Some(Points {
-            hedge: at(quantile(budgets)),
+        Some(Quantiles {
+            hedge: at(hedge_quantile(budgets)),
             typical: at(0.5),
         })
     }
 }
 
-/// The document's quantile, but no earlier than what the budget pays for twice
-/// over. At exactly the share that it pays, noise would empty the budget on
-/// calls that are about to end, and the real stragglers would find it empty.
-fn quantile(budgets: &document::Budgets) -> f64 {
+/// Returns the quantile at which calls are hedged: the document's, but no lower
+/// than one that hedges half of what the budget pays for. Hedging all of what it
+/// pays for, noise would spend the budget on calls that are about to end and
+/// leave none for the real stragglers.
+fn hedge_quantile(budgets: &document::Budgets) -> f64 {
     budgets
         .hedge_quantile
         .get()
@@ -90,5 +97,6 @@
     reason = "the bounds are constants that every test uses"
 )]
 fn empty() -> hdrhistogram::Histogram<u64> {
-    hdrhistogram::Histogram::new_with_bounds(1, LONGEST_US, DIGITS).expect("valid bounds")
+    hdrhistogram::Histogram::new_with_bounds(1, MAX_CALL_TIME_US, SIGNIFICANT_DIGITS)
+        .expect("valid bounds")
 }
--- a/crates/geraniumgauge/src/query/version.rs
+++ b/crates/geraniumgauge/src/query/version.rs
@@ -1,20 +1,20 @@
-//! Which index version a search is pinned to.
+//! Chooses the index version that a search is pinned to.
 
 use crate::ids;
 use crate::query::plan;
 use crate::time as clock;
 
-/// A version and how many of the shards asked can offer it.
+/// An index version and its coverage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pick {
-    /// The version.
+    /// The index version.
     pub version: ids::IndexVersion,
-    /// Shards with a replica that offers it, or that may: nothing is known of it.
+    /// Number of shards with a replica that offers it, or whose range is unknown.
     pub covers: usize,
 }
 
-/// The newest version that every shard offers, else the one that most do, the
-/// newest of these; `None` where no replica's range is known.
+/// Returns the version that most of `shards` offer, the newest of several; `None`
+/// if no replica's range is known.
 pub fn pick(plan: &plan::Plan, shards: &[u32], now: clock::Moment) -> Option<Pick> {
     let mut versions: Vec<_> = newest(plan, shards, now).collect();
     versions.sort_unstable();
@@ -32,7 +32,8 @@
     best
 }
 
-/// How many of `shards` offer `version`, or may.
+/// Returns how many of `shards` offer `version`; a replica of unknown range counts
+/// as offering it.
 pub fn covers(
     plan: &plan::Plan,
     shards: &[u32],
@@ -46,6 +47,7 @@
     shards.iter().filter(offered).count()
 }
 
+/// Returns the newest version of each replica whose range is known.
 fn newest(
     plan: &plan::Plan,
     shards: &[u32],
