--- a/crates/geraniumgauge/src/query/admission.rs
+++ b/crates/geraniumgauge/src/query/admission.rs
@@ -44,14 +44,14 @@
 }
 
 impl Limit {
-    /// Admits one search if fewer than `most` and fewer than the limit are running.
-    pub fn admit(&mut self, most: u32) -> bool {
-        self.limit = self.limit.min(f64::from(most)).max(MIN_LIMIT);
-        let room = self.running < most && f64::from(self.running) < self.limit;
-        if room {
+    /// Admits one search if fewer than `max` and fewer than the limit are running.
+    pub fn admit(&mut self, max: u32) -> bool {
+        self.limit = self.limit.min(f64::from(max)).max(MIN_LIMIT);
+        let admitted = self.running < max && f64::from(self.running) < self.limit;
+        if admitted {
             self.running += 1;
         }
-        room
+        admitted
     }
 
     /// Records the end of one search and adapts the limit: additive increase while
@@ -62,11 +62,11 @@
         match load {
             Load::Free if used => self.limit += 1.0 / self.limit,
             Load::Free => {}
-            Load::Congested => self.congested(now),
+            Load::Congested => self.reduce_limit(now),
         }
     }
 
-    fn congested(&mut self, now: clock::Moment) {
+    fn reduce_limit(&mut self, now: clock::Moment) {
         if self
             .last_decrease
             .is_some_and(|last_decrease| now.since(last_decrease) < MIN_DECREASE_INTERVAL)
@@ -74,8 +74,8 @@
             return;
         }
         self.last_decrease = Some(now);
-        let present = self.limit.min(f64::from(self.running + 1));
-        self.limit = (present * DECREASE_FACTOR).max(MIN_LIMIT);
+        let current = self.limit.min(f64::from(self.running + 1));
+        self.limit = (current * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
     /// Returns the number of running searches.
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -131,13 +131,13 @@
 
     /// Reserves capacity for one search. A service that receives too many searches
     /// fills only its own limit and, once the VM is full, an equal share of it.
-    fn reserve(&self, state: &state::State, most: u32) -> Result<(), query::Refusal> {
+    fn reserve(&self, state: &state::State, max: u32) -> Result<(), query::Refusal> {
         let total = self.running.load(atomic::Ordering::Relaxed);
         let share = if total < MAX_RUNNING {
-            most
+            max
         } else {
             let services = read(&self.states).len().max(1);
-            most.min((MAX_RUNNING / services) as u32)
+            max.min((MAX_RUNNING / services) as u32)
         };
         if !lock(&state.admission).admit(share) {
             let message = format!(
@@ -186,8 +186,11 @@
             .states
             .write()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        let fresh = || sync::Arc::new(state::State::new(service.clone(), budgets));
-        states.entry(service.clone()).or_insert_with(fresh).clone()
+        let new_state = || sync::Arc::new(state::State::new(service.clone(), budgets));
+        states
+            .entry(service.clone())
+            .or_insert_with(new_state)
+            .clone()
     }
 
     /// Reports a lost connection of a call whose search has ended. Otherwise a
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -129,8 +129,8 @@
         if !slot.covered() {
             slot.state = slot::State::Running;
         }
-        let before = std::mem::replace(&mut slot.called, true);
-        self.count(kind, before);
+        let called_before = std::mem::replace(&mut slot.called, true);
+        self.count(kind, called_before);
         if self.is_hedged(kind) {
             let due = now + self.setup.hedge_after;
             self.timers.push(cmp::Reverse((due, Timer::Hedge(number))));
@@ -148,12 +148,14 @@
         }
     }
 
-    fn count(&mut self, kind: message::Kind, before: bool) {
+    /// Counts one call. `called_before` says whether its shard was already called at
+    /// this pin.
+    fn count(&mut self, kind: message::Kind, called_before: bool) {
         let counts = &mut self.counts;
         match kind {
-            message::Kind::First | message::Kind::Canary if before => counts.moved += 1,
+            message::Kind::First | message::Kind::Canary if called_before => counts.moved += 1,
             message::Kind::First | message::Kind::Canary if self.restart.count > 0 => {
-                counts.again += 1;
+                counts.repeated += 1;
             }
             message::Kind::First | message::Kind::Canary => counts.first += 1,
             message::Kind::Hedge => counts.hedges += 1,
@@ -168,21 +170,21 @@
     /// the less loaded of two random candidates.
     pub(super) fn choose(&mut self, slot: u32, excluded: u64, now: clock::Moment) -> Option<usize> {
         let shard = self.plan.shard(self.slots[slot as usize].shard);
-        let mut may = 0;
+        let mut eligible = 0;
         let mut healthy = 0;
         for position in 0..shard.replicas.len().min(MAX_REPLICAS) {
             if excluded & bit(position) == 0 && self.may_offer(shard, position, now) {
-                may |= bit(position);
+                eligible |= bit(position);
                 let avoided = self.stats(shard, position).avoided(now);
                 healthy |= if avoided { 0 } else { bit(position) };
             }
         }
         if self.setup.policy == query::Policy::Direct {
-            let count = may.count_ones() as usize;
-            return (count > 0).then(|| nth(may, self.fleet.next_turn() % count));
+            let count = eligible.count_ones() as usize;
+            return (count > 0).then(|| nth(eligible, self.fleet.next_turn() % count));
         }
-        let from = if healthy == 0 { may } else { healthy };
-        let (first, second) = pick_two(&mut self.rng, from)?;
+        let candidates = if healthy == 0 { eligible } else { healthy };
+        let (first, second) = pick_two(&mut self.rng, candidates)?;
         let shard = self.plan.shard(self.slots[slot as usize].shard);
         let load = |position| self.stats(shard, position).load(self.setup.typical, now);
         let better = load(second) < load(first);
@@ -197,6 +199,7 @@
         self.stats(shard, position).offers(pin, now) != Some(false)
     }
 
+    /// Returns the statistics of the replica at a position of a shard.
     fn stats(&self, shard: &plan::Shard, position: usize) -> &query::replica::Stats {
         &self.plan.replica(shard.replicas[position]).stats
     }
@@ -213,8 +216,8 @@
             self.send_second_lead(now);
             return;
         }
-        let held = &self.slots[slot as usize];
-        if held.open().len() >= slot::MAX_OPEN_CALLS || !self.has_time_for_call(now) {
+        let entry = &self.slots[slot as usize];
+        if entry.open().len() >= slot::MAX_OPEN_CALLS || !self.has_time_for_call(now) {
             return;
         }
         if self.setup.policy != query::Policy::Full {
@@ -235,9 +238,9 @@
         }
         if !self.fleet.spend_hedge() {
             self.counts.hedges_refused += 1;
-            let again = now + self.setup.hedge_after.max(MIN_HEDGE_DELAY);
+            let retry_at = now + self.setup.hedge_after.max(MIN_HEDGE_DELAY);
             self.timers
-                .push(cmp::Reverse((again, Timer::Hedge(attempt))));
+                .push(cmp::Reverse((retry_at, Timer::Hedge(attempt))));
             return;
         }
         let avoid = self.homes.name(vm).clone();
@@ -303,9 +306,9 @@
     /// call, otherwise the same one, which the other home calls over another
     /// connection.
     fn hedge_position(&mut self, slot: u32, replica: u32, now: clock::Moment) -> Option<usize> {
-        let held = &self.slots[slot as usize];
-        let shard = self.plan.shard(held.shard);
-        let running = held.open().iter();
+        let entry = &self.slots[slot as usize];
+        let shard = self.plan.shard(entry.shard);
+        let running = entry.open().iter();
         let running: Vec<u32> = running
             .map(|open| self.attempts[*open as usize].replica)
             .collect();
@@ -316,7 +319,7 @@
         self.choose(slot, busy, now).or(same)
     }
 
-    /// Cancels a call, also at its home.
+    /// Ends a call and sends a cancel to its home, which cancels it at the upstream.
     pub(super) fn cancel(&mut self, attempt: u32) {
         let called = &self.attempts[attempt as usize];
         if called.ended {
@@ -329,6 +332,7 @@
         self.attempts[attempt as usize].cancel_unconfirmed = true;
     }
 
+    /// Cancels all running calls and ends a running trial.
     pub(super) fn cancel_all(&mut self) {
         for attempt in 0..self.attempts.len() as u32 {
             self.cancel(attempt);
@@ -360,13 +364,13 @@
 
 /// Minimum time between two attempts to hedge a call.
 const MIN_HEDGE_DELAY: time::Duration = time::Duration::from_millis(2);
-/// The hedge point applies from this many times `Setup::hedge_last` outstanding
-/// shards on.
+/// The hedge point applies once no more than this many times `Setup::hedge_last`
+/// shards are outstanding.
 const HEDGE_SHARDS_FACTOR: usize = 2;
 /// The last shards are hedged after a typical call time divided by this.
 const EARLY_HEDGE_DIVISOR: u32 = 4;
-/// Lower bound of the number of outstanding shards from which the hedge point
-/// applies, for narrow searches.
+/// In narrow searches the hedge point applies once no more than this many shards
+/// are outstanding.
 const MIN_HEDGE_SHARDS: usize = 2;
 /// A call is hedged after this many hedge points, however many shards are
 /// outstanding: a home that went silent holds many calls.
--- a/crates/geraniumgauge/src/query/gather/end.rs
+++ b/crates/geraniumgauge/src/query/gather/end.rs
@@ -35,18 +35,19 @@
             self.finish(query::Reason::CutOff);
             return;
         }
-        if !self.waits() {
+        if !self.is_waiting() {
             self.finish(query::Reason::Deadline);
         }
     }
 
     /// Returns whether a reply, a call, a plan or a verdict is still pending.
-    fn waits(&self) -> bool {
+    fn is_waiting(&self) -> bool {
         let leads = matches!(self.phase, Phase::Lead { .. });
         let calls = self.open_calls > 0 || self.scheduled > 0;
         calls || leads || self.verdict_pending || self.restart.pending || self.trial.pending()
     }
 
+    /// Returns whether the latency objective permits a partial answer now.
     fn partial_answer_due(&mut self, now: clock::Moment) -> bool {
         let Some(soft) = self.setup.soft else {
             return false;
@@ -89,13 +90,13 @@
         let open = self.slots.iter().filter(|slot| !slot.covered());
         let missing = open.map(|slot| query::Missing {
             shard: self.plan.shard(slot.shard).id.clone(),
-            reason: why(slot, unfinished),
+            reason: missing_reason(slot, unfinished),
         });
         missing.collect()
     }
 }
 
-fn why(slot: &slot::Slot, unfinished: query::Reason) -> query::Reason {
+fn missing_reason(slot: &slot::Slot, unfinished: query::Reason) -> query::Reason {
     match slot.state {
         slot::State::Held => query::Reason::Quarantined,
         slot::State::GivenUp | slot::State::AwaitingBudget => slot.reason.unwrap_or(unfinished),
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -161,7 +161,7 @@
     /// they need no budget.
     pub moved: u64,
     /// First calls of their shards after a restart at another pin.
-    pub again: u64,
+    pub repeated: u64,
     /// Isolated trials.
     pub trials: u64,
     /// Hedges that the budget refused.
@@ -179,6 +179,6 @@
 impl Counts {
     /// Returns the number of calls beyond the first of each shard.
     pub fn extra(&self) -> u64 {
-        self.hedges + self.retries + self.moved + self.again + self.trials
+        self.hedges + self.retries + self.moved + self.repeated + self.trials
     }
 }
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -164,7 +164,7 @@
     /// Makes searches avoid a VM for a while.
     fn avoid(&self, vm: &ids::Vm, now: clock::Moment) {
         if let Some(known) = self.plan.vms.iter().find(|known| known.id == *vm) {
-            known.link.lost(now);
+            known.link.record_loss(now);
         }
     }
 
@@ -229,11 +229,11 @@
             self.lead_call_failed(slot, outcome, now);
             return;
         }
-        let held = &mut self.slots[slot as usize];
+        let entry = &mut self.slots[slot as usize];
         let moves = matches!(outcome, Outcome::NotHome | Outcome::Stopping);
-        if moves && !held.moved {
-            held.moved = true;
-            held.state = slot::State::AwaitingPlan;
+        if moves && !entry.moved {
+            entry.moved = true;
+            entry.state = slot::State::AwaitingPlan;
             self.restart.replan(&mut self.outbox.actions);
             return;
         }
@@ -245,19 +245,19 @@
     /// Handles a failed lead call. Its shard is called again in the fan-out, or
     /// remains unsent if the failure made the search choose another version.
     fn lead_call_failed(&mut self, slot: u32, outcome: Outcome, now: clock::Moment) {
-        let moved = outcome == Outcome::Version && self.covered == 0 && self.repin(now);
-        let held = &mut self.slots[slot as usize];
-        held.tried = 0;
-        held.state = if moved {
+        let repinned = outcome == Outcome::Version && self.covered == 0 && self.repin(now);
+        let entry = &mut self.slots[slot as usize];
+        entry.tried = 0;
+        entry.state = if repinned {
             slot::State::Unsent
         } else {
             slot::State::Deferred
         };
-        let gone = matches!(
+        let unreachable = matches!(
             outcome,
             Outcome::Unreachable | Outcome::Silent | Outcome::Unknown
         );
-        if gone && self.setup.canary {
+        if unreachable && self.setup.canary {
             self.delay_next_lead(now);
         } else if self.open_calls == 0 {
             self.send_lead(now);
@@ -281,13 +281,13 @@
         retry_after: time::Duration,
         now: clock::Moment,
     ) {
-        let held = &self.slots[slot as usize];
-        let (tried, failures) = (held.tried, held.failures);
+        let entry = &self.slots[slot as usize];
+        let (tried, failures) = (entry.tried, entry.failures);
         let direct = self.setup.policy == query::Policy::Direct;
         if !self.has_time_for_call(now) || (failures >= MAX_FAILURES && !direct) {
-            let why = last_reason(held);
-            self.restart.wanted |= why == query::Reason::BadReply;
-            self.give_up(slot, why);
+            let reason = last_reason(entry);
+            self.restart.wanted |= reason == query::Reason::BadReply;
+            self.give_up(slot, reason);
             return;
         }
         if let Some(position) = self.choose(slot, tried, now) {
@@ -302,8 +302,8 @@
         let wait = retry_after.max(INITIAL_BACKOFF * 2_u32.pow(doublings));
         let at = now + wait;
         if at + self.setup.typical >= self.setup.deadline {
-            let why = last_reason(&self.slots[slot as usize]);
-            self.give_up(slot, why);
+            let reason = last_reason(&self.slots[slot as usize]);
+            self.give_up(slot, reason);
             return;
         }
         self.schedule(slot, at, slot::State::Scheduled);
@@ -323,9 +323,9 @@
             return;
         }
         self.counts.retries_refused += 1;
-        let held = &mut self.slots[slot as usize];
-        held.failures += 1;
-        let wait = INITIAL_BACKOFF * 2_u32.pow(held.failures.min(MAX_BACKOFF_DOUBLINGS));
+        let entry = &mut self.slots[slot as usize];
+        entry.failures += 1;
+        let wait = INITIAL_BACKOFF * 2_u32.pow(entry.failures.min(MAX_BACKOFF_DOUBLINGS));
         self.schedule(slot, now + wait, slot::State::AwaitingBudget);
     }
 
@@ -342,16 +342,16 @@
 
     /// Handles the retry timer of a slot; ignores one set before a restart.
     pub(super) fn retry_due(&mut self, slot: u32, restarts: u32, now: clock::Moment) {
-        let held = &mut self.slots[slot as usize];
+        let entry = &mut self.slots[slot as usize];
         let current = restarts == self.restart.count;
-        match held.state {
+        match entry.state {
             slot::State::Scheduled if current => self.scheduled -= 1,
             slot::State::AwaitingBudget if current => {}
             _ => return,
         }
-        held.tried = 0;
+        entry.tried = 0;
         if self.verdict_pending || self.verdict != query::CLEAR {
-            held.state = slot::State::Held;
+            entry.state = slot::State::Held;
             return;
         }
         self.retry(slot, None, time::Duration::ZERO, now);
@@ -360,7 +360,7 @@
     /// Gives up a shard that has no replica, or none with the pinned version, and
     /// considers a restart.
     pub(super) fn no_replica(&mut self, slot: u32) {
-        let bare = self
+        let no_replicas = self
             .plan
             .shard(self.slots[slot as usize].shard)
             .replicas
@@ -368,7 +368,7 @@
         self.restart.wanted = true;
         self.give_up(
             slot,
-            if bare {
+            if no_replicas {
                 query::Reason::Unreachable
             } else {
                 query::Reason::VersionUnavailable
@@ -377,19 +377,20 @@
     }
 
     /// Stops calling a shard; it will be missing from the answer.
-    pub(super) fn give_up(&mut self, slot: u32, why: query::Reason) {
+    pub(super) fn give_up(&mut self, slot: u32, reason: query::Reason) {
         let slot = &mut self.slots[slot as usize];
         if matches!(slot.state, slot::State::Scheduled) {
             self.scheduled -= 1;
         }
         slot.state = slot::State::GivenUp;
-        slot.reason = Some(why);
+        slot.reason = Some(reason);
     }
 
-    pub(super) fn give_up_all(&mut self, why: query::Reason) {
+    /// Gives up all shards that aren't covered.
+    pub(super) fn give_up_all(&mut self, reason: query::Reason) {
         for slot in 0..self.slots.len() as u32 {
             if !self.slots[slot as usize].is_final() {
-                self.give_up(slot, why);
+                self.give_up(slot, reason);
             }
         }
     }
--- a/crates/geraniumgauge/src/query/gather/lead.rs
+++ b/crates/geraniumgauge/src/query/gather/lead.rs
@@ -62,6 +62,8 @@
             .push(cmp::Reverse((now + MARK_PROPAGATION_DELAY, Timer::Lead)));
     }
 
+    /// Sends the delayed lead call, unless one is running or the request became
+    /// suspect meanwhile.
     pub(super) fn lead_due(&mut self, now: clock::Moment) {
         let clear = self.verdict == query::CLEAR && !self.verdict_pending;
         if self.open_calls == 0 && clear {
@@ -85,11 +87,11 @@
     /// Gives up all shards. Without one good reply the fan-out isn't started:
     /// whatever failed the lead calls would fail the other calls as well.
     fn give_up_after_leads(&mut self) {
-        let why = self.slots.iter().find_map(|slot| slot.reason);
-        let why = why.unwrap_or(query::Reason::Unreachable);
+        let reason = self.slots.iter().find_map(|slot| slot.reason);
+        let reason = reason.unwrap_or(query::Reason::Unreachable);
         for slot in 0..self.slots.len() as u32 {
             if !self.slots[slot as usize].is_final() {
-                self.give_up(slot, why);
+                self.give_up(slot, reason);
             }
         }
         self.phase = Phase::FanOut;
--- a/crates/geraniumgauge/src/query/gather/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/mod.rs
@@ -51,8 +51,10 @@
     slots: Vec<slot::Slot>,
     /// The slot of each shard of the plan; `NO_SLOT` for shards not requested.
     slot_of: Vec<u32>,
+    /// All calls sent at the present pin.
     attempts: Vec<attempt::Attempt>,
     timers: collections::BinaryHeap<cmp::Reverse<(clock::Moment, Timer)>>,
+    /// The index version of all calls; `None` until it is known.
     pin: Option<ids::IndexVersion>,
     phase: Phase,
     verdict: quarantine::Verdict,
@@ -210,8 +212,8 @@
         for (slot, shard) in self.asked.iter().enumerate() {
             self.slot_of[*shard as usize] = slot as u32;
         }
-        let fresh = |shard: &u32| slot::Slot::new(*shard);
-        self.slots = self.asked.iter().map(fresh).collect();
+        let slot = |shard: &u32| slot::Slot::new(*shard);
+        self.slots = self.asked.iter().map(slot).collect();
     }
 
     fn start(&mut self, verdict: quarantine::Verdict, now: clock::Moment) {
--- a/crates/geraniumgauge/src/query/gather/restart.rs
+++ b/crates/geraniumgauge/src/query/gather/restart.rs
@@ -78,14 +78,15 @@
     /// Returns whether a restart with `plan` would cover more shards and fits in
     /// the time left.
     fn should_restart(&self, plan: &plan::Plan, now: clock::Moment) -> bool {
-        let room = self.setup.typical * MIN_CALLS_LEFT;
+        let time_needed = self.setup.typical * MIN_CALLS_LEFT;
         let clear = self.verdict == query::CLEAR && !self.verdict_pending;
-        if self.restart.count >= MAX_RESTARTS || now + room >= self.setup.deadline || !clear {
+        if self.restart.count >= MAX_RESTARTS || now + time_needed >= self.setup.deadline || !clear
+        {
             return false;
         }
         let given_up = |slot: &&slot::Slot| matches!(slot.state, slot::State::GivenUp);
-        let here = self.slots.len() - self.slots.iter().filter(given_up).count();
-        if self.setup.soft.is_some_and(|soft| here >= soft.covered) {
+        let possible = self.slots.len() - self.slots.iter().filter(given_up).count();
+        if self.setup.soft.is_some_and(|soft| possible >= soft.covered) {
             return false;
         }
         let Some(asked) = self.asked_in(plan) else {
@@ -96,7 +97,7 @@
         };
         let same = plan.layout.version == self.plan.layout.version;
         let other = !same || Some(pick.version) != self.pin;
-        other && pick.covers * self.slots.len() > here * asked.len()
+        other && pick.covers * self.slots.len() > possible * asked.len()
     }
 
     /// Returns the requested shards as indexes into another plan; `None` if the
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -95,7 +95,7 @@
             && counts.first <= shards as u64
             && counts.moved <= 3 * (shards as u64 + 2)
             && counts.restarts <= 2
-            && counts.again <= counts.restarts * (shards as u64 + 2)
+            && counts.repeated <= counts.restarts * (shards as u64 + 2)
             && sent == counts.first + counts.extra()
     }
 
--- a/crates/geraniumgauge/src/query/instruments.rs
+++ b/crates/geraniumgauge/src/query/instruments.rs
@@ -65,7 +65,7 @@
             ("hedge", counts.hedges),
             ("retry", counts.retries),
             ("moved", counts.moved),
-            ("again", counts.again),
+            ("again", counts.repeated),
             ("trial", counts.trials),
         ];
         add(&self.calls, service, &calls);
--- a/crates/geraniumgauge/src/query/plan.rs
+++ b/crates/geraniumgauge/src/query/plan.rs
@@ -82,7 +82,7 @@
 
 impl Link {
     /// Records that the link was lost.
-    pub fn lost(&self, now: clock::Moment) {
+    pub fn record_loss(&self, now: clock::Moment) {
         let until = now + LINK_LOST_AVOID_TIME;
         self.avoid_until
             .fetch_max(until.0, atomic::Ordering::Relaxed);
--- a/crates/geraniumgauge/src/query/replica.rs
+++ b/crates/geraniumgauge/src/query/replica.rs
@@ -126,12 +126,12 @@
     /// microseconds, weighted by the penalty for failures.
     pub fn load(&self, typical: time::Duration, now: clock::Moment) -> u64 {
         let recent = now.0 < self.times_updated.load(ORDER) + clock::micros(CALL_TIME_TTL);
-        let took = if recent {
+        let call_time = if recent {
             self.call_time.load(ORDER)
         } else {
             clock::micros(typical)
         };
-        u64::from(self.outstanding() + 1) * took.max(1) * self.penalty(now)
+        u64::from(self.outstanding() + 1) * call_time.max(1) * self.penalty(now)
     }
 
     /// Returns the load factor for the share of failed calls. It fades with time,
@@ -194,12 +194,12 @@
 
     /// Records the duration of a call, or how long a cancelled one had run.
     pub fn record_time(&self, span: time::Duration, now: clock::Moment) {
-        let held = self.call_time.load(ORDER);
+        let average = self.call_time.load(ORDER);
         let span = clock::micros(span).max(1);
-        let sample = if held == 0 {
+        let sample = if average == 0 {
             span
         } else {
-            span.min(held * MAX_SAMPLE_FACTOR)
+            span.min(average * MAX_SAMPLE_FACTOR)
         };
         mean(&self.call_time, sample);
         self.times_updated.store(now.0, ORDER);
@@ -256,18 +256,18 @@
 }
 
 /// Updates a moving average like [`blend`], but starts at the first sample.
-fn mean(held: &atomic::AtomicU64, sample: u64) {
-    if held.load(ORDER) == 0 {
-        held.store(sample, ORDER);
+fn mean(average: &atomic::AtomicU64, sample: u64) {
+    if average.load(ORDER) == 0 {
+        average.store(sample, ORDER);
     } else {
-        blend(held, sample);
+        blend(average, sample);
     }
 }
 
 /// Updates an exponentially weighted moving average.
-fn blend(held: &atomic::AtomicU64, sample: u64) {
-    let before = held.load(ORDER);
-    held.store(
+fn blend(average: &atomic::AtomicU64, sample: u64) {
+    let before = average.load(ORDER);
+    average.store(
         (before * (SAMPLE_WEIGHT_DIVISOR - 1) + sample) / SAMPLE_WEIGHT_DIVISOR,
         ORDER,
     );
--- a/crates/geraniumgauge/src/query/router.rs
+++ b/crates/geraniumgauge/src/query/router.rs
@@ -51,8 +51,8 @@
         search << ATTEMPT_BITS
     }
 
-    pub(super) fn add(&self, search: u64, inbox: InputSender) {
-        self.partition(search).insert(search, inbox);
+    pub(super) fn add(&self, search: u64, sender: InputSender) {
+        self.partition(search).insert(search, sender);
     }
 
     pub(super) fn remove(&self, search: u64) {
@@ -60,20 +60,20 @@
     }
 
     /// Keeps an ended search for late replies; drops the oldest one when full.
-    pub(super) fn keep_ended(&self, ended: Ended) {
-        let mut held = lock(&self.ended);
-        if held.len() >= MAX_ENDED {
-            held.pop_front();
+    pub(super) fn keep_ended(&self, search: Ended) {
+        let mut ended = lock(&self.ended);
+        if ended.len() >= MAX_ENDED {
+            ended.pop_front();
         }
-        held.push_back(ended);
+        ended.push_back(search);
     }
 
     /// Returns the ended search that an attempt belongs to, if it is still kept.
     pub(super) fn find_ended(&self, attempt: u64) -> Option<Ended> {
-        let held = lock(&self.ended);
-        let mut newest = held.iter().rev();
+        let ended = lock(&self.ended);
+        let mut newest = ended.iter().rev();
         newest
-            .find(|ended| ended.search == attempt >> ATTEMPT_BITS)
+            .find(|search| search.search == attempt >> ATTEMPT_BITS)
             .cloned()
     }
 
@@ -93,8 +93,8 @@
             let own = replies.split_off(own);
             let partition = self.partition(search);
             match partition.get(&search) {
-                Some(inbox) => {
-                    let _ = inbox.send(task::Input::Replies(from.clone(), own));
+                Some(sender) => {
+                    let _ = sender.send(task::Input::Replies(from.clone(), own));
                 }
                 None => late.extend(own),
             }
@@ -105,9 +105,9 @@
     /// Sends an input to every running search.
     pub(super) fn broadcast(&self, input: impl Fn() -> task::Input) {
         for partition in &self.partitions {
-            for inbox in lock(partition).values() {
+            for sender in lock(partition).values() {
                 // Fails only for a search that has just ended.
-                let _ = inbox.send(input());
+                let _ = sender.send(input());
             }
         }
     }
--- a/crates/geraniumgauge/src/query/service.rs
+++ b/crates/geraniumgauge/src/query/service.rs
@@ -150,7 +150,7 @@
 
     /// Handles the loss of the link to a VM.
     pub fn lost(&self, vm: &ids::Vm) {
-        self.inner.links.get(vm).lost(self.inner.clock.now());
+        self.inner.links.get(vm).record_loss(self.inner.clock.now());
         self.inner
             .router
             .broadcast(|| task::Input::LinkLost(vm.clone()));
--- a/crates/geraniumgauge/src/query/state.rs
+++ b/crates/geraniumgauge/src/query/state.rs
@@ -19,13 +19,13 @@
     pub(super) service: ids::Service,
     pub(super) fleet: sync::Arc<fleet::Fleet>,
     pub(super) admission: sync::Mutex<admission::Limit>,
-    plan: sync::Mutex<Option<Ready>>,
+    plan: sync::Mutex<Option<CachedPlan>>,
 }
 
 /// A plan and the inputs that it was built from. The inputs are kept alive, so
 /// that comparing their addresses identifies them.
 #[derive(Debug)]
-struct Ready {
+struct CachedPlan {
     generation: ids::Generation,
     layout: layout::Shared,
     view: member::SharedView,
@@ -58,11 +58,14 @@
         homes: &placement::Cache,
         links: &links::Links,
     ) -> sync::Arc<plan::Plan> {
-        let mut ready = lock(&self.plan);
-        if let Some(held) = ready.as_ref().filter(|held| held.fits(in_force, view)) {
-            return held.plan.clone();
+        let mut cached_plan = lock(&self.plan);
+        if let Some(cached) = cached_plan
+            .as_ref()
+            .filter(|cached| cached.is_current(in_force, view))
+        {
+            return cached.plan.clone();
         }
-        let earlier = ready.as_ref().map(|held| held.generation);
+        let earlier = cached_plan.as_ref().map(|cached| cached.generation);
         if earlier != Some(in_force.generation) {
             self.fleet.set_budgets(&in_force.document.budgets);
         }
@@ -75,7 +78,7 @@
         let plan = sync::Arc::new(plan::Plan::new(&in_force.layout, &mut { source }));
         self.fleet
             .retain(|upstream| in_force.layout.upstream(upstream).is_some());
-        *ready = Some(Ready {
+        *cached_plan = Some(CachedPlan {
             generation: in_force.generation,
             layout: in_force.layout.clone(),
             view: view.clone(),
@@ -85,9 +88,9 @@
     }
 }
 
-impl Ready {
+impl CachedPlan {
     /// Returns whether the plan was built from these inputs.
-    fn fits(&self, in_force: &document::InForce, view: &member::SharedView) -> bool {
+    fn is_current(&self, in_force: &document::InForce, view: &member::SharedView) -> bool {
         self.generation == in_force.generation
             && sync::Arc::ptr_eq(&self.layout, &in_force.layout)
             && sync::Arc::ptr_eq(&self.view, view)
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -68,6 +68,7 @@
     pub(super) inbox: mpsc::UnboundedReceiver<Input>,
     pub(super) sender: router::InputSender,
     pub(super) trial: Option<quarantine::Trial>,
+    /// The congestion that the search observed, for the admission limit.
     pub(super) load: admission::Load,
 }
 
@@ -111,8 +112,8 @@
 
     /// Notes congestion if any call waited in a queue for long.
     fn check_queue_times(&mut self, replies: &[message::Reply]) {
-        let whole = self.context.deadline.since(self.context.started);
-        let long = clock::micros(whole / LONG_QUEUE_DIVISOR);
+        let total = self.context.deadline.since(self.context.started);
+        let long = clock::micros(total / LONG_QUEUE_DIVISOR);
         if replies.iter().any(|reply| reply.queued_us > long) {
             self.load = admission::Load::Congested;
         }
@@ -228,6 +229,8 @@
         });
     }
 
+    /// Returns the present verdict on the request; always clear under
+    /// [`query::Policy::Direct`].
     fn verdict(&self) -> quarantine::Verdict {
         if self.owner.config.policy == query::Policy::Direct {
             return quarantine::Verdict::Clear;
