--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -236,7 +236,7 @@
             fingerprint,
             limit: 10,
             deadline: self.now + time::Duration::from_millis(1000),
-            soft: None,
+            soft_deadline: None,
             subset: false,
             canary: !recently,
             hedge_after: time::Duration::from_millis(20),
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -80,7 +80,7 @@
             fingerprint,
             limit: search.limit as usize,
             deadline: context.deadline,
-            soft: gather::Soft::of(&document, asked.len(), started),
+            soft_deadline: gather::SoftDeadline::of(&document, asked.len(), started),
             subset: search.shards.is_some(),
             canary: self.canary(&context, &document.limits, asked.len()),
             hedge_after: hedge_after
--- a/crates/geraniumgauge/src/query/gather/end.rs
+++ b/crates/geraniumgauge/src/query/gather/end.rs
@@ -49,11 +49,11 @@
 
     /// Returns whether the latency objective permits a partial answer now.
     fn partial_answer_due(&mut self, now: clock::Moment) -> bool {
-        let Some(soft) = self.setup.soft else {
+        let Some(soft) = self.setup.soft_deadline else {
             return false;
         };
         self.soft_deadline_passed = now >= soft.at;
-        self.soft_deadline_passed && self.covered >= soft.covered
+        self.soft_deadline_passed && self.covered >= soft.min_covered
     }
 
     /// Emits the answer. `unfinished` is the reason given for shards that were
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -26,7 +26,7 @@
     pub deadline: clock::Moment,
     /// When a partial answer may be given, under
     /// [`document::Objective::Latency`].
-    pub soft: Option<Soft>,
+    pub soft_deadline: Option<SoftDeadline>,
     /// Set when the caller listed the shards to search.
     pub subset: bool,
     /// Set when a canary must succeed before the fan-out.
@@ -48,24 +48,24 @@
 
 /// The latency objective of one search.
 #[derive(Debug, Clone, Copy)]
-pub struct Soft {
+pub struct SoftDeadline {
     /// Time from which a partial answer may be given.
     pub at: clock::Moment,
     /// Minimum number of covered shards in a partial answer.
-    pub covered: usize,
+    pub min_covered: usize,
 }
 
-impl Soft {
+impl SoftDeadline {
     /// Returns the latency objective of `document` for a search of `asked`
     /// shards that starts at `now`; `None` under the coverage objective.
     pub fn of(document: &document::Document, asked: usize, now: clock::Moment) -> Option<Self> {
         if document.objective != document::Objective::Latency {
             return None;
         }
-        let covered = (document.min_coverage.get() * asked as f64).ceil() as usize;
+        let min_covered = (document.min_coverage.get() * asked as f64).ceil() as usize;
         Some(Self {
             at: now + document.latency_target,
-            covered: covered.clamp(1, asked.max(1)),
+            min_covered: min_covered.clamp(1, asked.max(1)),
         })
     }
 }
--- a/crates/geraniumgauge/src/query/gather/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/mod.rs
@@ -24,7 +24,7 @@
 pub use event::Counts;
 pub use event::Event;
 pub use event::Setup;
-pub use event::Soft;
+pub use event::SoftDeadline;
 
 use std::cmp;
 use std::collections;
@@ -173,7 +173,7 @@
     /// Returns the latest time to call [`Self::handle`] with [`Event::Tick`].
     pub fn wake(&self) -> clock::Moment {
         let due = self.timers.peek().map(|cmp::Reverse((at, _))| *at);
-        let soft = self.setup.soft.map(|soft| soft.at);
+        let soft = self.setup.soft_deadline.map(|soft| soft.at);
         let soft = soft.filter(|_| !self.soft_deadline_passed);
         let due = due.into_iter().chain(soft).min();
         due.map_or(self.setup.deadline, |due| due.min(self.setup.deadline))
--- a/crates/geraniumgauge/src/query/gather/restart.rs
+++ b/crates/geraniumgauge/src/query/gather/restart.rs
@@ -86,7 +86,11 @@
         }
         let given_up = |slot: &&slot::Slot| matches!(slot.state, slot::State::GivenUp);
         let possible = self.slots.len() - self.slots.iter().filter(given_up).count();
-        if self.setup.soft.is_some_and(|soft| possible >= soft.covered) {
+        if self
+            .setup
+            .soft_deadline
+            .is_some_and(|soft| possible >= soft.min_covered)
+        {
             return false;
         }
         let Some(asked) = self.asked_in(plan) else {
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -326,7 +326,7 @@
     let mut setup = world.setup(1 << 20);
     let at = world.now + time::Duration::from_millis(30);
     setup.policy = query::Policy::NoHedge;
-    setup.soft = Some(gather::Soft { at, covered: 5 });
+    setup.soft_deadline = Some(gather::SoftDeadline { at, min_covered: 5 });
     world.run(setup);
     let coverage = &world.answers[0].coverage;
     assert!(!coverage.missing.is_empty());
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -35,8 +35,8 @@
     setup.hedge_last = (seed / 7 % 4) as usize;
     if seed.is_multiple_of(5) {
         let at = world.now + time::Duration::from_millis(60);
-        let covered = shards.div_ceil(2);
-        setup.soft = Some(gather::Soft { at, covered });
+        let min_covered = shards.div_ceil(2);
+        setup.soft_deadline = Some(gather::SoftDeadline { at, min_covered });
     }
     let counts = world.run(setup);
     (world, counts)
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -164,7 +164,7 @@
             fingerprint: ids::Fingerprint(7),
             limit: 10,
             deadline: self.now + time::Duration::from_millis(500),
-            soft: None,
+            soft_deadline: None,
             subset: false,
             canary: false,
             hedge_after: time::Duration::from_millis(20),
