--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -243,7 +243,7 @@
             typical: time::Duration::from_millis(5),
             hedge_last: 0,
             policy: query::Policy::Full,
-            base: (number as u64) << 20,
+            first_attempt: (number as u64) << 20,
             seed: number as u64,
         };
         state.fleet.earn(asked.len());
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -89,7 +89,7 @@
             hedge_last: hedge_last(&document.budgets, asked.len()),
             typical,
             policy: self.config.policy,
-            base: router::Router::base(number),
+            first_attempt: router::Router::first_attempt(number),
             seed: number ^ started.0 ^ fingerprint.0,
         };
         state.fleet.earn(asked.len());
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -106,7 +106,7 @@
             return;
         };
         let number = self.attempts.len() as u32;
-        let id = self.setup.base + u64::from(number);
+        let id = self.setup.first_attempt + u64::from(number);
         let vm = self.homes.number(vm);
         let called = self.plan.replica(replica);
         called.stats.sent();
@@ -325,7 +325,7 @@
         if called.ended {
             return;
         }
-        let id = self.setup.base + u64::from(attempt);
+        let id = self.setup.first_attempt + u64::from(attempt);
         self.outbox.cancels.push((called.vm, id));
         self.counts.cancels += 1;
         self.end(attempt);
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -41,7 +41,7 @@
     /// How replicas are chosen and calls retried or hedged.
     pub policy: query::Policy,
     /// Number of the first attempt; later ones count up from it.
-    pub base: u64,
+    pub first_attempt: u64,
     /// Seed of the search's random choices.
     pub seed: u64,
 }
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -71,7 +71,7 @@
 
     /// Returns the index of the attempt that a reply is for.
     fn attempt_of(&self, reply: &message::Reply) -> Option<u32> {
-        let number = reply.attempt.checked_sub(self.setup.base)?;
+        let number = reply.attempt.checked_sub(self.setup.first_attempt)?;
         let known = number < self.attempts.len() as u64;
         known.then_some(number as u32)
     }
@@ -134,7 +134,7 @@
     /// Handles calls that couldn't be sent.
     pub(super) fn unsent(&mut self, attempts: &[u64], now: clock::Moment) {
         for id in attempts {
-            let number = id.checked_sub(self.setup.base);
+            let number = id.checked_sub(self.setup.first_attempt);
             let known = number.filter(|number| *number < self.attempts.len() as u64);
             let Some(attempt) = known.map(|number| number as u32) else {
                 continue;
--- a/crates/geraniumgauge/src/query/gather/restart.rs
+++ b/crates/geraniumgauge/src/query/gather/restart.rs
@@ -142,7 +142,7 @@
     /// Numbering continues after them, so a late reply to one of them matches no
     /// attempt.
     fn discard_calls(&mut self) {
-        self.setup.base += self.attempts.len() as u64;
+        self.setup.first_attempt += self.attempts.len() as u64;
         self.attempts.clear();
         self.timers.clear();
     }
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -158,7 +158,7 @@
         )));
     }
 
-    pub(super) fn setup(&self, base: u64) -> gather::Setup {
+    pub(super) fn setup(&self, first_attempt: u64) -> gather::Setup {
         gather::Setup {
             request: "r".parse().unwrap(),
             fingerprint: ids::Fingerprint(7),
@@ -171,8 +171,8 @@
             typical: time::Duration::from_millis(5),
             hedge_last: 0,
             policy: query::Policy::Full,
-            base,
-            seed: base ^ 99,
+            first_attempt,
+            seed: first_attempt ^ 99,
         }
     }
 
--- a/crates/geraniumgauge/src/query/router.rs
+++ b/crates/geraniumgauge/src/query/router.rs
@@ -47,7 +47,7 @@
 
 impl Router {
     /// Returns the number of the first attempt of a search.
-    pub(super) fn base(search: u64) -> u64 {
+    pub(super) fn first_attempt(search: u64) -> u64 {
         search << ATTEMPT_BITS
     }
 
