--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -317,7 +317,7 @@
                 return Some(gather::Event::Verdict(self.verdict(search)));
             }
             gather::Action::Completed => self.complete(search),
-            gather::Action::AskTrial(place) => {
+            gather::Action::RequestTrial(place) => {
                 let delay = self.rng.random_range(1_000..6_000);
                 self.after(delay, Event::Claim { search, place });
             }
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -133,7 +133,7 @@
     Completed,
     /// Request the isolated trial. [`Event::Granted`] or [`Event::Denied`] must
     /// follow.
-    AskTrial(trial::Place),
+    RequestTrial(trial::Place),
     /// The isolated trial has ended.
     EndTrial {
         /// The outcome.
--- a/crates/geraniumgauge/src/query/gather/suspect.rs
+++ b/crates/geraniumgauge/src/query/gather/suspect.rs
@@ -128,7 +128,7 @@
         self.trial.state = State::Requested;
         self.trial.target = Some((slot, position));
         let place = self.trial_place(slot, position);
-        self.outbox.actions.push(Action::AskTrial(place));
+        self.outbox.actions.push(Action::RequestTrial(place));
     }
 
     /// Describes the trial's upstream and its siblings.
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -227,7 +227,10 @@
     assert!(matches!(actions.as_slice(), [gather::Action::Lost { .. }]));
     let suspect = gather::Event::Verdict(quarantine::Verdict::Suspect);
     let actions = search.handle(suspect, world.now);
-    assert!(matches!(actions.as_slice(), [gather::Action::AskTrial(_)]));
+    assert!(matches!(
+        actions.as_slice(),
+        [gather::Action::RequestTrial(_)]
+    ));
     let answer = answer(search.handle(gather::Event::Denied(None), world.now)).unwrap();
     assert_eq!(answer.coverage.missing.len(), 20);
     let reasons = answer.coverage.missing.iter().map(|missing| missing.reason);
@@ -249,7 +252,7 @@
     let start = gather::Event::Start(quarantine::Verdict::Suspect);
     assert!(matches!(
         search.handle(start, now).as_slice(),
-        [gather::Action::AskTrial(_)]
+        [gather::Action::RequestTrial(_)]
     ));
     let down = vec![tracker::Down {
         upstream: "u-0-0".parse().unwrap(),
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -228,7 +228,7 @@
             gather::Action::Lost { .. } => {
                 return Some(gather::Event::Verdict(quarantine::Verdict::Clear));
             }
-            gather::Action::AskTrial(_) => return Some(gather::Event::Denied(None)),
+            gather::Action::RequestTrial(_) => return Some(gather::Event::Denied(None)),
             gather::Action::EndTrial { .. } | gather::Action::Completed => {}
             gather::Action::Replan => {
                 let plan = self.next_plan.clone().unwrap_or_else(|| self.plan.clone());
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -156,7 +156,7 @@
                     .quarantine
                     .completed(&context.service, context.fingerprint);
             }
-            gather::Action::AskTrial(place) => self.ask_trial(place),
+            gather::Action::RequestTrial(place) => self.request_trial(place),
             gather::Action::EndTrial { end, upstream } => {
                 if let Some(trial) = self.trial.take() {
                     trial.finish(end, upstream.as_ref());
@@ -214,7 +214,7 @@
     }
 
     /// Requests the trial in the background; the search continues meanwhile.
-    fn ask_trial(&self, place: trial::Place) {
+    fn request_trial(&self, place: trial::Place) {
         let quarantine = self.owner.quarantine.clone();
         let (service, fingerprint) = (self.context.service.clone(), self.context.fingerprint);
         let sender = self.sender.clone();
