--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -23,7 +23,6 @@
 use crate::quarantine::tracker;
 use crate::quarantine::trial;
 use crate::query;
-use crate::query::fleet;
 use crate::query::gather;
 use crate::query::plan;
 use crate::query::replica;
@@ -36,7 +35,7 @@
 struct Coordinator {
     tracker: tracker::Tracker,
     plan: sync::Arc<plan::Plan>,
-    fleet: sync::Arc<fleet::Fleet>,
+    upstreams: sync::Arc<query::upstreams::Upstreams>,
 }
 
 struct Search {
@@ -113,7 +112,7 @@
     resends: u32,
 }
 
-struct Source<'a>(&'a fleet::Fleet);
+struct Source<'a>(&'a query::upstreams::Upstreams);
 
 impl plan::Source for Source<'_> {
     fn homes(&mut self, _: &layout::Upstream) -> Vec<ids::Vm> {
@@ -156,11 +155,11 @@
     fn new(seed: u64, shards: usize, replicas: usize, coordinators: usize) -> Self {
         let layout = sync::Arc::new(layout(shards, replicas));
         let coordinator = |_| {
-            let fleet = fleet::Fleet::new(&document::Budgets::default());
+            let upstreams = query::upstreams::Upstreams::new(&document::Budgets::default());
             Coordinator {
                 tracker: tracker::Tracker::default(),
-                plan: sync::Arc::new(plan::Plan::new(&layout, &mut Source(&fleet))),
-                fleet: sync::Arc::new(fleet),
+                plan: sync::Arc::new(plan::Plan::new(&layout, &mut Source(&upstreams))),
+                upstreams: sync::Arc::new(upstreams),
             }
         };
         Self {
@@ -246,9 +245,9 @@
             first_attempt: (number as u64) << 20,
             seed: number as u64,
         };
-        state.fleet.earn(asked.len());
+        state.upstreams.earn(asked.len());
         let verdict = state.tracker.verdict(&service(), fingerprint, now.wall);
-        let gather = gather::Gather::new(setup, state.plan.clone(), asked, state.fleet.clone());
+        let gather = gather::Gather::new(setup, state.plan.clone(), asked, state.upstreams.clone());
         self.searches.push(Search {
             coordinator,
             fingerprint,
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -51,7 +51,7 @@
         let asked = asked(&plan, search.shards.as_deref())?;
         let time_left = search.time_left.unwrap_or(document.deadline);
         let time_left = time_left.min(document.max_deadline);
-        let typical = state.fleet.typical().unwrap_or(DEFAULT_CALL_TIME);
+        let typical = state.upstreams.typical().unwrap_or(DEFAULT_CALL_TIME);
         if time_left <= typical {
             let message = format!(
                 "a shard call typically takes {typical:?}, but only {time_left:?} is left; \
@@ -74,7 +74,7 @@
         };
         let (sender, inbox) = mpsc::unbounded_channel();
         let number = self.next_search.fetch_add(1, atomic::Ordering::Relaxed);
-        let hedge_after = state.fleet.hedge_after();
+        let hedge_after = state.upstreams.hedge_after();
         let setup = gather::Setup {
             request: context.request.clone(),
             fingerprint,
@@ -92,11 +92,11 @@
             first_attempt: router::Router::first_attempt(number),
             seed: number ^ started.0 ^ fingerprint.0,
         };
-        state.fleet.earn(asked.len());
+        state.upstreams.earn(asked.len());
         self.router.add(number, sender.clone());
         Ok(task::Task {
             owner: self.clone(),
-            gather: gather::Gather::new(setup, plan, asked, state.fleet.clone()),
+            gather: gather::Gather::new(setup, plan, asked, state.upstreams.clone()),
             state,
             document,
             context,
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -181,7 +181,7 @@
         }
         if self.setup.policy == query::Policy::Direct {
             let count = eligible.count_ones() as usize;
-            return (count > 0).then(|| nth(eligible, self.fleet.next_turn() % count));
+            return (count > 0).then(|| nth(eligible, self.upstreams.next_turn() % count));
         }
         let candidates = if healthy == 0 { eligible } else { healthy };
         let (first, second) = pick_two(&mut self.rng, candidates)?;
@@ -236,7 +236,7 @@
         if self.queue_is_long(slot, position, now) {
             return;
         }
-        if !self.fleet.spend_hedge() {
+        if !self.upstreams.spend_hedge() {
             self.counts.hedges_refused += 1;
             let retry_at = now + self.setup.hedge_after.max(MIN_HEDGE_DELAY);
             self.timers
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -318,7 +318,7 @@
         now: clock::Moment,
     ) {
         let direct = self.setup.policy == query::Policy::Direct;
-        if direct || self.fleet.spend_retry() {
+        if direct || self.upstreams.spend_retry() {
             self.send(slot, position, message::Kind::Retry, avoid, now);
             return;
         }
--- a/crates/geraniumgauge/src/query/gather/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/mod.rs
@@ -37,14 +37,14 @@
 use crate::mesh::message;
 use crate::quarantine;
 use crate::query;
-use crate::query::fleet;
 use crate::query::plan;
+use crate::query::upstreams;
 use crate::time as clock;
 
 /// The state of one search.
 pub struct Gather {
     setup: Setup,
-    fleet: sync::Arc<fleet::Fleet>,
+    upstreams: sync::Arc<upstreams::Upstreams>,
     plan: sync::Arc<plan::Plan>,
     /// The requested shards, as indexes into the plan; parallel to `slots`.
     asked: Vec<u32>,
@@ -111,7 +111,7 @@
         setup: Setup,
         plan: sync::Arc<plan::Plan>,
         asked: Vec<u32>,
-        fleet: sync::Arc<fleet::Fleet>,
+        upstreams: sync::Arc<upstreams::Upstreams>,
     ) -> Self {
         let rng = rand::rngs::SmallRng::seed_from_u64(setup.seed);
         let mut gather = Self {
@@ -136,7 +136,7 @@
             outbox: calls::Outbox::default(),
             rng,
             setup,
-            fleet,
+            upstreams,
             plan,
             asked,
         };
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -8,8 +8,8 @@
 use crate::quarantine;
 use crate::quarantine::tracker;
 use crate::query;
-use crate::query::fleet;
 use crate::query::gather;
+use crate::query::upstreams;
 
 fn all_shards(world: &world::World) -> Vec<u32> {
     (0..world.plan.shards.len() as u32).collect()
@@ -20,7 +20,7 @@
         setup,
         world.plan.clone(),
         all_shards(world),
-        world.fleet.clone(),
+        world.upstreams.clone(),
     )
 }
 
@@ -181,7 +181,7 @@
         },
     );
     learn_versions(&world);
-    while world.fleet.spend_retry() {}
+    while world.upstreams.spend_retry() {}
     let setup = world.setup(1 << 20);
     let counts = world.run(setup);
     assert_eq!(counts.retries, 0);
@@ -281,7 +281,7 @@
 fn a_call_moves_to_another_home_without_budget_only_once() {
     let world = world::World::new(11, 4, 1, world::NO_FAULTS);
     learn_versions(&world);
-    while world.fleet.spend_retry() {}
+    while world.upstreams.spend_retry() {}
     let mut search = search(&world, world.setup(1 << 20));
     let start = gather::Event::Start(quarantine::Verdict::Clear);
     let mut actions = search.handle(start, world.now);
@@ -345,8 +345,8 @@
 fn budgets_start_full_and_no_fuller() {
     let world = world::World::new(13, 1, 1, world::NO_FAULTS);
     let mut paid = 0.0;
-    while world.fleet.spend_hedge() {
+    while world.upstreams.spend_hedge() {
         paid += 1.0;
     }
-    assert!(paid <= fleet::MAX_HEDGE_TOKENS);
+    assert!(paid <= upstreams::MAX_HEDGE_TOKENS);
 }
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -5,8 +5,8 @@
 
 use super::world;
 use crate::query;
-use crate::query::fleet;
 use crate::query::gather;
+use crate::query::upstreams;
 
 const ALL_FAULTS: world::Faults = world::Faults {
     bad: 15,
@@ -90,8 +90,8 @@
         let (world, counts) = run(seed);
         let earned = shards as f64 * 0.05;
         let sent = world.sent.len() as u64;
-        counts.hedges as f64 <= fleet::MAX_HEDGE_TOKENS + earned
-            && counts.retries as f64 <= fleet::MAX_RETRY_TOKENS + earned
+        counts.hedges as f64 <= upstreams::MAX_HEDGE_TOKENS + earned
+            && counts.retries as f64 <= upstreams::MAX_RETRY_TOKENS + earned
             && counts.first <= shards as u64
             && counts.moved <= 3 * (shards as u64 + 2)
             && counts.restarts <= 2
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -15,10 +15,10 @@
 use crate::mesh::message::Outcome;
 use crate::quarantine;
 use crate::query;
-use crate::query::fleet;
 use crate::query::gather;
 use crate::query::plan;
 use crate::query::replica;
+use crate::query::upstreams;
 use crate::time as clock;
 
 /// Which faults the simulation injects.
@@ -49,7 +49,7 @@
 };
 
 pub(super) struct World {
-    pub(super) fleet: sync::Arc<fleet::Fleet>,
+    pub(super) upstreams: sync::Arc<upstreams::Upstreams>,
     pub(super) plan: sync::Arc<plan::Plan>,
     /// The plan after a repartition, returned for `Action::Replan`.
     pub(super) next_plan: Option<sync::Arc<plan::Plan>>,
@@ -80,7 +80,7 @@
     }
 }
 
-struct Source<'a>(&'a fleet::Fleet);
+struct Source<'a>(&'a upstreams::Upstreams);
 
 impl plan::Source for Source<'_> {
     fn homes(&mut self, upstream: &layout::Upstream) -> Vec<ids::Vm> {
@@ -123,16 +123,16 @@
 
 impl World {
     pub(super) fn new(seed: u64, shards: usize, replicas: usize, faults: Faults) -> Self {
-        let fleet = fleet::Fleet::new(&document::Budgets::default());
+        let upstreams = upstreams::Upstreams::new(&document::Budgets::default());
         let layout = sync::Arc::new(layout(1, shards, replicas));
-        let plan = plan::Plan::new(&layout, &mut Source(&fleet));
+        let plan = plan::Plan::new(&layout, &mut Source(&upstreams));
         let ranges = layout
             .upstreams
             .iter()
             .map(|up| (up.id.to_string(), (1, 5)));
         Self {
             plan: sync::Arc::new(plan),
-            fleet: sync::Arc::new(fleet),
+            upstreams: sync::Arc::new(upstreams),
             next_plan: None,
             rng: rand::rngs::StdRng::seed_from_u64(seed),
             ranges: ranges.collect(),
@@ -154,7 +154,7 @@
         }
         self.next_plan = Some(sync::Arc::new(plan::Plan::new(
             &layout,
-            &mut Source(&self.fleet),
+            &mut Source(&self.upstreams),
         )));
     }
 
@@ -179,8 +179,9 @@
     /// Runs one search to its answer, then delivers the remaining replies.
     pub(super) fn run(&mut self, setup: gather::Setup) -> gather::Counts {
         let asked: Vec<u32> = (0..self.plan.shards.len() as u32).collect();
-        self.fleet.earn(asked.len());
-        let mut search = gather::Gather::new(setup, self.plan.clone(), asked, self.fleet.clone());
+        self.upstreams.earn(asked.len());
+        let mut search =
+            gather::Gather::new(setup, self.plan.clone(), asked, self.upstreams.clone());
         self.handle(
             &mut search,
             gather::Event::Start(quarantine::Verdict::Clear),
--- a/crates/geraniumgauge/src/query/mod.rs
+++ b/crates/geraniumgauge/src/query/mod.rs
@@ -1,12 +1,12 @@
 //! Runs searches over many index shards. Every answer is taken from one snapshot,
 //! states its coverage correctly and meets its deadline.
 
-pub mod fleet;
 pub mod gather;
 pub mod merge;
 pub mod plan;
 pub mod replica;
 pub mod times;
+pub mod upstreams;
 pub mod version;
 
 pub mod admission;
--- a/crates/geraniumgauge/src/query/state.rs
+++ b/crates/geraniumgauge/src/query/state.rs
@@ -8,16 +8,16 @@
 use crate::layout;
 use crate::member;
 use crate::query::admission;
-use crate::query::fleet;
 use crate::query::links;
 use crate::query::plan;
 use crate::query::replica;
+use crate::query::upstreams;
 
 /// The state of one service.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) service: ids::Service,
-    pub(super) fleet: sync::Arc<fleet::Fleet>,
+    pub(super) upstreams: sync::Arc<upstreams::Upstreams>,
     pub(super) admission: sync::Mutex<admission::Limit>,
     plan: sync::Mutex<Option<CachedPlan>>,
 }
@@ -43,7 +43,7 @@
     pub(super) fn new(service: ids::Service, budgets: &document::Budgets) -> Self {
         Self {
             service,
-            fleet: sync::Arc::new(fleet::Fleet::new(budgets)),
+            upstreams: sync::Arc::new(upstreams::Upstreams::new(budgets)),
             admission: sync::Mutex::default(),
             plan: sync::Mutex::default(),
         }
@@ -67,7 +67,7 @@
         }
         let earlier = cached_plan.as_ref().map(|cached| cached.generation);
         if earlier != Some(in_force.generation) {
-            self.fleet.set_budgets(&in_force.document.budgets);
+            self.upstreams.set_budgets(&in_force.document.budgets);
         }
         let source = Source {
             state: self,
@@ -76,7 +76,7 @@
             links,
         };
         let plan = sync::Arc::new(plan::Plan::new(&in_force.layout, &mut { source }));
-        self.fleet
+        self.upstreams
             .retain(|upstream| in_force.layout.upstream(upstream).is_some());
         *cached_plan = Some(CachedPlan {
             generation: in_force.generation,
@@ -106,7 +106,7 @@
     }
 
     fn stats(&mut self, upstream: &ids::Upstream) -> sync::Arc<replica::Stats> {
-        self.state.fleet.stats(upstream)
+        self.state.upstreams.stats(upstream)
     }
 
     fn link(&mut self, vm: &ids::Vm) -> sync::Arc<plan::Link> {
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -250,7 +250,7 @@
         }
         let call_times = self.gather.call_times();
         self.state
-            .fleet
+            .upstreams
             .record_call_times(call_times, &self.document.budgets, now);
         let mut missing = collections::BTreeMap::new();
         for shard in &answer.coverage.missing {
--- a/crates/geraniumgauge/src/query/fleet.rs
+++ b/crates/geraniumgauge/src/query/upstreams.rs
@@ -22,7 +22,7 @@
 /// State that the searches of one service share. Locks are held briefly, per
 /// search or extra call but never per reply.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Upstreams {
     hedge: sync::Mutex<rate::Budget>,
     retry: sync::Mutex<rate::Budget>,
     times: sync::Mutex<times::Times>,
@@ -32,7 +32,7 @@
     replicas: sync::Mutex<collections::HashMap<ids::Upstream, sync::Arc<replica::Stats>>>,
 }
 
-impl Fleet {
+impl Upstreams {
     /// Creates full budgets with the given shares, and no measured times.
     pub fn new(budgets: &document::Budgets) -> Self {
         Self {
