--- a/crates/geraniumgauge/src/query/service.rs
+++ b/crates/geraniumgauge/src/query/service.rs
@@ -149,7 +149,7 @@
     }
 
     /// Handles the loss of the link to a VM.
-    pub fn lost(&self, vm: &ids::Vm) {
+    pub fn link_lost(&self, vm: &ids::Vm) {
         self.inner.links.get(vm).record_loss(self.inner.clock.now());
         self.inner
             .router
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -71,7 +71,7 @@
             return;
         };
         targets.home.link_lost(vm);
-        targets.query.lost(vm);
+        targets.query.link_lost(vm);
         targets.ledger.lost(vm);
     }
 }
