--- a/crates/geraniumgauge/src/query/admission.rs
+++ b/crates/geraniumgauge/src/query/admission.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records the end of one search and adapts the limit: additive increase while
-    /// at least half of it is used, multiplicative decrease on congestion.
+    /// more than half of it is used, multiplicative decrease on congestion.
     pub fn finish(&mut self, load: Load, now: clock::Moment) {
         let used = f64::from(self.running) * 2.0 > self.limit;
         self.running = self.running.saturating_sub(1);
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Reduces the limit, unless it was reduced a moment ago.
     fn reduce_limit(&mut self, now: clock::Moment) {
         if self
             .last_decrease
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -48,15 +48,12 @@
         let document = in_force.document.clone();
         let state = self.service_state(&search.service, &document.budgets);
         let plan = self.plan_of(&state, &in_force);
-        let asked = asked(&plan, search.shards.as_deref())?;
+        let requested = requested_shards(&plan, search.shards.as_deref())?;
         let time_left = search.time_left.unwrap_or(document.deadline);
         let time_left = time_left.min(document.max_deadline);
         let typical = state.upstreams.typical().unwrap_or(DEFAULT_CALL_TIME);
         if time_left <= typical {
-            let message = format!(
-                "a shard call typically takes {typical:?}, but only {time_left:?} is left; \
-                 allow more time"
-            );
+            let message = format!("a shard call takes {typical:?}; allow more than {time_left:?}");
             return Err(query::Refusal::not_run(query::Code::Deadline, message));
         }
         let body = body(&search)?;
@@ -80,23 +77,23 @@
             fingerprint,
             limit: search.limit as usize,
             deadline: context.deadline,
-            soft_deadline: gather::SoftDeadline::of(&document, asked.len(), started),
+            soft_deadline: gather::SoftDeadline::of(&document, requested.len(), started),
             subset: search.shards.is_some(),
-            canary: self.canary(&context, &document.limits, asked.len()),
+            canary: self.canary(&context, &document.limits, requested.len()),
             hedge_after: hedge_after
                 .unwrap_or(time_left / DEFAULT_HEDGE_DIVISOR)
                 .max(MIN_HEDGE_AFTER),
-            hedge_last: hedge_last(&document.budgets, asked.len()),
+            hedge_last: hedge_last(&document.budgets, requested.len()),
             typical,
             policy: self.config.policy,
             first_attempt: router::Router::first_attempt(number),
             seed: number ^ started.0 ^ fingerprint.0,
         };
-        state.upstreams.earn(asked.len());
+        state.upstreams.earn(requested.len());
         self.router.add(number, sender.clone());
         Ok(task::Task {
             owner: self.clone(),
-            gather: gather::Gather::new(setup, plan, asked, state.upstreams.clone()),
+            gather: gather::Gather::new(setup, plan, requested, state.upstreams.clone()),
             state,
             document,
             context,
@@ -228,22 +225,25 @@
 }
 
 /// Returns the number of last shards to hedge early: half of what the hedge
-/// budget earns with `asked` shards. The other half is left for calls that reach
-/// their hedge point first.
-fn hedge_last(budgets: &document::Budgets, asked: usize) -> usize {
-    (budgets.hedge.get() * asked as f64 / 2.0) as usize
+/// budget earns with `requested` shards. The other half is left for calls that
+/// reach their hedge point first.
+fn hedge_last(budgets: &document::Budgets, requested: usize) -> usize {
+    (budgets.hedge.get() * requested as f64 / 2.0) as usize
 }
 
 /// Returns the plan's indexes of the requested shards, without duplicates.
-fn asked(plan: &plan::Plan, named: Option<&[ids::Shard]>) -> Result<Vec<u32>, query::Refusal> {
+fn requested_shards(
+    plan: &plan::Plan,
+    named: Option<&[ids::Shard]>,
+) -> Result<Vec<u32>, query::Refusal> {
     let Some(named) = named else {
         return Ok((0..plan.shards.len() as u32).collect());
     };
-    let mut asked = Vec::with_capacity(named.len());
+    let mut requested = Vec::with_capacity(named.len());
     let mut unknown = Vec::new();
     for name in named {
         match plan.position(name) {
-            Some(shard) => asked.push(shard),
+            Some(shard) => requested.push(shard),
             None => unknown.push(name.as_str()),
         }
     }
@@ -252,9 +252,9 @@
         let message = format!("layout {} has no shard {names}", plan.layout.version);
         return Err(query::Refusal::not_run(query::Code::NotFound, message));
     }
-    asked.sort_unstable();
-    asked.dedup();
-    Ok(asked)
+    requested.sort_unstable();
+    requested.dedup();
+    Ok(requested)
 }
 
 /// The request body that upstreams receive.
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -56,16 +56,16 @@
 }
 
 impl SoftDeadline {
-    /// Returns the latency objective of `document` for a search of `asked`
+    /// Returns the latency objective of `document` for a search of `requested`
     /// shards that starts at `now`; `None` under the coverage objective.
-    pub fn of(document: &document::Document, asked: usize, now: clock::Moment) -> Option<Self> {
+    pub fn of(document: &document::Document, requested: usize, now: clock::Moment) -> Option<Self> {
         if document.objective != document::Objective::Latency {
             return None;
         }
-        let min_covered = (document.min_coverage.get() * asked as f64).ceil() as usize;
+        let min_covered = (document.min_coverage.get() * requested as f64).ceil() as usize;
         Some(Self {
             at: now + document.latency_target,
-            min_covered: min_covered.clamp(1, asked.max(1)),
+            min_covered: min_covered.clamp(1, requested.max(1)),
         })
     }
 }
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -43,7 +43,7 @@
             self.reply_after_cancel(attempt, reply.outcome());
             return;
         }
-        replica.stats.learn(&reply, now);
+        replica.stats.record_reply(&reply, now);
         let outcome = reply.outcome();
         if outcome != Outcome::Hits {
             let after = time::Duration::from_micros(reply.retry_after_us);
@@ -77,7 +77,7 @@
     }
 
     /// Reads the hits of a reply; `None` if it is malformed or of another shard,
-    /// layout or index version than asked for.
+    /// layout or index version than requested.
     fn hits(&self, attempt: u32, reply: &message::Reply) -> Option<merge::Found> {
         let called = &self.attempts[attempt as usize];
         let shard = &self.plan.shard(self.slots[called.slot as usize].shard).id;
@@ -267,7 +267,7 @@
     /// Chooses the index version again after a replica reported its range, and
     /// returns whether it changed. No hits may have been collected yet.
     fn repin(&mut self, now: clock::Moment) -> bool {
-        let pick = query::version::pick(&self.plan, &self.asked, now);
+        let pick = query::version::pick(&self.plan, &self.requested, now);
         let pin = pick.map(|pick| pick.version);
         std::mem::replace(&mut self.pin, pin) != pin
     }
--- a/crates/geraniumgauge/src/query/gather/homes.rs
+++ b/crates/geraniumgauge/src/query/gather/homes.rs
@@ -22,7 +22,7 @@
     }
 
     /// Adopts the VMs of a new plan. Known VMs keep their numbers.
-    pub(super) fn follow(&mut self, plan: &plan::Plan) {
+    pub(super) fn adopt(&mut self, plan: &plan::Plan) {
         self.numbers.clear();
         for vm in &plan.vms {
             let known = self.names.iter().position(|name| *name == vm.id);
@@ -39,10 +39,12 @@
         self.numbers[vm as usize]
     }
 
+    /// Returns the name of the VM with a number.
     pub(super) fn name(&self, number: u32) -> &ids::Vm {
         &self.names[number as usize]
     }
 
+    /// Returns the number of the VM with a name, if it has one.
     pub(super) fn find(&self, name: &ids::Vm) -> Option<u32> {
         let at = self.names.iter().position(|known| known == name);
         at.map(|at| at as u32)
--- a/crates/geraniumgauge/src/query/gather/lead.rs
+++ b/crates/geraniumgauge/src/query/gather/lead.rs
@@ -128,8 +128,8 @@
     fn unsent_slots(&self, replica: u32) -> impl Iterator<Item = u32> {
         let shards = self.plan.replica(replica).shards.iter();
         let slots = shards.map(|shard| self.slot_of[*shard as usize]);
-        let asked = slots.filter(|slot| *slot != super::NO_SLOT);
-        asked.filter(|slot| matches!(self.slots[*slot as usize].state, slot::State::Unsent))
+        let requested = slots.filter(|slot| *slot != super::NO_SLOT);
+        requested.filter(|slot| matches!(self.slots[*slot as usize].state, slot::State::Unsent))
     }
 
     /// Returns whether `replica` lacks the pinned version, is down or is avoided.
--- a/crates/geraniumgauge/src/query/gather/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/mod.rs
@@ -47,7 +47,7 @@
     upstreams: sync::Arc<upstreams::Upstreams>,
     plan: sync::Arc<plan::Plan>,
     /// The requested shards, as indexes into the plan; parallel to `slots`.
-    asked: Vec<u32>,
+    requested: Vec<u32>,
     slots: Vec<slot::Slot>,
     /// The slot of each shard of the plan; `NO_SLOT` for shards not requested.
     slot_of: Vec<u32>,
@@ -105,21 +105,21 @@
 const NO_SLOT: u32 = u32::MAX;
 
 impl Gather {
-    /// Creates a search over the `asked` shards of `plan`. Nothing is sent
+    /// Creates a search over the `requested` shards of `plan`. Nothing is sent
     /// before [`Event::Start`].
     pub fn new(
         setup: Setup,
         plan: sync::Arc<plan::Plan>,
-        asked: Vec<u32>,
+        requested: Vec<u32>,
         upstreams: sync::Arc<upstreams::Upstreams>,
     ) -> Self {
         let rng = rand::rngs::SmallRng::seed_from_u64(setup.seed);
         let mut gather = Self {
             slots: Vec::new(),
             slot_of: Vec::new(),
-            attempts: Vec::with_capacity(asked.len() + asked.len() / 8),
-            timers: collections::BinaryHeap::with_capacity(asked.len()),
-            call_times: Vec::with_capacity(asked.len()),
+            attempts: Vec::with_capacity(requested.len() + requested.len() / 8),
+            timers: collections::BinaryHeap::with_capacity(requested.len()),
+            call_times: Vec::with_capacity(requested.len()),
             pin: None,
             phase: Phase::Lead { leads: 0 },
             verdict: quarantine::Verdict::Clear,
@@ -138,7 +138,7 @@
             setup,
             upstreams,
             plan,
-            asked,
+            requested,
         };
         gather.assign_slots();
         gather
@@ -209,15 +209,15 @@
 
     fn assign_slots(&mut self) {
         self.slot_of = vec![NO_SLOT; self.plan.shards.len()];
-        for (slot, shard) in self.asked.iter().enumerate() {
+        for (slot, shard) in self.requested.iter().enumerate() {
             self.slot_of[*shard as usize] = slot as u32;
         }
         let slot = |shard: &u32| slot::Slot::new(*shard);
-        self.slots = self.asked.iter().map(slot).collect();
+        self.slots = self.requested.iter().map(slot).collect();
     }
 
     fn start(&mut self, verdict: quarantine::Verdict, now: clock::Moment) {
-        self.pin = query::version::pick(&self.plan, &self.asked, now).map(|pick| pick.version);
+        self.pin = query::version::pick(&self.plan, &self.requested, now).map(|pick| pick.version);
         match verdict {
             quarantine::Verdict::Quarantined => self.verdict_changed(verdict, now),
             quarantine::Verdict::Suspect => self.verdict = verdict,
@@ -228,7 +228,7 @@
     /// Sends the first lead call, or starts the fan-out if none is needed.
     fn begin(&mut self, now: clock::Moment) {
         let lead = self.pin.is_none() || self.setup.canary;
-        if lead && self.covered == 0 && self.asked.len() > 1 {
+        if lead && self.covered == 0 && self.requested.len() > 1 {
             self.send_lead(now);
         } else {
             self.start_fan_out(now);
--- a/crates/geraniumgauge/src/query/gather/restart.rs
+++ b/crates/geraniumgauge/src/query/gather/restart.rs
@@ -65,7 +65,7 @@
             return;
         }
         if plan.layout.version == self.plan.layout.version {
-            self.homes.follow(&plan);
+            self.homes.adopt(&plan);
             self.plan = plan;
         }
         for slot in 0..self.slots.len() as u32 {
@@ -93,24 +93,27 @@
         {
             return false;
         }
-        let Some(asked) = self.asked_in(plan) else {
+        let Some(requested) = self.requested_in(plan) else {
             return false;
         };
-        let Some(pick) = version::pick(plan, &asked, now) else {
+        let Some(pick) = version::pick(plan, &requested, now) else {
             return false;
         };
         let same = plan.layout.version == self.plan.layout.version;
         let other = !same || Some(pick.version) != self.pin;
-        other && pick.covers * self.slots.len() > possible * asked.len()
+        other && pick.covers * self.slots.len() > possible * requested.len()
     }
 
     /// Returns the requested shards as indexes into another plan; `None` if the
     /// caller listed one that this plan lacks.
-    fn asked_in(&self, plan: &plan::Plan) -> Option<Vec<u32>> {
+    fn requested_in(&self, plan: &plan::Plan) -> Option<Vec<u32>> {
         if !self.setup.subset {
             return Some((0..plan.shards.len() as u32).collect());
         }
-        let names = self.asked.iter().map(|shard| &self.plan.shard(*shard).id);
+        let names = self
+            .requested
+            .iter()
+            .map(|shard| &self.plan.shard(*shard).id);
         names.map(|name| plan.position(name)).collect()
     }
 
@@ -118,16 +121,16 @@
     /// two pins in one answer could show a record twice, or miss both its old
     /// and its new form.
     fn restart_with(&mut self, plan: sync::Arc<plan::Plan>, now: clock::Moment) {
-        let Some(asked) = self.asked_in(&plan) else {
+        let Some(requested) = self.requested_in(&plan) else {
             return;
         };
         self.cancel_all();
         self.outbox.flush(self.pin, &self.plan, &self.homes);
         self.discard_calls();
-        self.homes.follow(&plan);
-        self.pin = version::pick(&plan, &asked, now).map(|pick| pick.version);
+        self.homes.adopt(&plan);
+        self.pin = version::pick(&plan, &requested, now).map(|pick| pick.version);
         self.plan = plan;
-        self.asked = asked;
+        self.requested = requested;
         self.assign_slots();
         self.restart.count += 1;
         self.counts.restarts += 1;
--- a/crates/geraniumgauge/src/query/gather/suspect.rs
+++ b/crates/geraniumgauge/src/query/gather/suspect.rs
@@ -63,10 +63,11 @@
 }
 
 impl Gather {
-    /// Handles the present verdict.
+    /// Handles the present verdict. An unchanged one matters only if this search
+    /// was waiting for it.
     pub(super) fn verdict_changed(&mut self, verdict: Verdict, now: clock::Moment) {
-        let own = std::mem::take(&mut self.verdict_pending);
-        if verdict == self.verdict && !own {
+        let was_pending = std::mem::take(&mut self.verdict_pending);
+        if verdict == self.verdict && !was_pending {
             return;
         }
         self.verdict = verdict;
@@ -115,8 +116,8 @@
 
     /// Requests a trial if time and the request limit permit.
     fn request_trial(&mut self, now: clock::Moment) {
-        let room = now + self.setup.typical * MIN_CALLS_LEFT < self.setup.deadline;
-        if !room || self.trial.requests >= MAX_TRIAL_REQUESTS {
+        let has_time = now + self.setup.typical * MIN_CALLS_LEFT < self.setup.deadline;
+        if !has_time || self.trial.requests >= MAX_TRIAL_REQUESTS {
             self.give_up_trial();
             return;
         }
@@ -151,6 +152,7 @@
         self.plan.shard(shard).replicas[position]
     }
 
+    /// Requests the trial again after the delay.
     pub(super) fn trial_due(&mut self, now: clock::Moment) {
         if self.trial.state == State::Waiting {
             self.trial.state = State::Idle;
@@ -158,6 +160,7 @@
         }
     }
 
+    /// Handles a denied trial: retries after the given delay, or gives up.
     pub(super) fn trial_denied(&mut self, after: Option<time::Duration>, now: clock::Moment) {
         if self.trial.state != State::Requested {
             return;
@@ -186,8 +189,8 @@
         for slot in 0..self.slots.len() as u32 {
             let state = &self.slots[slot as usize].state;
             let held = matches!(state, slot::State::Held);
-            let over = self.slots[slot as usize].is_final();
-            if held || (leads && !over) {
+            let is_final = self.slots[slot as usize].is_final();
+            if held || (leads && !is_final) {
                 self.give_up(slot, query::Reason::Quarantined);
             }
         }
@@ -236,8 +239,8 @@
             self.siblings_up(replica, &[]) && self.ready(replica, now)
         };
         let rank = |(slot, position): &(u32, usize)| {
-            let held = &self.slots[*slot as usize];
-            let covered = held.is_final() || !held.open().is_empty();
+            let entry = &self.slots[*slot as usize];
+            let covered = entry.is_final() || !entry.open().is_empty();
             let replica = self.replica_at(*slot, *position);
             (covered, self.rank(self.plan.replica(replica).id.as_str()))
         };
@@ -271,6 +274,7 @@
         several && siblings.all(up)
     }
 
+    /// Handles a completed trial, which clears the request.
     pub(super) fn trial_completed(&mut self, upstream: ids::Upstream, now: clock::Moment) {
         self.end_trial(trial::End::Completed, Some(upstream));
         self.trial.state = State::Idle;
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -57,7 +57,7 @@
             newest: 5,
             ..message::Reply::default()
         };
-        replica.stats.learn(&reply, world.now);
+        replica.stats.record_reply(&reply, world.now);
     }
 }
 
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -178,10 +178,10 @@
 
     /// Runs one search to its answer, then delivers the remaining replies.
     pub(super) fn run(&mut self, setup: gather::Setup) -> gather::Counts {
-        let asked: Vec<u32> = (0..self.plan.shards.len() as u32).collect();
-        self.upstreams.earn(asked.len());
+        let requested: Vec<u32> = (0..self.plan.shards.len() as u32).collect();
+        self.upstreams.earn(requested.len());
         let mut search =
-            gather::Gather::new(setup, self.plan.clone(), asked, self.upstreams.clone());
+            gather::Gather::new(setup, self.plan.clone(), requested, self.upstreams.clone());
         self.handle(
             &mut search,
             gather::Event::Start(quarantine::Verdict::Clear),
--- a/crates/geraniumgauge/src/query/replica.rs
+++ b/crates/geraniumgauge/src/query/replica.rs
@@ -134,8 +134,8 @@
         u64::from(self.outstanding() + 1) * call_time.max(1) * self.penalty(now)
     }
 
-    /// Returns the load factor for the share of failed calls. It fades with time,
-    /// otherwise an abandoned replica would never be called again.
+    /// Returns the load factor for the share of failed calls. It fades with time;
+    /// otherwise a replica that is no longer chosen would never be called again.
     fn penalty(&self, now: clock::Moment) -> u64 {
         let age = now.since(clock::Moment(self.last_failure.load(ORDER)));
         let left = FAILURE_FADE_TIME.saturating_sub(age).as_micros() as u64;
@@ -173,8 +173,8 @@
     /// Returns the offered versions; `None` if they aren't known or have expired.
     pub fn range(&self, now: clock::Moment) -> Option<Range> {
         let newest = self.newest.load(ORDER);
-        let ranged = clock::Moment(self.range_updated.load(ORDER));
-        let known = newest > 0 && now.since(ranged) < RANGE_TTL;
+        let updated = clock::Moment(self.range_updated.load(ORDER));
+        let known = newest > 0 && now.since(updated) < RANGE_TTL;
         known.then(|| Range {
             oldest: ids::IndexVersion(self.oldest.load(ORDER)),
             newest: ids::IndexVersion(newest),
@@ -182,7 +182,7 @@
     }
 
     /// Updates version range and queue wait from a reply.
-    pub fn learn(&self, reply: &message::Reply, now: clock::Moment) {
+    pub fn record_reply(&self, reply: &message::Reply, now: clock::Moment) {
         if reply.newest > 0 {
             self.oldest.store(reply.oldest, ORDER);
             self.newest.store(reply.newest, ORDER);
@@ -205,7 +205,7 @@
         self.times_updated.store(now.0, ORDER);
     }
 
-    /// Records a good reply.
+    /// Records a valid reply: the replica is up again if it was lost.
     pub fn record_success(&self, now: clock::Moment) {
         self.last_answer.store(now.0, ORDER);
         if self.failure_share.load(ORDER) > 0 {
--- a/crates/geraniumgauge/src/query/times.rs
+++ b/crates/geraniumgauge/src/query/times.rs
@@ -8,7 +8,7 @@
 /// Minimum number of recorded calls for a quantile.
 const MIN_SAMPLES: u64 = 64;
 /// Time that one histogram is filled before it becomes the old one.
-const WINDOW: time::Duration = time::Duration::from_secs(5);
+const HISTOGRAM_WINDOW: time::Duration = time::Duration::from_secs(5);
 /// Minimum time between two computations of the quantiles.
 const REFRESH_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Longest call time that the histograms distinguish, in microseconds.
@@ -48,7 +48,7 @@
 impl Times {
     /// Records call times.
     pub fn record(&mut self, call_times: &[time::Duration], now: clock::Moment) {
-        if now.since(self.since) > WINDOW {
+        if now.since(self.since) > HISTOGRAM_WINDOW {
             self.previous = std::mem::replace(&mut self.current, empty());
             self.since = now;
         }
--- a/crates/geraniumgauge/src/query/upstreams.rs
+++ b/crates/geraniumgauge/src/query/upstreams.rs
@@ -26,8 +26,11 @@
     hedge: sync::Mutex<rate::Budget>,
     retry: sync::Mutex<rate::Budget>,
     times: sync::Mutex<times::Times>,
+    /// Hedge point in microseconds; zero until measured.
     hedge_after: atomic::AtomicU64,
+    /// Median call time in microseconds; zero until measured.
     typical: atomic::AtomicU64,
+    /// Counter of the round robin.
     turn: atomic::AtomicUsize,
     replicas: sync::Mutex<collections::HashMap<ids::Upstream, sync::Arc<replica::Stats>>>,
 }
