--- a/crates/geraniumgauge/src/document/catalog.rs
+++ b/crates/geraniumgauge/src/document/catalog.rs
@@ -1,4 +1,4 @@
-//! What is in force on this VM: accepted documents and layouts by service.
+//! The accepted documents and layouts that are in force on this VM.
 
 use std::collections;
 use std::sync;
@@ -7,7 +7,7 @@
 use crate::ids;
 use crate::layout;
 
-/// What holds for one service right now.
+/// The document and layout in force for one service.
 #[derive(Debug, Clone)]
 pub struct InForce {
     /// Generation of the accepted document.
@@ -19,8 +19,8 @@
 }
 
 /// Documents and layouts in force; clones share one state. Generations and
-/// layout versions only grow: an older one, from a lagging peer or a store
-/// restored to an earlier state, changes nothing.
+/// layout versions only grow: an older one from a lagging peer, or from a store
+/// that was set back, is ignored.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
     services: sync::Arc<sync::RwLock<Services>>,
@@ -47,13 +47,12 @@
 }
 
 impl Catalog {
-    /// What is in force for `service`; `None` until both its document and its
-    /// layout are known.
+    /// Returns the document and layout of `service`; `None` until both are known.
     pub fn get(&self, service: &ids::Service) -> Option<InForce> {
         self.read().get(service)?.in_force()
     }
 
-    /// The document in force, whether or not a layout is known.
+    /// Returns the document in force, whether or not a layout is known.
     pub fn document(
         &self,
         service: &ids::Service,
@@ -61,12 +60,12 @@
         self.read().get(service)?.document.clone()
     }
 
-    /// The layout in force, whether or not a document is known.
+    /// Returns the layout in force, whether or not a document is known.
     pub fn layout(&self, service: &ids::Service) -> Option<layout::Shared> {
         self.read().get(service)?.layout.clone()
     }
 
-    /// Every service that has both a document and a layout.
+    /// Returns every service that has both a document and a layout.
     pub fn all(&self) -> Vec<(ids::Service, InForce)> {
         let services = self.read();
         let known = services
@@ -75,7 +74,8 @@
         known.collect()
     }
 
-    /// Puts a document in force where its generation is higher than the present one.
+    /// Puts a document in force if its generation is higher than the present one;
+    /// returns whether it was.
     pub fn put_document(
         &self,
         service: &ids::Service,
@@ -94,7 +94,8 @@
         newer
     }
 
-    /// Puts a layout in force where its version is higher than the present one.
+    /// Puts a layout in force if its version is higher than the present one; returns
+    /// whether it was.
     pub fn put_layout(&self, service: &ids::Service, layout: layout::Layout) -> bool {
         let mut services = self.write();
         let parts = services.entry(service.clone()).or_default();
--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -1,4 +1,4 @@
-//! The table of a document's fields: names, ranges, units and meanings.
+//! Table of a document's fields with their names, ranges, units and meanings.
 
 use std::time;
 
@@ -13,7 +13,7 @@
 /// Parses and checks the text of a document. `file` names it in the findings.
 ///
 /// # Errors
-/// Everything wrong with it, in the order of the text.
+/// Returns all findings in the order of the text.
 pub fn parse(file: &str, text: &str) -> Result<document::Document, Vec<finding::Finding>> {
     let mut document = document::Document::default();
     let mut reading = jsonc::read(file, text, FIELDS, &mut document);
@@ -25,7 +25,7 @@
     Err(reading.findings)
 }
 
-/// A page that names each field with its type, range, default and meaning.
+/// Returns a help page that lists each field's type, range, default and meaning.
 pub fn help() -> String {
     jsonc::help(FIELDS, &document::Document::default())
 }
@@ -35,7 +35,7 @@
 #[derive(derive_more::Display)]
 #[display("{path}: {was} -> {now}")]
 pub struct Difference {
-    /// The field.
+    /// Path of the field.
     pub path: &'static str,
     /// Its value in the first document, as JSON.
     pub was: String,
@@ -43,18 +43,18 @@
     pub now: String,
 }
 
-/// The fields whose values differ.
+/// Returns the fields whose values differ.
 pub fn differences(was: &document::Document, now: &document::Document) -> Vec<Difference> {
-    let shown = |field: &Field, of| field.kind.show(of).unwrap_or_else(|| "none".to_owned());
+    let show = |field: &Field, of| field.kind.show(of).unwrap_or_else(|| "none".to_owned());
     let all = FIELDS.iter().map(|field| Difference {
         path: field.path,
-        was: shown(field, was),
-        now: shown(field, now),
+        was: show(field, was),
+        now: show(field, now),
     });
     all.filter(|field| field.was != field.now).collect()
 }
 
-/// Rules between fields.
+/// Checks the rules that relate several fields.
 fn check(document: &document::Document, reading: &mut jsonc::Reading) {
     if document.deadline > document.max_deadline {
         let problem = format!(
@@ -64,9 +64,9 @@
         );
         reading.add("deadline_ms", problem, "lower it or raise max_deadline_ms");
     }
-    let target_counts =
+    let target_applies =
         document.objective == document::Objective::Latency || reading.has("latency_target_ms");
-    if target_counts && document.latency_target > document.deadline {
+    if target_applies && document.latency_target > document.deadline {
         let problem = format!(
             "{} ms exceed deadline_ms, {} ms",
             clock::millis(document.latency_target),
@@ -108,7 +108,8 @@
             get: |kept| Some(kept.objective.to_string()),
             set: |kept, text| {
                 let choice = text.parse::<document::Objective>();
-                let wrong = |_| format!("{text:?} is no objective; give coverage or latency");
+                let wrong =
+                    |_| format!("{text:?} is not an objective; expected coverage or latency");
                 kept.objective = choice.map_err(wrong)?;
                 Ok(())
             },
@@ -297,7 +298,8 @@
     },
 ];
 
-/// `value` is within the field's range, and so within 0 to 1.
+/// Converts a value that was checked against a field's range, which lies within
+/// 0 to 1.
 fn share(value: f64) -> rate::Share {
     rate::Share::new(value).unwrap_or_default()
 }
--- a/crates/geraniumgauge/src/document/frames.rs
+++ b/crates/geraniumgauge/src/document/frames.rs
@@ -1,4 +1,4 @@
-//! Frames and rumours about documents and layouts.
+//! Builds the mesh frames and gossip updates for documents and layouts.
 
 use std::mem;
 
@@ -7,11 +7,11 @@
 use crate::member;
 use crate::mesh::message;
 
-/// Bytes of documents and layouts after which an answer goes on in another frame.
-const FRAME: usize = 256 << 10;
+/// Bytes of documents and layouts after which an answer continues in another frame.
+const FRAME_SPLIT_BYTES: usize = 256 << 10;
 
-/// Asks for both parts of some services.
-pub(super) fn wanted(held: &held::Held, services: &[ids::Service]) -> message::Body {
+/// Builds a request for the documents and layouts of `services`.
+pub(super) fn request(held: &held::Held, services: &[ids::Service]) -> message::Body {
     message::Body::Pull(message::Pull {
         services: services.iter().map(ToString::to_string).collect(),
         have: services
@@ -22,7 +22,7 @@
     })
 }
 
-/// Answers with entries, in as many frames as it takes.
+/// Builds answers with `entries`, split over several frames if they are large.
 pub(super) fn entries(entries: Vec<message::Entry>) -> Vec<message::Body> {
     let mut bodies = Vec::new();
     let mut frame = Vec::new();
@@ -30,7 +30,7 @@
     for entry in entries {
         size += entry.document.len() + entry.layout.len();
         frame.push(entry);
-        if size >= FRAME {
+        if size >= FRAME_SPLIT_BYTES {
             bodies.push(body(mem::take(&mut frame)));
             size = 0;
         }
@@ -48,9 +48,9 @@
     })
 }
 
-/// Tells of a version. The two parts of a service grow apart, so each has its
-/// own key.
-pub(super) fn rumour(kind: held::Kind, service: &ids::Service, version: u64) -> member::Update {
+/// Builds the gossip update for a new version. Documents and layouts have
+/// separate keys because their versions are independent.
+pub(super) fn update(kind: held::Kind, service: &ids::Service, version: u64) -> member::Update {
     member::Update {
         topic: member::Topic::Catalog,
         key: format!("{kind}/{service}"),
@@ -59,8 +59,8 @@
     }
 }
 
-/// What a rumour of [`rumour`]'s is about.
-pub(super) fn topic(key: &str) -> Option<(held::Kind, ids::Service)> {
+/// Returns the kind and service that the key of an [`update`] names.
+pub(super) fn parse_key(key: &str) -> Option<(held::Kind, ids::Service)> {
     let (kind, service) = key.split_once('/')?;
     let kind = match kind {
         "document" => held::Kind::Document,
--- a/crates/geraniumgauge/src/document/held.rs
+++ b/crates/geraniumgauge/src/document/held.rs
@@ -1,4 +1,4 @@
-//! The documents and layouts that one VM holds, as they travel between VMs.
+//! The documents and layouts that a VM holds, in the form in which VMs exchange them.
 
 use std::collections;
 
@@ -10,15 +10,15 @@
 /// One versioned part of a service: its document or its layout.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Part {
-    /// Generation or layout version; 0 where there is none.
+    /// Generation of the document or version of the layout; 0 if there is none.
     pub(super) version: u64,
     /// The part as JSON.
     pub(super) body: bytes::Bytes,
-    /// Version of the store's object that held it; 0 where not known.
+    /// Version of the store object that it was read from; 0 if unknown.
     pub(super) object: ids::ObjectVersion,
 }
 
-/// Which part of a service.
+/// Kind of a service's part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 pub(super) enum Kind {
@@ -30,23 +30,23 @@
     Layout,
 }
 
-/// Both parts of a service.
+/// The document and the layout of a service.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Parts {
     pub(super) document: Part,
     pub(super) layout: Part,
 }
 
-/// A part once its JSON is read.
+/// A part, parsed from its JSON.
 #[derive(Debug, Clone)]
 pub(super) enum Content {
-    /// A document of this generation.
+    /// A document with its generation.
     Document(ids::Generation, Box<document::Document>),
     /// A layout.
     Layout(layout::Layout),
 }
 
-/// Everything one VM holds.
+/// All documents and layouts that a VM holds, by service.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Held {
     services: collections::BTreeMap<ids::Service, Parts>,
@@ -69,7 +69,8 @@
 }
 
 impl Held {
-    /// Takes `part` where it is newer than what is held and can be read.
+    /// Stores `part` and returns its content if it is newer than the held one and
+    /// can be parsed.
     pub(super) fn offer(
         &mut self,
         service: &ids::Service,
@@ -84,11 +85,11 @@
         if part.version <= present {
             return None;
         }
-        let content = match read(kind, &part) {
+        let content = match parse(kind, &part) {
             Ok(content) => content,
             Err(error) => {
                 log::error!(
-                    "the {kind} {} of {service} can't be read: {error}",
+                    "failed to parse {kind} version {} of {service}: {error}",
                     part.version
                 );
                 return None;
@@ -99,14 +100,14 @@
         Some(content)
     }
 
-    /// The version held; 0 where there is none.
+    /// Returns the version held; 0 if there is none.
     pub(super) fn version(&self, service: &ids::Service, kind: Kind) -> u64 {
         self.services
             .get(service)
             .map_or(0, |parts| parts.get(kind).version)
     }
 
-    /// The store's object of the part held; 0 where not known.
+    /// Returns the store object's version of the part held; 0 if unknown.
     pub(super) fn object(&self, service: &ids::Service, kind: Kind) -> ids::ObjectVersion {
         let none = ids::ObjectVersion(0);
         self.services
@@ -114,12 +115,12 @@
             .map_or(none, |parts| parts.get(kind).object)
     }
 
-    /// The services of which something is held.
+    /// Returns the services with a document or a layout.
     pub(super) fn services(&self) -> impl Iterator<Item = &ids::Service> {
         self.services.keys()
     }
 
-    /// What is applied, for reports and comparisons.
+    /// Returns the held versions of all services, for reports and comparisons.
     pub(super) fn have(&self) -> Vec<message::Have> {
         let have = |(service, parts): (&ids::Service, &Parts)| message::Have {
             service: service.to_string(),
@@ -129,7 +130,7 @@
         self.services.iter().map(have).collect()
     }
 
-    /// What is applied of one service; zeros where nothing is.
+    /// Returns the held versions of one service; 0 for a missing part.
     pub(super) fn have_of(&self, service: &ids::Service) -> message::Have {
         message::Have {
             service: service.to_string(),
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Whether something held of one service is newer than what a peer told.
+    /// Returns whether a held part of one service is newer than the peer's.
     pub(super) fn exceeds_one(&self, theirs: &message::Have) -> bool {
         let Ok(service) = theirs.service.parse() else {
             return false;
@@ -147,7 +148,7 @@
         mine.generation > theirs.generation || mine.layout > theirs.layout
     }
 
-    /// Whether something held is newer than what a peer told.
+    /// Returns whether a held part of any service is newer than the peer's.
     pub(super) fn exceeds(&self, theirs: &[message::Have]) -> bool {
         let by_service = theirs.iter().map(|have| (have.service.as_str(), have));
         let theirs: collections::BTreeMap<_, _> = by_service.collect();
@@ -159,12 +160,12 @@
         })
     }
 
-    /// A digest of [`Self::have`], never 0. Equal digests mean equal versions.
+    /// Returns a digest of [`Self::have`], never 0. Equal digests mean equal versions.
     pub(super) fn digest(&self) -> u64 {
         digest(&self.have())
     }
 
-    /// The parts of `service` for a peer.
+    /// Returns both parts of `service` as an entry of an answer to a peer.
     pub(super) fn entry(&self, service: &ids::Service) -> Option<message::Entry> {
         let parts = self.services.get(service)?;
         Some(message::Entry {
@@ -179,17 +180,17 @@
     }
 }
 
-/// The digest of a report, never 0.
+/// Returns the digest of reported versions, never 0.
 pub(super) fn digest(have: &[message::Have]) -> u64 {
     use prost::Message as _;
-    let whole = message::Pull {
+    let pull = message::Pull {
         have: have.to_vec(),
         ..message::Pull::default()
     };
-    xxhash_rust::xxh3::xxh3_64(&whole.encode_to_vec()) | 1
+    xxhash_rust::xxh3::xxh3_64(&pull.encode_to_vec()) | 1
 }
 
-/// The two parts of an entry that a peer sent.
+/// Splits an entry that a peer sent into its document and layout.
 pub(super) fn parts(entry: message::Entry) -> [(Kind, Part); 2] {
     let document = Part {
         version: entry.generation,
@@ -204,7 +205,7 @@
     [(Kind::Document, document), (Kind::Layout, layout)]
 }
 
-fn read(kind: Kind, part: &Part) -> Result<Content, serde_json::Error> {
+fn parse(kind: Kind, part: &Part) -> Result<Content, serde_json::Error> {
     match kind {
         Kind::Document => {
             let document = serde_json::from_slice(&part.body)?;
--- a/crates/geraniumgauge/src/document/instruments.rs
+++ b/crates/geraniumgauge/src/document/instruments.rs
@@ -9,12 +9,13 @@
 use crate::document::held;
 use crate::time;
 
-/// The instruments; the label `service` is from the fixed set of documents.
+/// OpenTelemetry instruments. The label `service` takes only names of services
+/// that have a document.
 #[derive(Debug)]
 pub(super) struct Instruments {
     applied: metrics::Counter<u64>,
-    looks: metrics::Counter<u64>,
-    /// Milliseconds of the clock at the store's last answer.
+    checks: metrics::Counter<u64>,
+    /// Wall clock time of the store's last answer, in ms since the epoch.
     answered: sync::Arc<atomic::AtomicU64>,
 }
 
@@ -32,20 +33,20 @@
             })
             .build();
         let answered = sync::Arc::new(atomic::AtomicU64::new(0));
-        let seen = answered.clone();
+        let last_answered = answered.clone();
         let last = meter.u64_observable_gauge("document_store_answered_ms");
         last.with_description("wall clock of the store's last listing, ms since the epoch")
             .with_callback(move |observer| {
-                observer.observe(seen.load(atomic::Ordering::Relaxed), &[])
+                observer.observe(last_answered.load(atomic::Ordering::Relaxed), &[])
             })
             .build();
         let applied = meter.u64_counter("document_applied");
-        let looks = meter.u64_counter("document_keeper_looks");
+        let checks = meter.u64_counter("document_keeper_looks");
         Self {
             applied: applied
                 .with_description("documents and layouts put in force")
                 .build(),
-            looks: looks
+            checks: checks
                 .with_description("services that the keeper looked at")
                 .build(),
             answered,
@@ -57,8 +58,8 @@
         self.applied.add(1, &[label]);
     }
 
-    pub(super) fn looked(&self) {
-        self.looks.add(1, &[]);
+    pub(super) fn checked(&self) {
+        self.checks.add(1, &[]);
     }
 
     pub(super) fn store_answered(&self, clock: time::Clock) {
--- a/crates/geraniumgauge/src/document/join.rs
+++ b/crates/geraniumgauge/src/document/join.rs
@@ -1,11 +1,11 @@
-//! When a VM that starts may take requests.
+//! Decides when a starting VM may accept requests.
 //!
-//! Failure: a VM starts while the store is out, or shows an older state, and
-//! takes requests by documents that were replaced; callers see limits and
-//! deadlines of the past from one VM in many. So a VM is ready only when it
-//! holds all that the store lists and a few peers have told what they apply,
-//! or, while the store is out, when a majority of the members have told and
-//! all of it is held. A peer that isn't ready itself doesn't count for the latter.
+//! If a VM starts while the store is unavailable or was restored to an older
+//! state, it could serve requests with outdated limits and deadlines. A VM is
+//! therefore ready only when it holds everything that the store lists and a few
+//! peers have reported their versions. While the store is unavailable, a
+//! majority of the members must have reported instead, and everything they
+//! reported must be held. Only peers that are ready count towards the majority.
 
 use std::collections;
 use std::time;
@@ -13,40 +13,41 @@
 use crate::ids;
 use crate::time as clock;
 
-/// Peers to hear besides the store; one of them knows what an older state of
-/// the store lacks.
-const HEAR: usize = 3;
-/// Longest wait for these peers: the whole fleet may be starting.
-const HEAR_WAIT: time::Duration = time::Duration::from_secs(2);
-/// Longest wait for what a peer claims to have, once the store was read.
-const FETCH_WAIT: time::Duration = time::Duration::from_secs(6);
-/// Peers asked at once.
-const WAVE: usize = 32;
-/// Time between waves.
-const AGAIN: time::Duration = time::Duration::from_millis(500);
+/// Peers that must answer in addition to the store, because a store that was
+/// restored to an older state may lack versions that peers apply.
+const MIN_ANSWERS: usize = 3;
+/// Longest wait for answers of peers, since the whole fleet may be starting.
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Longest wait for versions that peers reported but that aren't held yet, if
+/// the store was read.
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_secs(6);
+/// Peers that are asked at the same time.
+const BATCH_SIZE: usize = 32;
+/// Time between two batches of peers.
+const BATCH_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Where the accepted set was had from.
+/// Source that confirmed the accepted documents and layouts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub(super) enum Source {
     /// The store.
     #[display("the store")]
     Store,
-    /// A majority of the members, the store being out.
-    #[display("a majority of the members, the store being out")]
+    /// A majority of the members, while the store is unavailable.
+    #[display("a majority of the members; the store is unavailable")]
     Peers,
 }
 
-/// One VM's way to readiness.
+/// Tracks whether a starting VM is ready.
 #[derive(Debug)]
 pub(super) struct Join {
     started: clock::Moment,
-    loaded: bool,
-    failed: bool,
-    /// The peers that answered, and whether they were ready.
+    store_loaded: bool,
+    store_failed: bool,
+    /// Whether each peer that answered was ready.
     answered: collections::BTreeMap<ids::Vm, bool>,
     asked: usize,
-    next: clock::Moment,
+    next_batch: clock::Moment,
     ready: bool,
 }
 
@@ -54,11 +55,11 @@
     pub(super) fn new(now: clock::Moment) -> Self {
         Self {
             started: now,
-            loaded: false,
-            failed: false,
+            store_loaded: false,
+            store_failed: false,
             answered: collections::BTreeMap::new(),
             asked: 0,
-            next: now,
+            next_batch: now,
             ready: false,
         }
     }
@@ -67,32 +68,32 @@
         self.ready
     }
 
-    /// Whether the store has confirmed what is held since the start.
+    /// Returns whether the store was read completely since the start.
     pub(super) fn confirmed(&self) -> bool {
-        self.loaded
+        self.store_loaded
     }
 
     pub(super) fn loaded(&mut self) {
-        self.loaded = true;
+        self.store_loaded = true;
     }
 
     pub(super) fn store_failed(&mut self) {
-        self.failed = true;
+        self.store_failed = true;
     }
 
-    /// A peer has told what it applies; `settled` where it is ready itself.
-    pub(super) fn answered(&mut self, peer: &ids::Vm, settled: bool) {
+    /// Records that a peer reported its versions and whether it was ready.
+    pub(super) fn answered(&mut self, peer: &ids::Vm, ready: bool) {
         if !self.ready {
-            self.answered.insert(peer.clone(), settled);
+            self.answered.insert(peer.clone(), ready);
         }
     }
 
-    /// The peers to ask now, a wave at a time.
+    /// Returns the next batch of peers to ask; empty until the interval has passed.
     pub(super) fn ask(&mut self, peers: &[ids::Vm], now: clock::Moment) -> Vec<ids::Vm> {
-        if self.ready || now < self.next || peers.is_empty() {
+        if self.ready || now < self.next_batch || peers.is_empty() {
             return Vec::new();
         }
-        self.next = now + AGAIN;
+        self.next_batch = now + BATCH_INTERVAL;
         let missing = peers
             .iter()
             .filter(|peer| self.answered.get(*peer) != Some(&true));
@@ -101,13 +102,16 @@
             return missing;
         }
         let from = self.asked % missing.len();
-        self.asked += WAVE;
-        let around = missing.iter().cycle().skip(from);
-        around.take(WAVE.min(missing.len())).cloned().collect()
+        self.asked += BATCH_SIZE;
+        let rotated = missing.iter().cycle().skip(from);
+        rotated
+            .take(BATCH_SIZE.min(missing.len()))
+            .cloned()
+            .collect()
     }
 
-    /// Whether the VM becomes ready now. `complete`: nothing is known of that
-    /// isn't held.
+    /// Returns the source if the VM becomes ready now. `complete` says that every
+    /// known version is held.
     pub(super) fn tick(
         &mut self,
         peers: &[ids::Vm],
@@ -119,12 +123,13 @@
         }
         let answers = peers.iter().filter_map(|peer| self.answered.get(peer));
         let answered = answers.clone().count();
-        let settled = answers.filter(|settled| **settled).count();
+        let ready = answers.filter(|ready| **ready).count();
         let waited = now.since(self.started);
-        let heard = answered >= peers.len().min(HEAR) && !peers.is_empty() || waited >= HEAR_WAIT;
-        let source = if self.loaded && heard && (complete || waited >= FETCH_WAIT) {
+        let enough = answered >= peers.len().min(MIN_ANSWERS) && !peers.is_empty()
+            || waited >= ANSWER_TIMEOUT;
+        let source = if self.store_loaded && enough && (complete || waited >= FETCH_TIMEOUT) {
             Source::Store
-        } else if self.failed && complete && settled * 2 > peers.len() {
+        } else if self.store_failed && complete && ready * 2 > peers.len() {
             Source::Peers
         } else {
             return None;
--- a/crates/geraniumgauge/src/document/keeper.rs
+++ b/crates/geraniumgauge/src/document/keeper.rs
@@ -1,9 +1,9 @@
-//! What the keeper does about one service's document.
+//! Decides whether the keeper accepts a service's document.
 //!
-//! [`decide`] looks at the team's text, the accepted record and what is in
-//! force, and says what to write. Every write is conditional on the record's
-//! version, so two keepers at once do no harm: one of them gets a conflict and
-//! looks again.
+//! [`decide`] compares the team's text, the accepted record and the document in
+//! force, and returns the record to write. Every write is conditional on the
+//! record's version, so two concurrent keepers do no harm: one of them gets a
+//! conflict and checks the service again.
 
 use std::sync;
 
@@ -17,64 +17,65 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Accepted {
-    /// Counts the accepted documents of the service.
+    /// Number of documents accepted for the service so far.
     pub generation: ids::Generation,
-    /// The version of `documents/{service}` that was last taken into account.
+    /// The version of `documents/{service}` that was last considered.
     pub considered: ids::ObjectVersion,
     /// The document in force.
     pub document: document::Document,
 }
 
-/// What a keeper has read about one service.
+/// State of one service that a keeper bases its decision on.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct State {
     /// The service.
     pub service: ids::Service,
-    /// `documents/{service}`.
+    /// The object `documents/{service}`, if it exists.
     pub text: Option<store::Object>,
-    /// `accepted/{service}`, with its object's version.
+    /// The record `accepted/{service}` and the version of its object.
     pub accepted: Option<(ids::ObjectVersion, Accepted)>,
-    /// What this VM has in force; it may be newer than a store that was set back.
+    /// The document in force on this VM, which is newer than the record if the
+    /// store was restored to an older state.
     pub in_force: Option<(ids::Generation, sync::Arc<document::Document>)>,
 }
 
-/// What to write, and what to tell operators.
+/// The record to write and the verdict on the text that operators see.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     /// The new record and the condition under which to write it.
     pub write: Option<(Accepted, store::Condition)>,
-    /// What became of the text.
+    /// Result of checking the text.
     pub verdict: status::Verdict,
 }
 
-/// Decides about one service.
-pub fn decide(seen: &Seen) -> Decision {
-    if let Some(restored) = set_back(seen) {
+/// Decides whether the text of one service is accepted.
+pub fn decide(state: &State) -> Decision {
+    if let Some(restored) = restore_record(state) {
         return restored;
     }
-    let Some(text) = &seen.text else {
+    let Some(text) = &state.text else {
         return Decision::without_write(status::Verdict::Vanished);
     };
     let version = text.version;
-    if let Some((_, record)) = &seen.accepted
+    if let Some((_, record)) = &state.accepted
         && record.considered == version
     {
-        return settled(seen, record, version);
+        return already_considered(state, record, version);
     }
-    let parsed = match read(&seen.service, &text.body) {
+    let parsed = match parse(&state.service, &text.body) {
         Ok(parsed) => parsed,
         Err(findings) => {
             return Decision::without_write(status::Verdict::Refused { version, findings });
         }
     };
-    let same = seen
+    let unchanged = state
         .accepted
         .as_ref()
         .is_some_and(|(_, record)| record.document == parsed);
-    if same {
+    if unchanged {
         return Decision::without_write(status::Verdict::Accepted { version });
     }
-    accept(seen, version, parsed)
+    accept(state, version, parsed)
 }
 
 impl Decision {
@@ -86,9 +87,9 @@
     }
 }
 
-fn accept(seen: &Seen, version: ids::ObjectVersion, document: document::Document) -> Decision {
-    let stored = seen.accepted.as_ref().map(|(_, record)| record.generation);
-    let applied = seen.in_force.as_ref().map(|(generation, _)| *generation);
+fn accept(state: &State, version: ids::ObjectVersion, document: document::Document) -> Decision {
+    let stored = state.accepted.as_ref().map(|(_, record)| record.generation);
+    let applied = state.in_force.as_ref().map(|(generation, _)| *generation);
     let highest = stored.max(applied).unwrap_or_default();
     let record = Accepted {
         generation: ids::Generation(highest.0 + 1),
@@ -96,24 +97,25 @@
         document,
     };
     Decision {
-        write: Some((record, condition(seen))),
+        write: Some((record, condition(state))),
         verdict: status::Verdict::Accepted { version },
     }
 }
 
-/// Failure: the store comes back from an outage in an older state. Its accepted
-/// record is gone or lower than what VMs apply; a VM that starts now would
-/// apply it, and the fleet would be at two generations for good. The text is
-/// of the older state too, and taking it for an edit would undo accepted ones.
-/// So the record is written again as it is in force, and the text counts as
-/// considered: only a write of the text after this one is an edit.
-fn set_back(seen: &Seen) -> Option<Decision> {
-    let (applied, document) = seen.in_force.as_ref()?;
-    let stored = seen.accepted.as_ref().map(|(_, record)| record.generation);
+/// Restores the accepted record if the store was set back to an older state.
+///
+/// The record in such a store is missing or has a lower generation than the VMs
+/// apply. A VM that starts would apply it, and the fleet would stay at two
+/// generations. The text is outdated too, and accepting it would undo later
+/// edits. So the record is written as it is in force, and the text is marked as
+/// considered: only a later write of the text is an edit.
+fn restore_record(state: &State) -> Option<Decision> {
+    let (applied, document) = state.in_force.as_ref()?;
+    let stored = state.accepted.as_ref().map(|(_, record)| record.generation);
     if stored.is_some_and(|stored| stored >= *applied) {
         return None;
     }
-    let version = seen
+    let version = state
         .text
         .as_ref()
         .map_or(ids::ObjectVersion(0), |text| text.version);
@@ -123,18 +125,18 @@
         document: document.as_ref().clone(),
     };
     Some(Decision {
-        write: Some((record, condition(seen))),
+        write: Some((record, condition(state))),
         verdict: status::Verdict::SetBack { version, stored },
     })
 }
 
-/// The text was taken into account before: it is in force, or belongs to an
-/// older state of the store.
-fn settled(seen: &Seen, record: &Accepted, version: ids::ObjectVersion) -> Decision {
-    let parsed = seen
+/// Returns the verdict on a text that was considered before: it is in force or
+/// belongs to an older state of the store.
+fn already_considered(state: &State, record: &Accepted, version: ids::ObjectVersion) -> Decision {
+    let parsed = state
         .text
         .as_ref()
-        .map(|text| read(&seen.service, &text.body));
+        .map(|text| parse(&state.service, &text.body));
     let verdict = match parsed {
         Some(Ok(document)) if document == record.document => status::Verdict::Accepted { version },
         _ => status::Verdict::SetBack {
@@ -145,19 +147,19 @@
     Decision::without_write(verdict)
 }
 
-fn condition(seen: &Seen) -> store::Condition {
-    let version = seen.accepted.as_ref().map(|(version, _)| *version);
+fn condition(state: &State) -> store::Condition {
+    let version = state.accepted.as_ref().map(|(version, _)| *version);
     version.map_or(store::Condition::Absent, store::Condition::Version)
 }
 
-fn read(service: &ids::Service, body: &[u8]) -> Result<document::Document, Vec<finding::Finding>> {
+fn parse(service: &ids::Service, body: &[u8]) -> Result<document::Document, Vec<finding::Finding>> {
     let file = document::text_key(service);
     match std::str::from_utf8(body) {
         Ok(text) => document::parse(&file, text),
         Err(error) => Err(vec![finding::Finding {
             place: finding::Place::of(&file, "", 0),
             path: String::new(),
-            problem: format!("byte {} is no UTF-8", error.valid_up_to()),
+            problem: format!("invalid UTF-8 at byte {}", error.valid_up_to()),
             remedy: "save the text as UTF-8".to_owned(),
         }]),
     }
--- a/crates/geraniumgauge/src/document/keep.rs
+++ b/crates/geraniumgauge/src/document/keeper_task.rs
@@ -1,7 +1,8 @@
-//! The keeper's tasks: looks at services, accepts their texts, writes status.
+//! The keeper's task: checks services, accepts their texts and writes status.
 //!
-//! Every watcher runs them. The keeper looks at once, each stand-by a moment
-//! later than the one before it, so a dead keeper costs seconds and no edit.
+//! Every watcher runs the task. The keeper checks a changed service at once, and
+//! each standby a little later than the one before it, so the failure of a keeper
+//! delays an edit by seconds and loses none.
 
 use std::collections;
 use std::mem;
@@ -19,94 +20,101 @@
 use crate::store;
 use crate::time as clock;
 
-/// How much later each stand-by looks.
-const STAND_BY: time::Duration = time::Duration::from_millis(1500);
-/// How often due services are looked at.
-const TICK: time::Duration = time::Duration::from_millis(100);
-/// How soon a service is looked at again after a conflict or a lost reply.
-const AGAIN: time::Duration = time::Duration::from_millis(100);
-/// How soon after the store failed.
-const AFTER_FAILURE: time::Duration = time::Duration::from_secs(1);
-/// How often a status that says nothing new is written again.
-const REFRESH: time::Duration = time::Duration::from_secs(60);
-/// Shortest time between two writes of one service's status: while a version
-/// spreads, its count changes many times a second.
-const REWRITE: time::Duration = time::Duration::from_millis(400);
-/// Shortest time between two writes of what VMs report.
-const REPORTED: time::Duration = time::Duration::from_secs(2);
-/// Status objects written in one tick at most.
-const WRITES: usize = 2;
+/// Additional delay of each standby before it checks a service.
+const STANDBY_DELAY: time::Duration = time::Duration::from_millis(1500);
+/// Time between two checks of the services that are due.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Delay before a service is checked again after a conflict or a lost reply.
+const CONFLICT_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
+/// Delay before the store is called again after it failed.
+const STORE_FAILURE_DELAY: time::Duration = time::Duration::from_secs(1);
+/// Time after which an unchanged status is written again.
+const REFRESH_INTERVAL: time::Duration = time::Duration::from_secs(60);
+/// Shortest time between two writes of one service's status, whose counts change
+/// many times a second while a version is distributed.
+const MIN_STATUS_INTERVAL: time::Duration = time::Duration::from_millis(400);
+/// Shortest time between two writes of the VMs' reports.
+const MIN_REPORTED_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// Maximum number of status objects written in one tick.
+const MAX_WRITES_PER_TICK: usize = 2;
 
-/// Starts the tasks.
+/// Starts the task, which checks the services received from `checks` and those
+/// whose text changes.
 pub(super) fn start(
     inner: &sync::Arc<service::Inner>,
-    looks: channel::mpsc::Receiver<ids::Service>,
+    checks: channel::mpsc::Receiver<ids::Service>,
 ) {
-    let (news, texts) = channel::mpsc::channel(8);
-    tokio::spawn(load::follow(inner.clone(), document::TEXTS, news));
+    let (updates, texts) = channel::mpsc::channel(8);
+    tokio::spawn(load::follow(inner.clone(), document::TEXTS, updates));
     let worker = Worker {
         inner: inner.clone(),
         due: collections::BTreeMap::new(),
-        known: collections::BTreeMap::new(),
+        verdicts: collections::BTreeMap::new(),
         written: collections::BTreeMap::new(),
-        reported: None,
-        keeper: false,
-        rest_until: clock::Moment::default(),
+        last_reported: None,
+        is_keeper: false,
+        no_writes_until: clock::Moment::default(),
     };
-    tokio::spawn(worker.run(texts, looks));
+    tokio::spawn(worker.run(texts, checks));
 }
 
 struct Worker {
     inner: sync::Arc<service::Inner>,
+    /// Time at which each service is checked.
     due: collections::BTreeMap<ids::Service, clock::Moment>,
-    known: collections::BTreeMap<ids::Service, status::Verdict>,
+    /// Verdict of each service's last check.
+    verdicts: collections::BTreeMap<ids::Service, status::Verdict>,
+    /// The status last written for each service, and when.
     written: collections::BTreeMap<ids::Service, (clock::Moment, status::Status)>,
-    /// What VMs reported when that was last written.
-    reported: Option<(
+    /// The reports that were last written, and when.
+    last_reported: Option<(
         clock::Moment,
         collections::BTreeMap<ids::Vm, status::Report>,
     )>,
-    keeper: bool,
-    /// No status is written before: the store has just failed.
-    rest_until: clock::Moment,
+    is_keeper: bool,
+    /// Time before which no status is written, because the store failed.
+    no_writes_until: clock::Moment,
 }
 
 impl Worker {
     async fn run(
         mut self,
-        mut texts: channel::mpsc::Receiver<load::News>,
-        mut looks: channel::mpsc::Receiver<ids::Service>,
+        mut texts: channel::mpsc::Receiver<load::Update>,
+        mut checks: channel::mpsc::Receiver<ids::Service>,
     ) {
-        let mut ticks = self.inner.timer.every(TICK, TICK);
+        let mut ticks = self.inner.timer.every(TICK_INTERVAL, TICK_INTERVAL);
         loop {
             tokio::select! {
                 tick = ticks.tick() => {
                     let Some(()) = tick else { return };
                     self.tick().await;
                 }
-                Some(news) = texts.recv() => self.news(news),
-                Some(service) = looks.recv() => self.schedule(service),
+                Some(update) = texts.recv() => self.update(update),
+                Some(service) = checks.recv() => self.schedule(service),
             }
         }
     }
 
-    fn news(&mut self, news: load::News) {
-        match news {
-            load::News::Changed(changes) => {
-                let named = changes.iter().filter_map(service_of);
-                named.for_each(|(service, _)| self.schedule(service));
+    fn update(&mut self, update: load::Update) {
+        match update {
+            load::Update::Changed(changes) => {
+                let services = changes.iter().filter_map(service_of);
+                services.for_each(|(service, _)| self.schedule(service));
             }
-            load::News::Listed(listing) => self.listed(&listing),
+            load::Update::Listed(listing) => self.listed(&listing),
         }
     }
 
-    /// Looks at every text that is new to this VM, and at every service whose
-    /// text is gone.
+    /// Schedules a check of every text that is new to this VM, and of every
+    /// service whose text was deleted.
     fn listed(&mut self, listing: &store::Listing) {
         let texts: collections::BTreeMap<_, _> =
             listing.changes.iter().filter_map(service_of).collect();
         for (service, version) in &texts {
-            let known = self.known.get(service).and_then(status::Verdict::version);
+            let known = self
+                .verdicts
+                .get(service)
+                .and_then(status::Verdict::version);
             if known != Some(*version) {
                 self.schedule(service.clone());
             }
@@ -115,8 +123,8 @@
             .inner
             .with(|spread| spread.held().services().cloned().collect());
         for service in held {
-            let told = self.known.get(&service) == Some(&status::Verdict::Vanished);
-            if !texts.contains_key(&service) && !told {
+            let recorded = self.verdicts.get(&service) == Some(&status::Verdict::Vanished);
+            if !texts.contains_key(&service) && !recorded {
                 self.schedule(service);
             }
         }
@@ -126,7 +134,7 @@
         let Some(rank) = self.inner.rank() else {
             return;
         };
-        let wait = STAND_BY.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
+        let wait = STANDBY_DELAY.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
         let at = self.inner.clock.now() + wait;
         let due = self.due.entry(service).or_insert(at);
         *due = at.min(*due);
@@ -134,69 +142,67 @@
 
     async fn tick(&mut self) {
         let rank = self.inner.rank();
-        if mem::replace(&mut self.keeper, rank == Some(0)) != self.keeper {
+        if mem::replace(&mut self.is_keeper, rank == Some(0)) != self.is_keeper {
             self.written.clear();
-            self.reported = None;
+            self.last_reported = None;
         }
-        // A VM that knows of something newer than it holds must not decide.
-        let fit = self
-            .inner
-            .with(|spread| spread.settled() && !spread.behind());
-        if rank.is_none() || !fit {
+        // A VM that knows of a newer version than it holds must not decide.
+        let up_to_date = self.inner.with(|spread| spread.ready() && !spread.behind());
+        if rank.is_none() || !up_to_date {
             return;
         }
-        self.look_at_due().await;
-        if self.keeper {
+        self.check_due().await;
+        if self.is_keeper {
             self.write_status().await;
             self.write_reported().await;
         }
     }
 
-    async fn look_at_due(&mut self) {
+    async fn check_due(&mut self) {
         let now = self.inner.clock.now();
         let due = self.due.iter().filter(|(_, at)| **at <= now);
         let due: Vec<_> = due.map(|(service, _)| service.clone()).collect();
         for service in due {
             self.due.remove(&service);
-            let again = match self.look(&service).await {
+            let delay = match self.check(&service).await {
                 Ok(()) => continue,
                 Err(store::Error::Unavailable { reason }) => {
-                    log::warn!("{service}: the keeper can't reach the store: {reason}");
-                    AFTER_FAILURE
+                    log::warn!("failed to check {service}: the store is unavailable: {reason}");
+                    STORE_FAILURE_DELAY
                 }
-                // Another keeper was first, or the reply was lost: the record
-                // itself says which.
+                // Another keeper wrote first, or the reply was lost. The record
+                // shows which when it is read again.
                 Err(error) => {
-                    log::info!("{service}: looking again: {error}");
-                    AGAIN
+                    log::info!("checking {service} again: {error}");
+                    CONFLICT_RETRY_DELAY
                 }
             };
-            self.due.insert(service, self.inner.clock.now() + again);
+            self.due.insert(service, self.inner.clock.now() + delay);
         }
     }
 
-    async fn look(&mut self, service: &ids::Service) -> Result<(), store::Error> {
-        self.inner.instruments.looked();
-        let seen = self.read(service).await?;
-        let decision = keeper::decide(&seen);
+    async fn check(&mut self, service: &ids::Service) -> Result<(), store::Error> {
+        self.inner.instruments.checked();
+        let state = self.read(service).await?;
+        let decision = keeper::decide(&state);
         if let Some((record, condition)) = &decision.write {
             let body = serde_json::to_vec(record).unwrap_or_default();
             let key = document::accepted_key(service);
             let version = self.inner.store.put(&key, body.into(), *condition).await?;
             load::offer(&self.inner, service, record, version);
         }
-        self.known.insert(service.clone(), decision.verdict);
+        self.verdicts.insert(service.clone(), decision.verdict);
         Ok(())
     }
 
-    async fn read(&self, service: &ids::Service) -> Result<keeper::Seen, store::Error> {
+    async fn read(&self, service: &ids::Service) -> Result<keeper::State, store::Error> {
         let text = self.get(&document::text_key(service)).await?;
         let accepted = self.get(&document::accepted_key(service)).await?;
-        let accepted = accepted.map(|object| (object.version, record(&object)));
+        let accepted = accepted.map(|object| (object.version, parse_record(&object)));
         if let Some((version, record)) = &accepted {
             load::offer(&self.inner, service, record, *version);
         }
-        Ok(keeper::Seen {
+        Ok(keeper::State {
             service: service.clone(),
             text,
             accepted,
@@ -212,22 +218,24 @@
         }
     }
 
-    /// Writes what VMs report, where it has changed.
+    /// Writes the VMs' reports if they changed or are due for a refresh.
     async fn write_reported(&mut self) {
         let now = self.inner.clock.now();
-        let since = self.reported.as_ref().map(|(at, _)| now.since(*at));
-        if now < self.rest_until || since.is_some_and(|since| since < REPORTED) {
+        let since = self.last_reported.as_ref().map(|(at, _)| now.since(*at));
+        if now < self.no_writes_until || since.is_some_and(|since| since < MIN_REPORTED_INTERVAL) {
             return;
         }
         let vms = self.inner.with(|spread| {
             let applied = spread.held().have();
-            spread.tally().all(&spread.roles().all, &applied, now)
+            spread
+                .tally()
+                .report_all(&spread.roles().members, &applied, now)
         });
-        let same = self
-            .reported
+        let unchanged = self
+            .last_reported
             .as_ref()
             .is_some_and(|(_, before)| *before == vms);
-        if same && since.is_some_and(|since| since < REFRESH) {
+        if unchanged && since.is_some_and(|since| since < REFRESH_INTERVAL) {
             return;
         }
         let reported = status::Reported {
@@ -241,32 +249,32 @@
             .store
             .put(status::REPORTED, body.into(), store::Condition::Any);
         match put.await {
-            Ok(_) => self.reported = Some((now, reported.vms)),
+            Ok(_) => self.last_reported = Some((now, reported.vms)),
             Err(error) => {
-                self.rest_until = now + AFTER_FAILURE;
-                log::debug!("what VMs report: {error}");
+                self.no_writes_until = now + STORE_FAILURE_DELAY;
+                log::debug!("failed to write {}: {error}", status::REPORTED);
             }
         }
     }
 
     async fn write_status(&mut self) {
         let now = self.inner.clock.now();
-        if now < self.rest_until {
+        if now < self.no_writes_until {
             return;
         }
-        let services: Vec<_> = self.known.keys().cloned().collect();
+        let services: Vec<_> = self.verdicts.keys().cloned().collect();
         let mut writes = 0;
         for service in services {
             let Some(status) = self.status(&service, now) else {
                 continue;
             };
-            if !self.worth_writing(&status, now) || writes == WRITES {
+            if !self.worth_writing(&status, now) || writes == MAX_WRITES_PER_TICK {
                 continue;
             }
             writes += 1;
             let body = serde_json::to_vec(&status).unwrap_or_default();
             let key = document::status_key(&service);
-            // Two keepers may both write; the newer write tells the newer state.
+            // Two keepers may both write; the later write has the newer state.
             let put = self
                 .inner
                 .store
@@ -274,8 +282,8 @@
             match put.await {
                 Ok(_) => drop(self.written.insert(service, (now, status))),
                 Err(error) => {
-                    self.rest_until = now + AFTER_FAILURE;
-                    return log::debug!("status of {service}: {error}");
+                    self.no_writes_until = now + STORE_FAILURE_DELAY;
+                    return log::debug!("failed to write the status of {service}: {error}");
                 }
             }
         }
@@ -285,22 +293,22 @@
         let Some((at, before)) = self.written.get(&status.service) else {
             return true;
         };
-        let same = status::Status {
+        let unchanged = status::Status {
             written: status.written,
             ..before.clone()
         };
         let since = now.since(*at);
-        since >= REFRESH || since >= REWRITE && same != *status
+        since >= REFRESH_INTERVAL || since >= MIN_STATUS_INTERVAL && unchanged != *status
     }
 
     fn status(&self, service: &ids::Service, now: clock::Moment) -> Option<status::Status> {
-        let verdict = self.known.get(service)?.clone();
+        let verdict = self.verdicts.get(service)?.clone();
         let document = self.inner.catalog.document(service);
         let layout = self.inner.catalog.layout(service);
-        let (count, vms, unconfirmed) = self.inner.with(|spread| {
-            let vms = spread.roles().all.len();
+        let (rollout, vms, unconfirmed) = self.inner.with(|spread| {
+            let vms = spread.roles().members.len();
             (
-                spread.count(service, now),
+                spread.rollout(service, now),
                 vms,
                 spread.tally().unconfirmed(),
             )
@@ -314,9 +322,9 @@
             layout: layout.map(|layout| layout.version).unwrap_or_default(),
             document: verdict,
             layout_findings: self.inner.reads.layout_findings(service),
-            in_force: count.in_force,
+            in_force: rollout.in_force,
             vms: u32::try_from(vms).unwrap_or(u32::MAX),
-            behind: count.behind,
+            behind: rollout.behind,
             unconfirmed,
             retired: document.is_some_and(|(_, document)| document.retired),
             keeper: self.inner.config.vm.clone(),
@@ -330,9 +338,9 @@
     Some((name.parse().ok()?, change.version))
 }
 
-/// A record that can't be read counts as one of generation 0: what is in force
-/// is above it and is written over it.
-fn record(object: &store::Object) -> keeper::Accepted {
+/// Parses an accepted record. One that can't be parsed counts as generation 0, so
+/// the document in force, whose generation is higher, overwrites it.
+fn parse_record(object: &store::Object) -> keeper::Accepted {
     serde_json::from_slice(&object.body).unwrap_or_else(|_| keeper::Accepted {
         generation: ids::Generation(0),
         considered: ids::ObjectVersion(0),
--- a/crates/geraniumgauge/src/document/layout_text.rs
+++ b/crates/geraniumgauge/src/document/layout_text.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a layout's text.
+//! Parses and checks the text of a layout.
 
 use crate::finding;
 use crate::layout;
@@ -6,17 +6,17 @@
 /// Parses and checks the text of a layout. `file` names it in the findings.
 ///
 /// # Errors
-/// Everything wrong with it.
+/// Returns all findings.
 pub fn parse_layout(file: &str, text: &str) -> Result<layout::Layout, Vec<finding::Finding>> {
     let options = jsonc_parser::ParseOptions::default();
     let parsed = jsonc_parser::parse_to_serde_value::<layout::Layout>(text, &options);
     let layout = parsed.map_err(|error| {
         let place = finding::Place::of(file, text, error.range().start);
-        vec![found(
+        vec![finding(
             place,
             "",
             error.kind().to_string(),
-            "mend the layout here",
+            "correct the layout here",
         )]
     })?;
     let errors = layout.check();
@@ -28,12 +28,13 @@
         let name = error.name();
         let message = error.to_string();
         let (problem, remedy) = crate::jsonc::split(&message);
-        found(place(&format!("\"{name}\"")), name, problem, &remedy)
+        finding(place(&format!("\"{name}\"")), name, problem, &remedy)
     });
     Err(findings.collect())
 }
 
-/// A layout that is not above the one in force.
+/// Returns the finding for a changed layout whose version isn't higher than the
+/// version in force.
 pub(super) fn stale_layout(
     file: &str,
     text: &str,
@@ -42,14 +43,14 @@
 ) -> finding::Finding {
     let place = finding::Place::of(file, text, text.find("\"version\"").unwrap_or(0));
     let problem = format!(
-        "version {} is not above {}, which is in force with another content",
+        "version {} is not higher than {}, which is in force with different content",
         layout.version, present.version
     );
     let remedy = format!("write it with version {}", present.version.0 + 1);
-    found(place, "version", problem, &remedy)
+    finding(place, "version", problem, &remedy)
 }
 
-fn found(place: finding::Place, path: &str, problem: String, remedy: &str) -> finding::Finding {
+fn finding(place: finding::Place, path: &str, problem: String, remedy: &str) -> finding::Finding {
     finding::Finding {
         place,
         path: path.to_owned(),
--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -16,22 +16,23 @@
 use crate::layout;
 use crate::store;
 
-/// How often every VM lists the store, whatever it hears from others.
-const POLL: time::Duration = time::Duration::from_secs(60);
-/// How long one watch waits. A watch that has gone silent for good costs this
-/// and the client's grace.
-const WATCH: time::Duration = time::Duration::from_secs(2);
-/// Watches after which the prefix is listed, as a check of the revision.
-const WATCHES: u32 = 5;
-/// How often a VM that is no watcher looks whether it has become one.
-const IDLE: time::Duration = time::Duration::from_millis(500);
-/// Waits after a failed call.
-const BACKOFF: (time::Duration, time::Duration) = (
+/// Time between two listings of the store by every VM, whatever it receives from
+/// others.
+const POLL_INTERVAL: time::Duration = time::Duration::from_secs(60);
+/// Time that one watch waits for changes. A watch whose connection is dead costs
+/// this and the client's grace period.
+const WATCH_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Watches between two listings of the prefix, which verify the revision.
+const WATCHES_PER_LISTING: u32 = 5;
+/// Time between two checks of a VM that isn't a watcher whether it became one.
+const ROLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Minimum and maximum delay after a failed call.
+const BACKOFF_RANGE: (time::Duration, time::Duration) = (
     time::Duration::from_millis(100),
     time::Duration::from_secs(2),
 );
 
-/// What was read before.
+/// Object versions that were read, and problems found in layouts.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
     state: sync::Mutex<State>,
@@ -39,6 +40,7 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Version that was last read of each object, by key.
     objects: collections::BTreeMap<String, ids::ObjectVersion>,
     layout_findings: collections::BTreeMap<ids::Service, Vec<finding::Finding>>,
 }
@@ -50,15 +52,15 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    fn note(&self, key: String, version: ids::ObjectVersion) {
+    fn set_version(&self, key: String, version: ids::ObjectVersion) {
         self.lock().objects.insert(key, version);
     }
 
-    fn noted(&self, key: &str) -> Option<ids::ObjectVersion> {
+    fn version(&self, key: &str) -> Option<ids::ObjectVersion> {
         self.lock().objects.get(key).copied()
     }
 
-    /// What is wrong with the layout that the store holds.
+    /// Returns the problems of the layout that the store holds.
     pub(super) fn layout_findings(&self, service: &ids::Service) -> Vec<finding::Finding> {
         let state = self.lock();
         state
@@ -75,33 +77,33 @@
     }
 }
 
-/// What a followed prefix shows.
+/// Result of listing or watching a prefix.
 #[derive(Debug)]
-pub(super) enum News {
-    /// Everything below it.
+pub(super) enum Update {
+    /// All objects below the prefix.
     Listed(store::Listing),
-    /// What changed.
+    /// The objects that changed.
     Changed(Vec<store::Change>),
 }
 
 /// Lists and watches a prefix while this VM is a watcher.
 ///
-/// Failure: a watch's connection goes silent for good, and edits reach nobody.
-/// Each watch is bounded, and after a few the prefix is listed. A store that
-/// was set back shows a lower revision, and the prefix is listed too.
+/// If the connection of a watch dies silently, edits would reach no VM. So each
+/// watch has a timeout, and after a few watches the prefix is listed. It is also
+/// listed if the revision is lower, because the store was set back.
 pub(super) async fn follow(
     inner: sync::Arc<service::Inner>,
     prefix: &'static str,
-    news: channel::mpsc::Sender<News>,
+    updates: channel::mpsc::Sender<Update>,
 ) {
-    let mut backoff = store::Backoff::new(BACKOFF.0, BACKOFF.1);
+    let mut backoff = store::Backoff::new(BACKOFF_RANGE.0, BACKOFF_RANGE.1);
     while !inner.timer.stop().is_cancelled() {
         if inner.rank().is_none() {
-            inner.timer.sleep(IDLE).await;
+            inner.timer.sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        if let Err(error) = follow_once(&inner, prefix, &news).await {
-            log::debug!("following {prefix}: {error}");
+        if let Err(error) = follow_once(&inner, prefix, &updates).await {
+            log::debug!("failed to follow {prefix}: {error}");
             inner.timer.sleep(backoff.failed(rand::random())).await;
             continue;
         }
@@ -113,14 +115,14 @@
 async fn follow_once(
     inner: &service::Inner,
     prefix: &str,
-    news: &channel::mpsc::Sender<News>,
+    updates: &channel::mpsc::Sender<Update>,
 ) -> Result<(), store::Error> {
     let listing = inner.store.list(prefix).await?;
     let mut revision = listing.revision;
-    let _ = news.send(News::Listed(listing)).await;
-    for _ in 0..WATCHES {
+    let _ = updates.send(Update::Listed(listing)).await;
+    for _ in 0..WATCHES_PER_LISTING {
         let watched = tokio::select! {
-            watched = inner.store.watch(prefix, revision, WATCH) => watched?,
+            watched = inner.store.watch(prefix, revision, WATCH_TIMEOUT) => watched?,
             () = inner.timer.stop().cancelled() => return Ok(()),
         };
         if watched.revision < revision || inner.rank().is_none() {
@@ -128,60 +130,60 @@
         }
         revision = watched.revision;
         if !watched.changes.is_empty() {
-            let _ = news.send(News::Changed(watched.changes)).await;
+            let _ = updates.send(Update::Changed(watched.changes)).await;
         }
     }
     Ok(())
 }
 
-/// Follows accepted records or layouts.
+/// Reads accepted records or layouts when they change, while this VM is a watcher.
 pub(super) async fn watch(inner: sync::Arc<service::Inner>, kind: held::Kind) {
-    let (news, mut to_read) = channel::mpsc::channel(8);
-    tokio::spawn(follow(inner.clone(), prefix(kind), news));
-    while let Some(news) = to_read.recv().await {
-        let read = match news {
-            News::Listed(listing) => listed(&inner, kind, &listing).await,
-            News::Changed(changes) => changed(&inner, kind, &changes).await,
+    let (updates, mut received) = channel::mpsc::channel(8);
+    tokio::spawn(follow(inner.clone(), prefix(kind), updates));
+    while let Some(update) = received.recv().await {
+        let result = match update {
+            Update::Listed(listing) => handle_listing(&inner, kind, &listing).await,
+            Update::Changed(changes) => handle_changes(&inner, kind, &changes).await,
         };
-        if let Err(error) = read {
-            log::debug!("reading {}: {error}", prefix(kind));
+        if let Err(error) = result {
+            log::debug!("failed to read {}: {error}", prefix(kind));
         }
     }
 }
 
-/// Loads everything at the start, and lists it now and then.
+/// Loads all documents and layouts at the start, and again at every poll interval.
 pub(super) async fn poll(inner: sync::Arc<service::Inner>) {
-    let mut backoff = store::Backoff::new(BACKOFF.0, BACKOFF.1);
+    let mut backoff = store::Backoff::new(BACKOFF_RANGE.0, BACKOFF_RANGE.1);
     while let Err(error) = load_all(&inner).await {
-        log::warn!("the accepted documents can't be read: {error}");
+        log::warn!("failed to load documents and layouts: {error}");
         inner.handle(spread::Event::StoreFailed);
         if !inner.timer.sleep(backoff.failed(rand::random())).await {
             return;
         }
     }
     inner.handle(spread::Event::Loaded);
-    let mut ticks = inner.timer.jittered(POLL);
+    let mut ticks = inner.timer.jittered(POLL_INTERVAL);
     while let Some(()) = ticks.tick().await {
         if let Err(error) = load_all(&inner).await {
-            log::warn!("the accepted documents can't be read: {error}");
+            log::warn!("failed to load documents and layouts: {error}");
         }
     }
 }
 
-/// Reads what the machine couldn't get from peers.
+/// Reads the services that the state machine couldn't get from peers.
 pub(super) async fn fetch_wanted(
     inner: sync::Arc<service::Inner>,
-    mut wanted: channel::mpsc::Receiver<ids::Service>,
+    mut services: channel::mpsc::Receiver<ids::Service>,
 ) {
     loop {
         let service = tokio::select! {
-            service = wanted.recv() => service,
+            service = services.recv() => service,
             () = inner.timer.stop().cancelled() => return,
         };
         let Some(service) = service else { return };
         for kind in [held::Kind::Document, held::Kind::Layout] {
             if let Err(error) = fetch(&inner, kind, &service).await {
-                log::debug!("reading the {kind} of {service}: {error}");
+                log::debug!("failed to read the {kind} of {service}: {error}");
             }
         }
     }
@@ -190,30 +192,30 @@
 async fn load_all(inner: &service::Inner) -> Result<(), store::Error> {
     for kind in [held::Kind::Document, held::Kind::Layout] {
         let listing = inner.store.list(prefix(kind)).await?;
-        listed(inner, kind, &listing).await?;
+        handle_listing(inner, kind, &listing).await?;
     }
     inner.instruments.store_answered(inner.clock);
     Ok(())
 }
 
-async fn listed(
+async fn handle_listing(
     inner: &service::Inner,
     kind: held::Kind,
     listing: &store::Listing,
 ) -> Result<(), store::Error> {
-    changed(inner, kind, &listing.changes).await?;
+    handle_changes(inner, kind, &listing.changes).await?;
     if kind == held::Kind::Document {
         let keys: collections::BTreeSet<_> = listing.changes.iter().map(|c| &c.key).collect();
         let held: Vec<_> = inner.with(|spread| spread.held().services().cloned().collect());
         let lacking = held
             .into_iter()
             .filter(|id| !keys.contains(&document::accepted_key(id)));
-        lacking.for_each(|service| look(inner, service));
+        lacking.for_each(|service| request_check(inner, service));
     }
     Ok(())
 }
 
-async fn changed(
+async fn handle_changes(
     inner: &service::Inner,
     kind: held::Kind,
     changes: &[store::Change],
@@ -225,9 +227,9 @@
         };
         let held = inner.with(|spread| spread.held().object(&service, kind));
         let known =
-            held == change.version || inner.reads.noted(&change.key) == Some(change.version);
+            held == change.version || inner.reads.version(&change.key) == Some(change.version);
         if change.version == ids::ObjectVersion(0) {
-            look(inner, service);
+            request_check(inner, service);
         } else if !known {
             fetch(inner, kind, &service).await?;
         }
@@ -235,12 +237,12 @@
     Ok(())
 }
 
-fn look(inner: &service::Inner, service: ids::Service) {
-    // A full queue drops it; the next listing brings it back.
-    let _ = inner.looks.try_send(service);
+fn request_check(inner: &service::Inner, service: ids::Service) {
+    // If the queue is full, the next listing requests the check again.
+    let _ = inner.checks.try_send(service);
 }
 
-/// Reads one part and hands it to the machine.
+/// Reads one part and passes it to the state machine.
 async fn fetch(
     inner: &service::Inner,
     kind: held::Kind,
@@ -252,26 +254,26 @@
         Err(store::Error::Missing { .. }) => return Ok(()),
         Err(error) => return Err(error),
     };
-    inner.reads.note(key, object.version);
+    inner.reads.set_version(key, object.version);
     match kind {
-        held::Kind::Document => document(inner, service, &object),
-        held::Kind::Layout => layout(inner, service, &object),
+        held::Kind::Document => handle_document(inner, service, &object),
+        held::Kind::Layout => handle_layout(inner, service, &object),
     }
     Ok(())
 }
 
-fn document(inner: &service::Inner, service: &ids::Service, object: &store::Object) {
+fn handle_document(inner: &service::Inner, service: &ids::Service, object: &store::Object) {
     let Ok(record) = serde_json::from_slice::<keeper::Accepted>(&object.body) else {
-        return look(inner, service.clone());
+        return request_check(inner, service.clone());
     };
     let held = inner.with(|spread| spread.held().version(service, held::Kind::Document));
     if record.generation.0 < held {
-        look(inner, service.clone());
+        request_check(inner, service.clone());
     }
     offer(inner, service, &record, object.version);
 }
 
-/// Hands an accepted record to the machine.
+/// Passes an accepted record to the state machine.
 pub(super) fn offer(
     inner: &service::Inner,
     service: &ids::Service,
@@ -289,7 +291,7 @@
     inner.handle(event);
 }
 
-fn layout(inner: &service::Inner, service: &ids::Service, object: &store::Object) {
+fn handle_layout(inner: &service::Inner, service: &ids::Service, object: &store::Object) {
     let file = layout::key(service);
     let text = String::from_utf8_lossy(&object.body);
     let (layout, findings) = match document::parse_layout(&file, &text) {
--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -1,9 +1,10 @@
-//! Service documents: what a team's service needs, and what is in force.
+//! Service documents: a team's settings for its service, and their distribution.
 //!
-//! A team's text stands in the store as `documents/{service}`. A keeper checks
-//! it and writes `accepted/{service}` with the next generation; VMs apply
-//! accepted generations only, and only upwards. `status/{service}` tells
-//! operators what became of the text and where it is in force.
+//! A team writes its text to the store as `documents/{service}`. A keeper checks
+//! it and writes `accepted/{service}` with the next generation. VMs apply only
+//! accepted documents, and never a lower generation than before.
+//! `status/{service}` shows operators whether the text was accepted and on how
+//! many VMs it is in force.
 
 mod catalog;
 mod fields;
@@ -11,10 +12,11 @@
 mod held;
 mod instruments;
 mod join;
-mod keep;
 pub mod keeper;
+mod keeper_task;
 mod layout_text;
 mod load;
+mod missing;
 mod report;
 mod roles;
 mod schema;
@@ -22,7 +24,6 @@
 mod spread;
 mod status;
 mod tally;
-mod want;
 
 pub use catalog::Catalog;
 pub use catalog::InForce;
@@ -50,26 +51,26 @@
 
 use crate::ids;
 
-/// Prefix of the teams' texts.
+/// Store key prefix of the teams' texts.
 pub const TEXTS: &str = "documents/";
-/// Prefix of the accepted records.
+/// Store key prefix of the accepted records.
 pub const ACCEPTED: &str = "accepted/";
-/// Prefix of the status objects.
+/// Store key prefix of the status objects.
 pub const STATUS: &str = "status/";
-/// Prefix of the layouts.
+/// Store key prefix of the layouts.
 pub const LAYOUTS: &str = "layouts/";
 
-/// Store key of a service's text.
+/// Returns the store key of a service's text.
 pub fn text_key(service: &ids::Service) -> String {
     format!("{TEXTS}{service}")
 }
 
-/// Store key of a service's accepted record.
+/// Returns the store key of a service's accepted record.
 pub fn accepted_key(service: &ids::Service) -> String {
     format!("{ACCEPTED}{service}")
 }
 
-/// Store key of a service's status.
+/// Returns the store key of a service's status.
 pub fn status_key(service: &ids::Service) -> String {
     format!("{STATUS}{service}")
 }
--- a/crates/geraniumgauge/src/document/report.rs
+++ b/crates/geraniumgauge/src/document/report.rs
@@ -1,9 +1,9 @@
-//! When this VM tells the keeper what it applies.
+//! Schedules the reports of applied versions that this VM sends to the keeper.
 //!
-//! After a change only what changed goes out, else a digest: at 2,200 VMs one
-//! edit would otherwise bring the keeper megabytes at once. A keeper whose
-//! record doesn't fit the digest asks for the full list, so a lost report or a
-//! new keeper costs one round.
+//! After a change a report lists only the changed services; otherwise it is a
+//! digest. With full reports, one edit at 2,200 VMs would send the keeper
+//! megabytes at once. A keeper whose record doesn't match the digest requests
+//! the full list, so a lost report or a new keeper costs one round trip.
 
 use std::time;
 
@@ -11,69 +11,75 @@
 use crate::mesh::message;
 use crate::time as clock;
 
-/// How soon a report with changes is followed by its digest, where the keeper
+/// Time after which a report with changes is followed by a digest if the keeper
 /// hasn't answered.
-const AGAIN: time::Duration = time::Duration::from_secs(1);
-/// How often the digest is sent.
-const REFRESH: time::Duration = time::Duration::from_secs(10);
+const UNANSWERED_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Time between two digests while nothing changes.
+const REFRESH_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
-/// What was told, and when it is told again.
+/// The last report and the times of the next ones.
 #[derive(Debug)]
 pub(super) struct Report {
-    /// The keeper, and what it was told in all; `None` where it needs everything.
-    told: Option<(ids::Vm, Vec<message::Have>)>,
-    /// When a change is to be reported.
-    due: Option<clock::Moment>,
-    /// When the report is repeated in any case.
-    again: clock::Moment,
+    /// The keeper and all versions reported to it; `None` if it needs a full report.
+    reported: Option<(ids::Vm, Vec<message::Have>)>,
+    /// Time at which a change is reported.
+    change_due: Option<clock::Moment>,
+    /// Time of the next report if nothing changes.
+    repeat_at: clock::Moment,
 }
 
 impl Report {
-    /// Nothing is told yet.
+    /// Creates a state in which nothing was reported and a full report is due.
     pub(super) fn new(now: clock::Moment) -> Self {
         Self {
-            told: None,
-            due: Some(now),
-            again: now,
+            reported: None,
+            change_due: Some(now),
+            repeat_at: now,
         }
     }
 
-    /// Sends the full list next.
-    pub(super) fn renew(&mut self, now: clock::Moment) {
-        self.told = None;
-        self.due = Some(now);
+    /// Makes the next report a full one, due now.
+    pub(super) fn reset(&mut self, now: clock::Moment) {
+        self.reported = None;
+        self.change_due = Some(now);
     }
 
-    /// Reports at `at` at the latest.
-    pub(super) fn soon(&mut self, at: clock::Moment) {
-        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+    /// Makes a report due at `at` or earlier.
+    pub(super) fn schedule(&mut self, at: clock::Moment) {
+        self.change_due = Some(self.change_due.map_or(at, |due| due.min(at)));
     }
 
-    /// The keeper's record fits.
-    pub(super) fn fits(&mut self, now: clock::Moment) {
-        self.again = now + REFRESH;
+    /// Records that the keeper's record matches the digest.
+    pub(super) fn confirmed(&mut self, now: clock::Moment) {
+        self.repeat_at = now + REFRESH_INTERVAL;
     }
 
-    /// What to send to `keeper` now, where `have` is what this VM applies; an
-    /// empty list stands for the digest alone.
+    /// Returns the versions to report to `keeper` if a report is due; an empty
+    /// list means that the digest is sent alone. `have` returns all applied
+    /// versions.
     pub(super) fn next(
         &mut self,
         keeper: &ids::Vm,
         have: impl FnOnce() -> Vec<message::Have>,
         now: clock::Moment,
     ) -> Option<Vec<message::Have>> {
-        let due = self.due.is_some_and(|due| due <= now) || self.again <= now;
+        let due = self.change_due.is_some_and(|due| due <= now) || self.repeat_at <= now;
         if !due {
             return None;
         }
         let have = have();
-        let told = self.told.as_ref().filter(|(vm, _)| vm == keeper);
-        let known = told.map_or(&[][..], |(_, have)| have);
-        let changed = have.iter().filter(|one| !known.contains(one));
+        let reported = self.reported.as_ref().filter(|(vm, _)| vm == keeper);
+        let known = reported.map_or(&[][..], |(_, have)| have);
+        let changed = have.iter().filter(|have| !known.contains(have));
         let changed: Vec<_> = changed.cloned().collect();
-        self.due = None;
-        self.again = now + if changed.is_empty() { REFRESH } else { AGAIN };
-        self.told = Some((keeper.clone(), have));
+        self.change_due = None;
+        self.repeat_at = now
+            + if changed.is_empty() {
+                REFRESH_INTERVAL
+            } else {
+                UNANSWERED_INTERVAL
+            };
+        self.reported = Some((keeper.clone(), have));
         Some(changed)
     }
 }
--- a/crates/geraniumgauge/src/document/schema.rs
+++ b/crates/geraniumgauge/src/document/schema.rs
@@ -1,45 +1,45 @@
-//! The values of a service document, with the defaults of a new service.
+//! The settings in a service document, and their defaults.
 
 use std::time;
 
 use crate::ids;
 use crate::rate;
 
-/// What the team asks of its service. Values are within their ranges once a
-/// document is accepted.
+/// A team's settings for its service. In an accepted document, all values are
+/// within their ranges.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Document {
     /// The team that owns the service.
     pub team: ids::Team,
-    /// What counts more once time gets short.
+    /// Whether coverage or latency has priority when time runs short.
     pub objective: Objective,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that doesn't set one.
     #[serde(rename = "deadline_ms", with = "millis")]
     pub deadline: time::Duration,
     /// Longest deadline a caller may ask for.
     #[serde(rename = "max_deadline_ms", with = "millis")]
     pub max_deadline: time::Duration,
-    /// When [`Objective::Latency`] answers with what it has.
+    /// Time after which [`Objective::Latency`] answers with the shards received so far.
     #[serde(rename = "latency_target_ms", with = "millis")]
     pub latency_target: time::Duration,
-    /// Least share of shards covered for an answer at the latency target.
+    /// Minimum share of covered shards for an answer at the latency target.
     pub min_coverage: rate::Share,
-    /// What extra load on upstreams may cost.
+    /// Limits on hedges and retries.
     pub budgets: Budgets,
-    /// What one VM admits and how wide fan-outs are guarded.
+    /// Limits on concurrent requests and on fan-outs without a canary.
     pub limits: Limits,
     /// Objectives of the burn report.
     pub slo: Slo,
     /// How long a registration's claim and outcome are kept.
     #[serde(rename = "ledger_window_s", with = "seconds")]
     pub ledger_window: time::Duration,
-    /// Ends the service: requests are refused with 404.
+    /// Set to end the service: its requests are refused with 404.
     pub retired: bool,
 }
 
-/// What an answer gives up last.
+/// The property of an answer that has priority when time runs short.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(
     serde::Serialize,
@@ -58,27 +58,27 @@
     Latency,
 }
 
-/// Shares of first attempts that may be spent on extra ones.
+/// Limits on extra attempts, as shares of the first attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Budgets {
-    /// Hedges a first attempt.
+    /// Maximum hedges per first attempt.
     pub hedge: rate::Share,
-    /// Retries a first attempt.
+    /// Maximum retries per first attempt.
     pub retry: rate::Share,
     /// Quantile of shard call times after which a call is hedged.
     pub hedge_quantile: rate::Share,
 }
 
-/// Limits on one VM.
+/// Limits that each VM applies.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Searches of the service that run at once at one entry.
+    /// Maximum concurrent searches of the service at one coordinator.
     pub searches: u32,
-    /// Registrations of the service that run at once at one entry.
+    /// Maximum concurrent registrations of the service at one coordinator.
     pub registrations: u32,
     /// Fan-outs of at least this many shards start with a canary.
     pub canary_width: u32,
@@ -89,13 +89,13 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Slo {
-    /// Answered within the deadline.
+    /// Share of requests answered within the deadline.
     pub in_time: rate::Share,
-    /// Answered with every shard covered.
+    /// Share of requests answered with every shard covered.
     pub complete: rate::Share,
-    /// Not refused.
+    /// Share of requests that aren't refused.
     pub accepted: rate::Share,
-    /// Shard calls that were first attempts.
+    /// Share of shard calls that are first attempts.
     pub first_attempts: rate::Share,
 }
 
@@ -120,7 +120,7 @@
 static DEFAULT_TEAM: std::sync::LazyLock<ids::Team> = std::sync::LazyLock::new(|| {
     #[expect(
         clippy::expect_used,
-        reason = "the text is a constant that its test reads"
+        reason = "the text is a constant and covered by a test"
     )]
     "unnamed".parse().expect("a valid team name")
 });
@@ -160,10 +160,10 @@
     use std::time;
 
     pub(super) fn serialize<S: serde::Serializer>(
-        span: &time::Duration,
+        duration: &time::Duration,
         out: S,
     ) -> Result<S::Ok, S::Error> {
-        out.serialize_u64(crate::time::millis(*span))
+        out.serialize_u64(crate::time::millis(*duration))
     }
 
     pub(super) fn deserialize<'de, D: serde::Deserializer<'de>>(
@@ -177,10 +177,10 @@
     use std::time;
 
     pub(super) fn serialize<S: serde::Serializer>(
-        span: &time::Duration,
+        duration: &time::Duration,
         out: S,
     ) -> Result<S::Ok, S::Error> {
-        out.serialize_u64(span.as_secs())
+        out.serialize_u64(duration.as_secs())
     }
 
     pub(super) fn deserialize<'de, D: serde::Deserializer<'de>>(
--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -1,4 +1,4 @@
-//! Carries out the machines' actions: one VM's document service.
+//! The document service of one VM, which runs the state machine and the tasks.
 
 use std::sync;
 use std::time;
@@ -9,7 +9,7 @@
 use crate::document;
 use crate::document::held;
 use crate::document::instruments;
-use crate::document::keep;
+use crate::document::keeper_task;
 use crate::document::load;
 use crate::document::roles;
 use crate::document::spread;
@@ -21,36 +21,38 @@
 use crate::time as clock;
 use crate::timer;
 
-/// How often the machines are given the time.
-const TICK: time::Duration = time::Duration::from_millis(100);
-/// Reads of the store that may wait; more are dropped and asked for again.
-const FETCHES: usize = 256;
+/// Time between two ticks of the state machine.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Services that may wait for a read of the store. Further ones are dropped and
+/// requested again.
+const QUEUE_CAPACITY: usize = 256;
 
-/// Which VM this is.
+/// Identity of this VM.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// Name of the VM.
     pub vm: ids::Vm,
-    /// Where it runs.
+    /// Data centre in which the VM runs.
     pub data_centre: ids::DataCentre,
 }
 
-/// Passes rumours on; the membership service does.
+/// Publishes and receives gossip updates; implemented by the membership service.
 pub trait Gossip: Send + Sync {
-    /// Starts a rumour at this VM.
-    fn publish(&self, rumour: member::Update);
+    /// Publishes an update to all VMs.
+    fn publish(&self, update: member::Update);
 
-    /// Rumours that this VM hears for the first time.
+    /// Subscribes to the updates that this VM receives for the first time.
     fn rumours(&self) -> channel::broadcast::Receiver<member::Update>;
 }
 
-/// One VM's document service; clones share it. It ends with its timer service.
+/// One VM's document service; clones share its state. It stops with its timer
+/// service.
 #[derive(Clone)]
 pub struct Service {
     inner: sync::Arc<Inner>,
 }
 
-/// What the tasks share.
+/// State shared by the tasks.
 pub(super) struct Inner {
     pub(super) config: Config,
     pub(super) catalog: document::Catalog,
@@ -59,8 +61,9 @@
     pub(super) timer: timer::Service,
     pub(super) instruments: instruments::Instruments,
     pub(super) reads: load::Reads,
-    /// Services whose record the store lacks or holds in an older state.
-    pub(super) looks: channel::mpsc::Sender<ids::Service>,
+    /// Services that the keeper has to check, because their record in the store is
+    /// missing or outdated.
+    pub(super) checks: channel::mpsc::Sender<ids::Service>,
     post: sync::Arc<dyn mesh::Sender>,
     gossip: sync::Arc<dyn Gossip>,
     spread: sync::Mutex<spread::Spread>,
@@ -68,21 +71,21 @@
     fetches: channel::mpsc::Sender<ids::Service>,
 }
 
-/// What a service is started with.
+/// Dependencies of the service.
 pub struct Parts {
-    /// What is in force on this VM; the service fills it.
+    /// Documents and layouts in force on this VM; the service updates it.
     pub catalog: document::Catalog,
-    /// The membership.
+    /// The membership view.
     pub view: channel::watch::Receiver<member::SharedView>,
-    /// Frames to other VMs.
+    /// Sends frames to other VMs.
     pub post: sync::Arc<dyn mesh::Sender>,
-    /// Rumours to and from other VMs.
+    /// Exchanges gossip updates with other VMs.
     pub gossip: sync::Arc<dyn Gossip>,
     /// The platform's object API.
     pub store: sync::Arc<dyn store::Api>,
-    /// Both clocks.
+    /// Wall clock and monotonic clock.
     pub clock: clock::Clock,
-    /// Ends the service when it is stopped.
+    /// Stops the service when it is stopped itself.
     pub timer: timer::Service,
 }
 
@@ -90,8 +93,8 @@
     /// Starts the tasks. Call within a tokio runtime.
     pub fn start(config: Config, parts: Parts, meter: &metrics::Meter) -> Self {
         let (ready, _) = channel::watch::channel(false);
-        let (fetches, to_fetch) = channel::mpsc::channel(FETCHES);
-        let (looks, to_look) = channel::mpsc::channel(FETCHES);
+        let (fetches, to_fetch) = channel::mpsc::channel(QUEUE_CAPACITY);
+        let (checks, to_check) = channel::mpsc::channel(QUEUE_CAPACITY);
         let now = parts.clock.now();
         let seed = rand::random();
         let spread = spread::Spread::new(config.vm.clone(), seed, now);
@@ -103,42 +106,42 @@
             clock: parts.clock,
             timer: parts.timer,
             reads: load::Reads::default(),
-            looks,
+            checks,
             post: parts.post,
             gossip: parts.gossip,
             spread: sync::Mutex::new(spread),
             ready,
             fetches,
         });
-        inner.view(&parts.view.borrow());
-        tokio::spawn(drive(inner.clone(), parts.view));
+        inner.update_view(&parts.view.borrow());
+        tokio::spawn(run(inner.clone(), parts.view));
         tokio::spawn(load::fetch_wanted(inner.clone(), to_fetch));
         tokio::spawn(load::poll(inner.clone()));
         tokio::spawn(load::watch(inner.clone(), held::Kind::Document));
         tokio::spawn(load::watch(inner.clone(), held::Kind::Layout));
-        keep::start(&inner, to_look);
+        keeper_task::start(&inner, to_check);
         Self { inner }
     }
 
-    /// Takes a peer's question. Doesn't block.
+    /// Handles a request or digest of a peer. Doesn't block.
     pub fn pull(&self, from: &ids::Vm, pull: message::Pull) {
         self.inner.handle(spread::Event::Pull(from.clone(), pull));
     }
 
-    /// Takes a peer's answer. Doesn't block.
+    /// Handles an answer of a peer. Doesn't block.
     pub fn pulled(&self, from: &ids::Vm, pulled: message::Pulled) {
         self.inner
             .handle(spread::Event::Pulled(from.clone(), pulled));
     }
 
-    /// True once this VM holds the accepted set.
+    /// Returns a receiver that turns true once this VM may accept requests.
     pub fn ready(&self) -> channel::watch::Receiver<bool> {
         self.inner.ready.subscribe()
     }
 }
 
 impl Inner {
-    /// Gives the machine one event and carries its actions out.
+    /// Passes an event to the state machine and carries its actions out.
     pub(super) fn handle(&self, event: spread::Event) {
         let actions = self.lock().handle(event, self.clock.now());
         for action in actions {
@@ -146,12 +149,12 @@
         }
     }
 
-    /// Looks at the machine.
-    pub(super) fn with<T>(&self, look: impl FnOnce(&spread::Spread) -> T) -> T {
-        look(&self.lock())
+    /// Calls `read` with the state machine.
+    pub(super) fn with<T>(&self, read: impl FnOnce(&spread::Spread) -> T) -> T {
+        read(&self.lock())
     }
 
-    /// This VM's place among the watchers; 0 is the keeper.
+    /// Returns this VM's index among the watchers; 0 is the keeper.
     pub(super) fn rank(&self) -> Option<usize> {
         self.with(|spread| spread.roles().rank(&self.config.vm))
     }
@@ -162,7 +165,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    fn view(&self, view: &member::View) {
+    fn update_view(&self, view: &member::View) {
         let roles = roles::Roles::of(view, &self.config.data_centre);
         self.handle(spread::Event::View(roles));
     }
@@ -171,18 +174,18 @@
         match action {
             spread::Action::Apply(service, content) => self.apply(&service, content),
             spread::Action::Send(to, body) => {
-                // A frame that isn't taken is sent again: every question has a retry.
+                // Every request is retried, so a frame that can't be sent is dropped.
                 if let Err(error) = self.post.send(&to, body) {
                     log::debug!("{error}");
                 }
             }
-            spread::Action::Publish(rumour) => self.gossip.publish(rumour),
+            spread::Action::Publish(update) => self.gossip.publish(update),
             spread::Action::Fetch(service) => {
-                // A full queue drops it; the machine asks again.
+                // If the queue is full, the state machine requests the read again.
                 let _ = self.fetches.try_send(service);
             }
             spread::Action::Ready(source) => {
-                log::info!("the accepted documents were had from {source}");
+                log::info!("ready: documents and layouts were confirmed by {source}");
                 self.ready.send_replace(true);
             }
         }
@@ -207,27 +210,29 @@
     }
 }
 
-async fn drive(inner: sync::Arc<Inner>, mut view: channel::watch::Receiver<member::SharedView>) {
-    let mut ticks = inner.timer.every(TICK, TICK.mul_f64(rand::random()));
-    let mut rumours = inner.gossip.rumours();
-    let mut views = true;
-    let mut gossip = true;
+async fn run(inner: sync::Arc<Inner>, mut view: channel::watch::Receiver<member::SharedView>) {
+    let mut ticks = inner
+        .timer
+        .every(TICK_INTERVAL, TICK_INTERVAL.mul_f64(rand::random()));
+    let mut updates = inner.gossip.rumours();
+    let mut views_open = true;
+    let mut gossip_open = true;
     loop {
         tokio::select! {
             tick = ticks.tick() => {
                 let Some(()) = tick else { return };
                 inner.handle(spread::Event::Tick);
             }
-            changed = view.changed(), if views => {
-                views = changed.is_ok();
+            changed = view.changed(), if views_open => {
+                views_open = changed.is_ok();
                 let newest = view.borrow_and_update().clone();
-                inner.view(&newest);
+                inner.update_view(&newest);
             }
-            heard = rumours.recv(), if gossip => match heard {
-                Ok(rumour) => inner.handle(spread::Event::Rumour(rumour)),
-                // What was missed is found by comparing with peers.
+            received = updates.recv(), if gossip_open => match received {
+                Ok(update) => inner.handle(spread::Event::Update(update)),
+                // Missed updates are found by comparing digests with peers.
                 Err(channel::broadcast::error::RecvError::Lagged(_)) => {}
-                Err(channel::broadcast::error::RecvError::Closed) => gossip = false,
+                Err(channel::broadcast::error::RecvError::Closed) => gossip_open = false,
             }
         }
     }
--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -1,9 +1,10 @@
-//! How accepted documents and layouts reach every VM.
+//! State machine that distributes accepted documents and layouts to every VM.
 //!
-//! Watchers read the store; the others hear of a newer version by rumour and
-//! pull it from a peer. Besides, each VM compares digests with a random peer
-//! every two seconds, so that a lost rumour costs seconds and not for ever.
-//! Versions only grow, so loss, delay, doubles and replays change nothing else.
+//! Watchers read the store. The other VMs learn of newer versions by gossip and
+//! pull them from a peer. In addition, each VM compares digests with a random
+//! peer every two seconds, so a lost gossip update delays a version by seconds
+//! only. Versions only grow, so lost, delayed, duplicated and replayed messages
+//! do no other harm.
 
 use std::collections;
 use std::mem;
@@ -16,50 +17,52 @@
 use crate::document::frames;
 use crate::document::held;
 use crate::document::join;
+use crate::document::missing;
 use crate::document::report;
 use crate::document::roles;
 use crate::document::tally;
-use crate::document::want;
 use crate::ids;
 use crate::member;
 use crate::mesh::message;
 use crate::time as clock;
 
-/// Time for a peer to fetch what it was told of, before it is told again.
-const TOLD: time::Duration = time::Duration::from_millis(250);
-/// How often a VM compares what it applies with a peer.
-const COMPARE: time::Duration = time::Duration::from_secs(2);
-/// Longest wait of a report after a change: all VMs change together.
-const REPORT_JITTER: time::Duration = time::Duration::from_millis(300);
-/// What happens to the machine.
+/// Time that a peer has to pull newer versions before it is notified again.
+const NOTIFY_INTERVAL: time::Duration = time::Duration::from_millis(250);
+/// Time between two comparisons of digests with a random peer.
+const COMPARE_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// Maximum random delay of a report after a change, since all VMs change at the
+/// same time.
+const MAX_REPORT_JITTER: time::Duration = time::Duration::from_millis(300);
+
+/// Input of the state machine.
 #[derive(Debug)]
 pub(super) enum Event {
     /// The membership changed.
     View(roles::Roles),
-    /// A member passed something on.
-    Rumour(member::Update),
-    /// A peer asks.
+    /// A gossip update was received.
+    Update(member::Update),
+    /// A peer sent a request or a digest.
     Pull(ids::Vm, message::Pull),
-    /// A peer answers.
+    /// A peer sent an answer.
     Pulled(ids::Vm, message::Pulled),
     /// A part was read from the store.
     Stored(ids::Service, held::Kind, held::Part),
-    /// Everything that the store lists is held.
+    /// Everything that the store lists was read.
     Loaded,
-    /// The store didn't answer.
+    /// Reading the store failed.
     StoreFailed,
     /// Time has passed.
     Tick,
 }
 
-/// What to do about it.
+/// Output of the state machine.
 #[derive(Debug)]
 pub(super) enum Action {
-    /// Put this in force.
+    /// Put a document or layout in force.
     Apply(ids::Service, held::Content),
-    /// Tell a peer.
+    /// Send a frame to a peer.
     Send(ids::Vm, message::Body),
-    /// Tell everybody.
+    /// Publish a gossip update.
     Publish(member::Update),
     /// Read both parts of a service from the store.
     Fetch(ids::Service),
@@ -67,27 +70,28 @@
     Ready(join::Source),
 }
 
-/// One VM's part in spreading.
+/// State of one VM.
 #[derive(Debug)]
 pub(super) struct Spread {
     local: ids::Vm,
     held: held::Held,
     digest: u64,
     roles: roles::Roles,
-    wanted: want::Wanted,
-    rumoured: collections::BTreeMap<(held::Kind, ids::Service), u64>,
+    missing: missing::Versions,
+    /// Highest version that was received or published by gossip.
+    gossiped: collections::BTreeMap<(held::Kind, ids::Service), u64>,
     tally: tally::Tally,
     join: join::Join,
     report: report::Report,
-    compare: clock::Moment,
-    /// When a peer may be told again what it lacks.
-    push: clock::Moment,
+    next_compare: clock::Moment,
+    /// Time from which a peer may be notified again of newer versions.
+    next_notify: clock::Moment,
     random: rand::rngs::StdRng,
     actions: Vec<Action>,
 }
 
 impl Spread {
-    /// A VM that holds nothing yet.
+    /// Creates the state of a VM that holds nothing yet.
     pub(super) fn new(local: ids::Vm, seed: u64, now: clock::Moment) -> Self {
         let held = held::Held::default();
         Self {
@@ -95,29 +99,29 @@
             digest: held.digest(),
             held,
             roles: roles::Roles::default(),
-            wanted: want::Wanted::default(),
-            rumoured: collections::BTreeMap::new(),
+            missing: missing::Versions::default(),
+            gossiped: collections::BTreeMap::new(),
             tally: tally::Tally::default(),
             join: join::Join::new(now),
             report: report::Report::new(now),
-            compare: now,
-            push: now,
+            next_compare: now,
+            next_notify: now,
             random: rand::rngs::StdRng::seed_from_u64(seed),
             actions: Vec::new(),
         }
     }
 
-    /// Takes one event.
+    /// Handles one event and returns the actions to carry out.
     pub(super) fn handle(&mut self, event: Event, now: clock::Moment) -> Vec<Action> {
         match event {
             Event::View(roles) => self.view(roles, now),
-            Event::Rumour(rumour) => self.rumour(&rumour, now),
+            Event::Update(update) => self.update(&update, now),
             Event::Pull(from, pull) => self.pull(&from, pull, now),
             Event::Pulled(from, pulled) => self.pulled(&from, pulled, now),
             Event::Stored(service, kind, part) => self.offer(&service, kind, part, now),
             Event::Loaded => {
                 self.join.loaded();
-                self.report.soon(now);
+                self.report.schedule(now);
             }
             Event::StoreFailed => self.join.store_failed(),
             Event::Tick => self.tick(now),
@@ -125,63 +129,69 @@
         mem::take(&mut self.actions)
     }
 
-    /// What is held.
+    /// Returns the documents and layouts that this VM holds.
     pub(super) fn held(&self) -> &held::Held {
         &self.held
     }
 
-    /// The roles by the newest view.
+    /// Returns the roles in the newest view.
     pub(super) fn roles(&self) -> &roles::Roles {
         &self.roles
     }
 
-    /// Whether something newer is known of and not yet held: a keeper that
-    /// decided now would decide by what is no longer in force.
+    /// Returns whether a newer version is known but not yet held. A keeper must
+    /// not decide then, because its decision would be based on old versions.
     pub(super) fn behind(&self) -> bool {
-        !self.wanted.is_empty()
+        !self.missing.is_empty()
     }
 
-    /// Whether what this VM holds counts for others.
-    pub(super) fn settled(&self) -> bool {
+    /// Returns whether this VM may accept requests and decide as keeper.
+    pub(super) fn ready(&self) -> bool {
         self.join.ready()
     }
 
-    /// What VMs reported to this one.
+    /// Returns the reports that this VM received.
     pub(super) fn tally(&self) -> &tally::Tally {
         &self.tally
     }
 
-    /// How far the versions of `service` have got.
-    pub(super) fn count(&self, service: &ids::Service, now: clock::Moment) -> tally::Count {
+    /// Returns the rollout of the held versions of `service`.
+    pub(super) fn rollout(&self, service: &ids::Service, now: clock::Moment) -> tally::Rollout {
         let wanted = self.held.have_of(service);
-        self.tally.count(&wanted, self.roles.all.iter(), now)
+        self.tally.rollout(&wanted, self.roles.members.iter(), now)
     }
 
     fn view(&mut self, roles: roles::Roles, now: clock::Moment) {
         if roles.keeper() != self.roles.keeper() {
-            self.report.renew(now);
+            self.report.reset(now);
         }
-        self.tally.retain(&roles.all.iter().collect());
+        self.tally.retain(&roles.members.iter().collect());
         self.roles = roles;
     }
 
-    fn rumour(&mut self, rumour: &member::Update, now: clock::Moment) {
-        if rumour.topic != member::Topic::Catalog {
+    fn update(&mut self, update: &member::Update, now: clock::Moment) {
+        if update.topic != member::Topic::Catalog {
             return;
         }
-        let Some((kind, service)) = frames::topic(&rumour.key) else {
+        let Some((kind, service)) = frames::parse_key(&update.key) else {
             return;
         };
-        let known = self.rumoured.entry((kind, service.clone())).or_default();
-        *known = rumour.version.max(*known);
-        self.want(&service, kind, rumour.version, now);
+        let known = self.gossiped.entry((kind, service.clone())).or_default();
+        *known = update.version.max(*known);
+        self.add_missing(&service, kind, update.version, now);
     }
 
-    fn want(&mut self, service: &ids::Service, kind: held::Kind, version: u64, now: clock::Moment) {
+    fn add_missing(
+        &mut self,
+        service: &ids::Service,
+        kind: held::Kind,
+        version: u64,
+        now: clock::Moment,
+    ) {
         if version <= self.held.version(service, kind) {
             return;
         }
-        self.wanted.add(service, kind, version, now);
+        self.missing.add(service, kind, version, now);
     }
 
     fn offer(
@@ -197,14 +207,14 @@
         };
         self.actions.push(Action::Apply(service.clone(), content));
         self.digest = self.held.digest();
-        let jitter = REPORT_JITTER.mul_f64(self.random.random());
-        self.report.soon(now + jitter);
-        self.wanted.settle(&self.held);
-        let known = self.rumoured.entry((kind, service.clone())).or_default();
+        let jitter = MAX_REPORT_JITTER.mul_f64(self.random.random());
+        self.report.schedule(now + jitter);
+        self.missing.remove_held(&self.held);
+        let known = self.gossiped.entry((kind, service.clone())).or_default();
         if *known < version {
             *known = version;
             self.actions
-                .push(Action::Publish(frames::rumour(kind, service, version)));
+                .push(Action::Publish(frames::update(kind, service, version)));
         }
     }
 
@@ -213,10 +223,10 @@
             return self.answer(from, &pull);
         }
         let keeper = self.roles.keeper() == Some(&self.local);
-        // The sender may be the only VM that holds something.
-        self.compared(from, &pull.have, now);
+        // The sender may be the only VM that holds a version.
+        self.request_newer(from, &pull.have, now);
         let (digest, unconfirmed) = (pull.digest, pull.unconfirmed);
-        let known = !keeper || self.tally.take(from, pull.have, digest, unconfirmed, now);
+        let known = !keeper || self.tally.record(from, pull.have, digest, unconfirmed, now);
         let differs = digest != self.digest;
         let have = if differs {
             self.held.have()
@@ -233,8 +243,8 @@
         self.send(from, message::Body::Pulled(reply));
     }
 
-    /// Sends what is wanted and newer than what the asker has. An asker that
-    /// gets nothing asks elsewhere.
+    /// Sends the requested parts that are newer than the sender's. A sender that
+    /// gets no answer asks another VM.
     fn answer(&mut self, from: &ids::Vm, pull: &message::Pull) {
         let newer = |name: &&String| {
             let theirs = pull.have.iter().find(|have| have.service == **name);
@@ -260,44 +270,45 @@
         if pulled.digest == 0 {
             return;
         }
-        self.compared(from, &pulled.have, now);
-        self.push(from, &pulled.have, now);
+        self.request_newer(from, &pulled.have, now);
+        self.notify(from, &pulled.have, now);
         self.join.answered(from, pulled.ready);
         let keeper = self.roles.keeper() == Some(from);
         match (keeper, pulled.report_requested) {
-            (true, true) => self.report.renew(now),
-            (true, false) => self.report.fits(now),
+            (true, true) => self.report.reset(now),
+            (true, false) => self.report.confirmed(now),
             (false, _) => {}
         }
     }
 
-    /// Asks `from` for everything of which it has a newer version.
-    fn compared(&mut self, from: &ids::Vm, have: &[message::Have], now: clock::Moment) {
+    /// Requests all services of which `from` has newer versions.
+    fn request_newer(&mut self, from: &ids::Vm, have: &[message::Have], now: clock::Moment) {
         let mut newer = Vec::new();
         for theirs in have {
             let Ok(service) = theirs.service.parse::<ids::Service>() else {
                 continue;
             };
-            self.want(&service, held::Kind::Document, theirs.generation, now);
-            self.want(&service, held::Kind::Layout, theirs.layout, now);
-            if self.wanted.asked(&service, now) {
+            self.add_missing(&service, held::Kind::Document, theirs.generation, now);
+            self.add_missing(&service, held::Kind::Layout, theirs.layout, now);
+            if self.missing.mark_requested(&service, now) {
                 newer.push(service);
             }
         }
         if !newer.is_empty() {
-            let frame = frames::wanted(&self.held, &newer);
+            let frame = frames::request(&self.held, &newer);
             self.send(from, frame);
         }
     }
 
-    /// Tells a peer what this VM has, where that is newer: the peer fetches it.
-    /// Bounded in time, since the answer still shows the older versions.
-    fn push(&mut self, to: &ids::Vm, have: &[message::Have], now: clock::Moment) {
-        if have.is_empty() || now < self.push {
+    /// Notifies a peer of the versions that this VM holds if any is newer, so that
+    /// the peer pulls them. The rate is limited, because the peer's next answer
+    /// still shows its older versions.
+    fn notify(&mut self, to: &ids::Vm, have: &[message::Have], now: clock::Moment) {
+        if have.is_empty() || now < self.next_notify {
             return;
         }
         if self.held.exceeds(have) {
-            self.push = now + TOLD;
+            self.next_notify = now + NOTIFY_INTERVAL;
             let pull = message::Pull {
                 digest: self.digest,
                 have: self.held.have(),
@@ -318,28 +329,30 @@
         }
         if let Some(source) = self
             .join
-            .tick(&self.roles.peers, self.wanted.is_empty(), now)
+            .tick(&self.roles.peers, self.missing.is_empty(), now)
         {
             self.actions.push(Action::Ready(source));
         }
     }
 
-    /// Asks one peer, or the store, for everything that is wanted and due.
+    /// Requests all missing versions that are due from one peer or the store.
     fn ask(&mut self, now: clock::Moment) {
-        let Some(due) = self.wanted.due(now) else {
+        let Some(due) = self.missing.due(now) else {
             return;
         };
-        let peer = match due.whom {
-            want::Whom::Store => {
+        let peer = match due.target {
+            missing::Target::Store => {
                 let fetches = due.services.into_iter().map(Action::Fetch);
                 return self.actions.extend(fetches);
             }
-            want::Whom::Near if !self.roles.near.is_empty() => &self.roles.near,
-            want::Whom::Near | want::Whom::Anyone => &self.roles.peers,
-            want::Whom::Watchers => &self.roles.others,
+            missing::Target::SameDataCentre if !self.roles.local_peers.is_empty() => {
+                &self.roles.local_peers
+            }
+            missing::Target::SameDataCentre | missing::Target::AnyPeer => &self.roles.peers,
+            missing::Target::Watchers => &self.roles.other_watchers,
         };
         if let Some(peer) = peer.choose(&mut self.random).cloned() {
-            let frame = frames::wanted(&self.held, &due.services);
+            let frame = frames::request(&self.held, &due.services);
             self.send(&peer, frame);
         }
     }
@@ -352,7 +365,8 @@
         if keeper == self.local {
             let have = self.held.have();
             let digest = self.digest;
-            self.tally.take(&self.local, have, digest, unconfirmed, now);
+            self.tally
+                .record(&self.local, have, digest, unconfirmed, now);
             return;
         }
         let held = &self.held;
@@ -369,10 +383,10 @@
     }
 
     fn compare(&mut self, now: clock::Moment) {
-        if now < self.compare {
+        if now < self.next_compare {
             return;
         }
-        self.compare = now + COMPARE.mul_f64(self.random.random_range(0.75..1.25));
+        self.next_compare = now + COMPARE_INTERVAL.mul_f64(self.random.random_range(0.75..1.25));
         if let Some(peer) = self.roles.peers.choose(&mut self.random).cloned() {
             let frame = self.digest_frame();
             self.send(&peer, frame);
--- a/crates/geraniumgauge/src/document/status.rs
+++ b/crates/geraniumgauge/src/document/status.rs
@@ -1,4 +1,4 @@
-//! What operators read back about a service: the object `status/{service}`.
+//! Store objects that show operators the state of services and VMs.
 
 use std::collections;
 
@@ -12,94 +12,95 @@
 pub struct Status {
     /// The service.
     pub service: ids::Service,
-    /// Generation of the accepted document; 0 where there is none.
+    /// Generation of the accepted document; 0 if there is none.
     pub generation: ids::Generation,
-    /// Version of the layout; 0 where there is none.
+    /// Version of the layout; 0 if there is none.
     pub layout: ids::LayoutVersion,
-    /// What became of the team's text.
+    /// Result of checking the team's text.
     pub document: Verdict,
-    /// What is wrong with the layout.
+    /// Problems found in the layout.
     pub layout_findings: Vec<finding::Finding>,
-    /// VMs that apply exactly this generation and this layout.
+    /// Number of VMs that apply this generation and layout or newer ones.
     pub in_force: u32,
-    /// VMs in the keeper's view.
+    /// Number of VMs in the keeper's view.
     pub vms: u32,
-    /// Up to [`MAX_BEHIND`] VMs that apply something else or haven't reported.
+    /// Up to [`MAX_BEHIND`] VMs that apply an older version or haven't reported.
     pub behind: Vec<ids::Vm>,
-    /// Up to [`MAX_BEHIND`] VMs that started while the store was out and apply
-    /// what other members told them; the store hasn't confirmed it yet.
+    /// Up to [`MAX_BEHIND`] VMs that started while the store was unavailable and
+    /// apply versions from other members that the store hasn't confirmed yet.
     #[serde(default)]
     pub unconfirmed: Vec<ids::Vm>,
-    /// The service is ended.
+    /// Set if the service was ended.
     pub retired: bool,
-    /// The VM that wrote this.
+    /// The VM that wrote the object.
     pub keeper: ids::Vm,
-    /// When it was written, by that VM's clock.
+    /// Time at which it was written, by that VM's clock.
     pub written: time::Wall,
 }
 
-/// The object [`REPORTED`]: what the keeper hears of the VMs in its view.
+/// The object [`REPORTED`]: reports of the VMs in the keeper's view.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Reported {
-    /// The VM that wrote this.
+    /// The VM that wrote the object.
     pub keeper: ids::Vm,
-    /// When it was written, by that VM's clock.
+    /// Time at which it was written, by that VM's clock.
     pub written: time::Wall,
-    /// Every VM in the keeper's view.
+    /// The report of every VM in the keeper's view.
     pub vms: collections::BTreeMap<ids::Vm, Report>,
 }
 
 /// Store key of [`Reported`].
 pub const REPORTED: &str = "vms/reported";
 
-/// What the keeper hears of one VM.
+/// The keeper's summary of one VM's report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Report {
-    /// It has reported of late.
+    /// Set if the VM has reported recently.
     pub heard: bool,
-    /// Services of which it applies something older than the keeper does; at
-    /// most [`MAX_BEHIND`].
+    /// Services of which the VM applies older versions than the keeper, at most
+    /// [`MAX_BEHIND`].
     pub behind: Vec<ids::Service>,
-    /// It started while the store was out, and the store hasn't confirmed what
-    /// it applies.
+    /// Set if the VM started while the store was unavailable and the store hasn't
+    /// confirmed the versions that it applies.
     pub unconfirmed: bool,
 }
 
-/// Most VMs that a status names as behind.
+/// Maximum number of VMs or services in a list of those that are behind or
+/// unconfirmed.
 pub const MAX_BEHIND: usize = 8;
 
-/// What became of the team's text.
+/// Result of checking a team's text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is the accepted document.
+    /// The text is the accepted document.
     Accepted {
         /// Version of `documents/{service}`.
         version: ids::ObjectVersion,
     },
-    /// It has findings; the document accepted before stays in force.
+    /// The text has findings; the document accepted before stays in force.
     Refused {
         /// Version of `documents/{service}`.
         version: ids::ObjectVersion,
-        /// What is wrong.
+        /// Problems found in the text.
         findings: Vec<finding::Finding>,
     },
-    /// There is no text; the document accepted before stays in force.
+    /// The text was deleted; the document accepted before stays in force.
     Vanished,
-    /// The store shows an older state; what was in force stays in force.
+    /// The store was set back to an older state; the document in force stays.
     SetBack {
-        /// Version of `documents/{service}` that is not taken for an edit.
+        /// Version of `documents/{service}` that isn't treated as an edit.
         version: ids::ObjectVersion,
-        /// The generation that the store held; `None` where it held none.
+        /// The generation that the store held; `None` if it held none.
         stored: Option<ids::Generation>,
     },
 }
 
 impl Verdict {
-    /// The version of the text that this is about; `None` where there is none.
+    /// Returns the version of the text; `None` if there is no text.
     pub fn version(&self) -> Option<ids::ObjectVersion> {
         match self {
             Self::Accepted { version }
--- a/crates/geraniumgauge/src/document/tally.rs
+++ b/crates/geraniumgauge/src/document/tally.rs
@@ -1,4 +1,4 @@
-//! What the VMs of the view apply, as they reported it to this one.
+//! Collects the versions that other VMs report to apply.
 
 use std::collections;
 use std::time;
@@ -9,9 +9,9 @@
 use crate::mesh::message;
 use crate::time as clock;
 
-/// A VM that has said nothing for so long counts as behind. Reports are
-/// refreshed three times within it.
-const STALE: time::Duration = time::Duration::from_secs(35);
+/// Age after which a report is ignored and its VM counts as behind. Reports are
+/// refreshed three times within this period.
+const MAX_REPORT_AGE: time::Duration = time::Duration::from_secs(35);
 
 /// The newest report of each VM.
 #[derive(Debug, Default)]
@@ -21,25 +21,25 @@
 
 #[derive(Debug)]
 struct Report {
-    /// Ordered by service.
+    /// Versions that the VM applies, ordered by service.
     have: Vec<message::Have>,
     unconfirmed: bool,
-    heard: clock::Moment,
+    received: clock::Moment,
 }
 
-/// How far a version has got.
+/// Rollout of one service's versions across the VMs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(super) struct Count {
-    /// VMs that apply it.
+pub(super) struct Rollout {
+    /// Number of VMs that apply these or newer versions.
     pub(super) in_force: u32,
-    /// Some of the others.
+    /// Other VMs, at most [`status::MAX_BEHIND`].
     pub(super) behind: Vec<ids::Vm>,
 }
 
 impl Tally {
-    /// Takes a report: every service, only those that changed, or none. False
-    /// where `digest` shows that a full one is needed.
-    pub(super) fn take(
+    /// Records a report that lists all services, only the changed ones, or none.
+    /// Returns false if `digest` shows that a full report is needed.
+    pub(super) fn record(
         &mut self,
         vm: &ids::Vm,
         mut have: Vec<message::Have>,
@@ -60,61 +60,62 @@
         let report = Report {
             have,
             unconfirmed,
-            heard: now,
+            received: now,
         };
         self.reports.insert(vm.clone(), report);
         true
     }
 
-    /// Forgets VMs that are not of the view.
+    /// Removes the reports of VMs that aren't in `vms`.
     pub(super) fn retain(&mut self, vms: &collections::BTreeSet<&ids::Vm>) {
         self.reports.retain(|vm, _| vms.contains(vm));
     }
 
-    /// VMs that have their documents from other members only; some of them.
+    /// Returns VMs whose documents the store hasn't confirmed, at most
+    /// [`status::MAX_BEHIND`].
     pub(super) fn unconfirmed(&self) -> Vec<ids::Vm> {
         let reports = self.reports.iter().filter(|(_, report)| report.unconfirmed);
         let vms = reports.map(|(vm, _)| vm.clone());
         vms.take(status::MAX_BEHIND).collect()
     }
 
-    /// How many of `vms` apply `wanted` or something newer.
-    pub(super) fn count<'a>(
+    /// Counts the VMs among `vms` that apply `wanted` or newer versions.
+    pub(super) fn rollout<'a>(
         &self,
         wanted: &message::Have,
         vms: impl Iterator<Item = &'a ids::Vm>,
         now: clock::Moment,
-    ) -> Count {
-        let mut count = Count::default();
+    ) -> Rollout {
+        let mut rollout = Rollout::default();
         for vm in vms {
             if self.applies(vm, wanted, now) {
-                count.in_force += 1;
-            } else if count.behind.len() < status::MAX_BEHIND {
-                count.behind.push(vm.clone());
+                rollout.in_force += 1;
+            } else if rollout.behind.len() < status::MAX_BEHIND {
+                rollout.behind.push(vm.clone());
             }
         }
-        count
+        rollout
     }
 
-    /// What each of `vms` reported, beside what this VM applies.
-    pub(super) fn all(
+    /// Compares the reports of `vms` with the versions that this VM applies.
+    pub(super) fn report_all(
         &self,
         vms: &[ids::Vm],
         applied: &[message::Have],
         now: clock::Moment,
     ) -> collections::BTreeMap<ids::Vm, status::Report> {
-        let one = |vm: &ids::Vm| (vm.clone(), self.beside(vm, applied, now));
+        let one = |vm: &ids::Vm| (vm.clone(), self.report(vm, applied, now));
         vms.iter().map(one).collect()
     }
 
-    fn beside(
+    fn report(
         &self,
         vm: &ids::Vm,
         applied: &[message::Have],
         now: clock::Moment,
     ) -> status::Report {
-        let fresh = |report: &&Report| now.since(report.heard) < STALE;
-        let Some(report) = self.reports.get(vm).filter(fresh) else {
+        let recent = |report: &&Report| now.since(report.received) < MAX_REPORT_AGE;
+        let Some(report) = self.reports.get(vm).filter(recent) else {
             return status::Report::default();
         };
         let behind = applied
@@ -135,7 +136,7 @@
         let found = report
             .have
             .binary_search_by(|have| have.service.cmp(&wanted.service));
-        now.since(report.heard) < STALE
+        now.since(report.received) < MAX_REPORT_AGE
             && found.is_ok_and(|at| {
                 let have = &report.have[at];
                 have.generation >= wanted.generation && have.layout >= wanted.layout
@@ -143,7 +144,7 @@
     }
 }
 
-/// `before` with what changed since, ordered by service.
+/// Returns `before` with the changed services replaced, ordered by service.
 fn merge(before: &[message::Have], changed: Vec<message::Have>) -> Vec<message::Have> {
     let all = before.iter().cloned().chain(changed);
     let by_service = all.map(|have| (have.service.clone(), have));
--- a/crates/geraniumgauge/src/document/tests/fields.rs
+++ b/crates/geraniumgauge/src/document/tests/fields.rs
@@ -6,13 +6,13 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_fields_have_their_defaults() {
     let document = parse("d", "{\"team\": \"unnamed\"} // the rest as it comes").unwrap();
     assert_eq!(document, Document::default());
 }
 
 #[test]
-fn a_document_as_it_is_stored_is_read_back() {
+fn a_stored_document_is_parsed_back() {
     let text = serde_json::to_string(&Document::default()).unwrap();
     assert_eq!(parse("d", &text), Ok(Document::default()));
 }
@@ -29,15 +29,15 @@
     );
 }
 
-/// Story: a coverage service sets a deadline below the default latency target,
-/// which it doesn't use. It must not be refused for a value it never wrote.
+/// A coverage service sets a deadline below the default latency target, which it
+/// doesn't use. It must not be refused for a value that it didn't set.
 #[test]
-fn a_target_that_is_neither_written_nor_used_is_no_finding() {
+fn an_unused_default_latency_target_is_not_checked() {
     assert!(parse("d", "{\"team\": \"a\", \"deadline_ms\": 100}").is_ok());
 }
 
 #[test]
-fn every_field_shows_a_difference() {
+fn changed_fields_are_listed() {
     let now = Document {
         retired: true,
         objective: Objective::Latency,
--- a/crates/geraniumgauge/src/document/tests/keeper.rs
+++ b/crates/geraniumgauge/src/document/tests/keeper.rs
@@ -1,7 +1,6 @@
 use super::*;
 
-/// One store with a text and a record, written by operators and keepers, and
-/// now and then set back to an earlier state.
+/// A store with a service's text and record, and the document in force on a VM.
 #[derive(Debug, Clone, Default)]
 struct World {
     objects: store::Objects,
@@ -24,9 +23,9 @@
             .unwrap();
     }
 
-    fn seen(&self) -> Seen {
+    fn state(&self) -> State {
         let accepted = self.objects.get(&document::accepted_key(&service())).ok();
-        Seen {
+        State {
             service: service(),
             text: self.objects.get(&document::text_key(&service())).ok(),
             accepted: accepted.map(|object| {
@@ -39,7 +38,7 @@
         }
     }
 
-    /// Carries a decision out; false where its condition no longer holds.
+    /// Carries out a decision; returns false if its condition no longer holds.
     fn carry_out(&mut self, decision: &Decision) -> bool {
         let Some((record, condition)) = &decision.write else {
             return true;
@@ -54,7 +53,7 @@
     }
 
     fn apply(&mut self) {
-        let Some((_, record)) = self.seen().accepted else {
+        let Some((_, record)) = self.state().accepted else {
             return;
         };
         let newer = self
@@ -66,8 +65,8 @@
         }
     }
 
-    fn look(&mut self) -> status::Verdict {
-        let decision = decide(&self.seen());
+    fn check(&mut self) -> status::Verdict {
+        let decision = decide(&self.state());
         self.carry_out(&decision);
         decision.verdict
     }
@@ -88,13 +87,13 @@
 fn an_edit_is_accepted_once() {
     let mut world = World::default();
     world.edit(500);
-    assert!(matches!(world.look(), status::Verdict::Accepted { .. }));
-    world.look();
+    assert!(matches!(world.check(), status::Verdict::Accepted { .. }));
+    world.check();
     world.edit(500);
-    world.look();
+    world.check();
     assert_eq!((world.generation(), world.deadline()), (1, 500));
     world.edit(600);
-    world.look();
+    world.check();
     assert_eq!((world.generation(), world.deadline()), (2, 600));
 }
 
@@ -102,69 +101,68 @@
 fn a_bad_edit_leaves_the_accepted_document_in_force() {
     let mut world = World::default();
     world.edit(500);
-    world.look();
+    world.check();
     world.edit(0);
-    let status::Verdict::Refused { findings, .. } = world.look() else {
+    let status::Verdict::Refused { findings, .. } = world.check() else {
         panic!("a deadline of 0 was not refused");
     };
     assert_eq!(findings[0].path, "deadline_ms");
     assert_eq!((world.generation(), world.deadline()), (1, 500));
 }
 
-/// Story: someone deletes a document by mistake. The service must go on as it
-/// was, and the status must say that the text is gone.
+/// A team deletes its document by mistake. The accepted document must stay in
+/// force, and the status must show that the text was deleted.
 #[test]
-fn a_vanished_text_changes_nothing() {
+fn a_deleted_text_changes_nothing() {
     let mut world = World::default();
     world.edit(500);
-    world.look();
+    world.check();
     let key = document::text_key(&service());
     world.objects.delete(&key, store::Condition::Any).unwrap();
-    assert_eq!(world.look(), status::Verdict::Vanished);
+    assert_eq!(world.check(), status::Verdict::Vanished);
     assert_eq!((world.generation(), world.deadline()), (1, 500));
 }
 
-/// Story: the store comes back from an outage as it was an hour ago. Teams see
-/// settings that they had replaced come into force again, as if newly accepted.
-/// What was in force must stay, be written to the store again for VMs to come,
-/// and a later edit must be accepted above it.
+/// After an outage the store shows the state of an hour ago. Replaced settings
+/// must not be accepted again: the document in force stays and is written back
+/// to the store, and a later edit gets a higher generation.
 #[test]
-fn a_store_set_back_changes_nothing_and_is_mended() {
+fn a_store_set_back_changes_nothing_and_is_repaired() {
     let mut world = World::default();
     world.edit(500);
-    world.look();
+    world.check();
     let old = world.objects.clone();
     world.edit(600);
-    world.look();
+    world.check();
     world.objects = old;
     for _ in 0..3 {
-        assert!(matches!(world.look(), status::Verdict::SetBack { .. }));
+        assert!(matches!(world.check(), status::Verdict::SetBack { .. }));
         assert_eq!((world.generation(), world.deadline()), (2, 600));
     }
-    let (_, record) = world.seen().accepted.unwrap();
+    let (_, record) = world.state().accepted.unwrap();
     assert_eq!(record.generation, ids::Generation(2));
     world.edit(700);
-    assert!(matches!(world.look(), status::Verdict::Accepted { .. }));
+    assert!(matches!(world.check(), status::Verdict::Accepted { .. }));
     assert_eq!((world.generation(), world.deadline()), (3, 700));
 }
 
-/// Story: two keepers look at once, and one of them is paused before it writes.
-/// Its late write must not undo what was accepted meanwhile.
+/// Two keepers check a service at the same time, and one is paused before it
+/// writes. Its late write must not undo what was accepted in the meantime.
 #[test]
 fn a_paused_keeper_undoes_nothing() {
     let mut world = World::default();
     world.edit(500);
-    let late = decide(&world.seen());
+    let late = decide(&world.state());
     world.edit(600);
-    world.look();
+    world.check();
     assert!(!world.carry_out(&late));
     assert_eq!((world.generation(), world.deadline()), (1, 600));
 }
 
-/// Under any order of edits, looks, late writes, deletions and set-backs, the
-/// generation in force never falls and a document never changes within one.
+/// In any order of edits, checks, late writes and restores of an older store, the
+/// generation in force never decreases and never stands for two documents.
 #[test]
-fn generations_in_force_never_fall() {
+fn generations_in_force_never_decrease() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
         let mut world = World::default();
         let mut saved = vec![world.objects.clone()];
@@ -174,8 +172,8 @@
             let before = world.generation();
             match step % 7 {
                 0 | 1 => world.edit(u64::from(value)),
-                2 => drop(world.look()),
-                3 => late = Some(decide(&world.seen())),
+                2 => drop(world.check()),
+                3 => late = Some(decide(&world.state())),
                 4 => {
                     if let Some(decision) = late.take() {
                         world.carry_out(&decision);
--- a/crates/geraniumgauge/src/document/tests/scale.rs
+++ b/crates/geraniumgauge/src/document/tests/scale.rs
@@ -1,12 +1,12 @@
-//! The machines of a whole fleet on one clock, with frames that take a
-//! millisecond and rumours that take up to two seconds.
+//! Simulation of a fleet's state machines on one clock. Frames take a millisecond,
+//! and gossip updates up to two seconds.
 
 use super::*;
 use crate::events;
 
 const VMS: usize = 2200;
 const SERVICES: u8 = 20;
-const MILLI: u64 = 1000;
+const MICROS_PER_MILLI: u64 = 1000;
 
 struct Fleet {
     vms: Vec<Spread>,
@@ -14,10 +14,11 @@
     queue: events::Queue<(usize, Event)>,
     now: clock::Moment,
     random: rand::rngs::StdRng,
-    /// When each VM applied something last.
+    /// Time at which each VM last applied a version.
     applied: Vec<Option<clock::Moment>>,
-    /// Contents that each VM sent to others.
+    /// Number of documents and layouts that each VM sent.
     served: Vec<u64>,
+    /// Number of frames that each VM received.
     frames: Vec<u64>,
     fetched: u64,
 }
@@ -26,7 +27,7 @@
     format!("vm-{index:04}").parse().unwrap()
 }
 
-fn centre(index: usize) -> ids::DataCentre {
+fn data_centre(index: usize) -> ids::DataCentre {
     format!("dc-{}", index % 3).parse().unwrap()
 }
 
@@ -35,7 +36,7 @@
         let member = |index| member::Member {
             vm: vm(index),
             incarnation: ids::Incarnation(1),
-            data_centre: centre(index),
+            data_centre: data_centre(index),
             address: "127.0.0.1:1".parse().unwrap(),
             state: member::State::Alive,
         };
@@ -55,7 +56,7 @@
             let seed = seed.wrapping_mul(VMS as u64) + index as u64;
             let mut spread = Spread::new(vm(index), seed, fleet.now);
             let view = member::View::new(vm(index), members.clone());
-            let roles = roles::Roles::of(&view, &centre(index));
+            let roles = roles::Roles::of(&view, &data_centre(index));
             spread.handle(Event::View(roles), fleet.now);
             for service in 0..SERVICES {
                 let part = part(1);
@@ -64,38 +65,38 @@
             }
             spread.handle(Event::Loaded, fleet.now);
             fleet.vms.push(spread);
-            let first = fleet.random.random_range(0..100 * MILLI);
-            fleet.later(first, index, Event::Tick);
+            let first = fleet.random.random_range(0..100 * MICROS_PER_MILLI);
+            fleet.schedule(first, index, Event::Tick);
         }
         fleet
     }
 
-    fn later(&mut self, micros: u64, vm: usize, event: Event) {
+    fn schedule(&mut self, micros: u64, vm: usize, event: Event) {
         let at = clock::Moment(self.now.0 + micros);
         self.queue.push(at, (vm, event));
     }
 
-    fn run(&mut self, until: clock::Moment, lose_rumours: f64) {
+    fn run(&mut self, until: clock::Moment, lose_updates: f64) {
         while let Some((at, (vm, event))) = self.queue.pop(until) {
             self.now = at;
             if matches!(event, Event::Tick) {
-                self.later(100 * MILLI, vm, Event::Tick);
+                self.schedule(100 * MICROS_PER_MILLI, vm, Event::Tick);
             }
-            self.event(vm, event, lose_rumours);
+            self.event(vm, event, lose_updates);
         }
         self.now = until;
     }
 
-    fn event(&mut self, index: usize, event: Event, lose_rumours: f64) {
+    fn event(&mut self, index: usize, event: Event, lose_updates: f64) {
         for action in self.vms[index].handle(event, self.now) {
             match action {
                 Action::Apply(..) => self.applied[index] = Some(self.now),
                 Action::Send(to, body) => self.send(index, &to, body),
-                Action::Publish(rumour) => {
+                Action::Publish(update) => {
                     for vm in 0..VMS {
-                        let delay = self.random.random_range(0..2000 * MILLI);
-                        if !self.random.random_bool(lose_rumours) {
-                            self.later(delay, vm, Event::Rumour(rumour.clone()));
+                        let delay = self.random.random_range(0..2000 * MICROS_PER_MILLI);
+                        if !self.random.random_bool(lose_updates) {
+                            self.schedule(delay, vm, Event::Update(update.clone()));
                         }
                     }
                 }
@@ -116,7 +117,7 @@
             }
             _ => unreachable!("only pulls are sent"),
         };
-        self.later(MILLI, at, event);
+        self.schedule(MICROS_PER_MILLI, at, event);
     }
 }
 
@@ -129,16 +130,15 @@
     }
 }
 
-/// Story: one edit at the largest fleet. If every VM asked the few watchers at
-/// once, these would be slow just then, and the last VMs would apply the edit
-/// late. All must have it within six seconds, and no VM may have to serve more
-/// than a small part of the fleet.
+/// If all VMs of the largest fleet asked the few watchers at the same time, these
+/// would be overloaded and the last VMs would apply an edit late. All must apply it
+/// within six seconds, and no VM may serve more than a small part of the fleet.
 #[test]
-fn an_edit_reaches_the_largest_fleet_in_time_and_overloads_nobody() {
-    let lose_rumours = 0.3;
+fn an_edit_reaches_the_largest_fleet_in_time_and_overloads_no_vm() {
+    let lose_updates = 0.3;
     let mut fleet = Fleet::new(2);
-    let settled = clock::Moment(12_000 * MILLI);
-    fleet.run(settled, 0.0);
+    let edited = clock::Moment(12_000 * MICROS_PER_MILLI);
+    fleet.run(edited, 0.0);
     fleet.applied.fill(None);
     fleet.served.fill(0);
     fleet.frames.fill(0);
@@ -146,10 +146,10 @@
     for watcher in fleet.vms[0].roles().watchers.clone() {
         let service = "service-3".parse().unwrap();
         let edit = Event::Stored(service, held::Kind::Document, part(2));
-        let delay = fleet.random.random_range(0..100 * MILLI);
-        fleet.later(delay, fleet.names[&watcher], edit);
+        let delay = fleet.random.random_range(0..100 * MICROS_PER_MILLI);
+        fleet.schedule(delay, fleet.names[&watcher], edit);
     }
-    fleet.run(settled + time::Duration::from_secs(6), lose_rumours);
+    fleet.run(edited + time::Duration::from_secs(6), lose_updates);
     let last = fleet.applied.iter().copied().collect::<Option<Vec<_>>>();
     let last = last
         .and_then(|all| all.into_iter().max())
@@ -158,9 +158,9 @@
     let frames = fleet.frames.iter().max().unwrap();
     let mean = fleet.frames.iter().sum::<u64>() / VMS as u64;
     println!(
-        "lost rumours {lose_rumours}: last after {:?}, most contents served by one VM \
+        "lost updates {lose_updates}: last after {:?}, most contents served by one VM \
          {served}, frames in 6 s: most at one VM {frames}, mean {mean}, store reads {}",
-        last.since(settled),
+        last.since(edited),
         fleet.fetched
     );
     assert!(*served < VMS as u64 / 10, "{served} contents from one VM");
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -3,20 +3,20 @@
 use super::*;
 use crate::metrics;
 
-/// Posts and gossip of VMs in one process.
+/// Delivers frames between VMs in one process.
 #[derive(Default)]
-struct Hub {
+struct Network {
     services: sync::Mutex<collections::BTreeMap<ids::Vm, Service>>,
 }
 
 struct Link {
-    hub: sync::Arc<Hub>,
+    network: sync::Arc<Network>,
     local: ids::Vm,
 }
 
 impl mesh::Sender for Link {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
-        let service = self.hub.services.lock().unwrap().get(to).cloned();
+        let service = self.network.services.lock().unwrap().get(to).cloned();
         let Some(service) = service else {
             return Err(mesh::Error::Unknown { vm: to.clone() });
         };
@@ -32,11 +32,11 @@
     }
 }
 
-struct Talk(channel::broadcast::Sender<member::Update>);
+struct GossipBus(channel::broadcast::Sender<member::Update>);
 
-impl Gossip for Talk {
-    fn publish(&self, rumour: member::Update) {
-        let _ = self.0.send(rumour);
+impl Gossip for GossipBus {
+    fn publish(&self, update: member::Update) {
+        let _ = self.0.send(update);
     }
 
     fn rumours(&self) -> channel::broadcast::Receiver<member::Update> {
@@ -44,11 +44,11 @@
     }
 }
 
-/// Eight VMs, a fake store and everything between them.
-struct Site {
+/// Several VMs that share a fake store, a network and a clock.
+struct Cluster {
     store: store::Fake,
-    hub: sync::Arc<Hub>,
-    talk: sync::Arc<Talk>,
+    network: sync::Arc<Network>,
+    gossip: sync::Arc<GossipBus>,
     view: channel::watch::Sender<member::SharedView>,
     catalogs: Vec<document::Catalog>,
     clock: clock::Clock,
@@ -61,7 +61,7 @@
     format!("vm-{index}").parse().unwrap()
 }
 
-fn desk() -> ids::Service {
+fn service() -> ids::Service {
     "desk".parse().unwrap()
 }
 
@@ -77,12 +77,12 @@
     sync::Arc::new(member::View::new(vm(0), members))
 }
 
-impl Site {
+impl Cluster {
     fn new() -> Self {
         Self {
             store: store::Fake::new(),
-            hub: sync::Arc::new(Hub::default()),
-            talk: sync::Arc::new(Talk(channel::broadcast::channel(1024).0)),
+            network: sync::Arc::new(Network::default()),
+            gossip: sync::Arc::new(GossipBus(channel::broadcast::channel(1024).0)),
             view: channel::watch::channel(view(VMS)).0,
             catalogs: Vec::new(),
             clock: clock::Clock::start(),
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Starts the VM `index` with its own local view.
+    /// Starts the VM `index` with a view of all members.
     fn start(&mut self, index: usize) -> Service {
         let members = self.view.borrow().members.clone();
-        self.start_seeing(index, members)
+        self.start_with_view(index, members)
     }
 
-    /// Starts the VM `index`, which sees only these members.
-    fn start_seeing(&mut self, index: usize, members: Vec<member::Member>) -> Service {
+    /// Starts the VM `index` with a view of only these members.
+    fn start_with_view(&mut self, index: usize, members: Vec<member::Member>) -> Service {
         let catalog = document::Catalog::default();
         self.catalogs.push(catalog.clone());
         let local = member::View::new(vm(index), members);
@@ -111,17 +111,17 @@
             catalog,
             view: receiver,
             post: sync::Arc::new(Link {
-                hub: self.hub.clone(),
+                network: self.network.clone(),
                 local: vm(index),
             }),
-            gossip: self.talk.clone(),
+            gossip: self.gossip.clone(),
             store: sync::Arc::new(self.store.clone()),
             clock: self.clock,
             timer: self.timer.clone(),
         };
         let meter = metrics::Metrics::new().unwrap().meter();
         let service = Service::start(config, parts, &meter);
-        let mut services = self.hub.services.lock().unwrap();
+        let mut services = self.network.services.lock().unwrap();
         services.insert(vm(index), service.clone());
         service
     }
@@ -129,7 +129,7 @@
     async fn edit(&self, text: &str) {
         use store::Api as _;
         let body = bytes::Bytes::copy_from_slice(text.as_bytes());
-        let key = document::text_key(&desk());
+        let key = document::text_key(&service());
         self.store
             .put(&key, body, store::Condition::Any)
             .await
@@ -137,7 +137,7 @@
     }
 
     fn generations(&self) -> Vec<u64> {
-        let generation = |catalog: &document::Catalog| catalog.document(&desk()).map(|d| d.0.0);
+        let generation = |catalog: &document::Catalog| catalog.document(&service()).map(|d| d.0.0);
         self.catalogs
             .iter()
             .map(|c| generation(c).unwrap_or(0))
@@ -148,35 +148,35 @@
         let object = self
             .store
             .objects()
-            .get(&document::status_key(&desk()))
+            .get(&document::status_key(&service()))
             .unwrap();
         serde_json::from_slice(&object.body).unwrap()
     }
 }
 
-async fn pass(seconds: u64) {
+async fn advance(seconds: u64) {
     for _ in 0..seconds * 50 {
         tokio::time::sleep(time::Duration::from_millis(20)).await;
     }
 }
 
-async fn site() -> Site {
-    let mut site = Site::new();
-    let services: Vec<_> = (0..VMS).map(|index| site.start(index)).collect();
-    pass(3).await;
+async fn ready_cluster() -> Cluster {
+    let mut cluster = Cluster::new();
+    let services: Vec<_> = (0..VMS).map(|index| cluster.start(index)).collect();
+    advance(3).await;
     assert!(services.iter().all(|service| *service.ready().borrow()));
-    site
+    cluster
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_edit_is_in_force_everywhere_within_six_seconds() {
-    let site = site().await;
-    site.edit("{\"team\": \"a\"}").await;
-    pass(6).await;
-    assert_eq!(site.generations(), [1; VMS]);
-    let status = site.status();
+    let cluster = ready_cluster().await;
+    cluster.edit("{\"team\": \"a\"}").await;
+    advance(6).await;
+    assert_eq!(cluster.generations(), [1; VMS]);
+    let status = cluster.status();
     assert_eq!((status.in_force, status.vms), (8, 8));
-    let object = site.store.objects().get(document::REPORTED).unwrap();
+    let object = cluster.store.objects().get(document::REPORTED).unwrap();
     let reported: document::Reported = serde_json::from_slice(&object.body).unwrap();
     assert_eq!(reported.vms.len(), VMS);
     assert!(
@@ -191,95 +191,101 @@
     ));
 }
 
-/// Story: an operator saves a broken text. Requests go on by the accepted one,
-/// and `status` says what is wrong, where, and what to do.
+/// An operator saves an invalid text. The accepted document must stay in force,
+/// and the status must list the findings with a remedy.
 #[tokio::test(start_paused = true)]
-async fn a_broken_edit_is_reported_and_changes_nothing() {
-    let site = site().await;
-    site.edit("{\"team\": \"a\"}").await;
-    pass(6).await;
-    site.edit("{\"team\": \"a\", \"dedline_ms\": 5}").await;
-    pass(4).await;
-    assert_eq!(site.generations(), [1; VMS]);
-    let document::Verdict::Refused { findings, .. } = site.status().document else {
+async fn an_invalid_edit_is_reported_and_changes_nothing() {
+    let cluster = ready_cluster().await;
+    cluster.edit("{\"team\": \"a\"}").await;
+    advance(6).await;
+    cluster.edit("{\"team\": \"a\", \"dedline_ms\": 5}").await;
+    advance(4).await;
+    assert_eq!(cluster.generations(), [1; VMS]);
+    let document::Verdict::Refused { findings, .. } = cluster.status().document else {
         panic!("a broken text was not refused");
     };
     assert!(findings[0].remedy.contains("deadline_ms"));
 }
 
-/// Story: the store is out for minutes, loses an hour and comes back. Every VM
-/// keeps what is in force, a VM that starts meanwhile gets it from the others,
-/// and the store is mended before a later edit.
+/// The store is unavailable for minutes and comes back in an older state. Every VM
+/// must keep its documents, a VM that starts meanwhile must get them from its
+/// peers, and the accepted record must be written back before a later edit.
 #[tokio::test(start_paused = true)]
 async fn an_outage_and_an_older_store_change_nothing_in_force() {
-    let mut site = site().await;
-    site.edit("{\"team\": \"a\"}").await;
-    pass(6).await;
-    let old = site.store.objects();
-    site.edit("{\"team\": \"a\", \"deadline_ms\": 700}").await;
-    pass(6).await;
-    site.store.fault(|faults| faults.down = true);
-    pass(180).await;
-    let late = site.start(VMS);
-    pass(6).await;
+    let mut cluster = ready_cluster().await;
+    cluster.edit("{\"team\": \"a\"}").await;
+    advance(6).await;
+    let old = cluster.store.objects();
+    cluster
+        .edit("{\"team\": \"a\", \"deadline_ms\": 700}")
+        .await;
+    advance(6).await;
+    cluster.store.fault(|faults| faults.down = true);
+    advance(180).await;
+    let late = cluster.start(VMS);
+    advance(6).await;
     assert!(
         *late.ready().borrow(),
         "a majority answers while the store is out"
     );
-    assert_eq!(site.generations(), [2; VMS + 1]);
-    site.store.restore(old);
-    site.store.fault(|faults| faults.down = false);
-    pass(15).await;
-    assert_eq!(site.generations(), [2; VMS + 1]);
-    site.edit("{\"team\": \"a\", \"deadline_ms\": 800}").await;
-    pass(6).await;
-    assert_eq!(site.generations(), [3; VMS + 1]);
+    assert_eq!(cluster.generations(), [2; VMS + 1]);
+    cluster.store.restore(old);
+    cluster.store.fault(|faults| faults.down = false);
+    advance(15).await;
+    assert_eq!(cluster.generations(), [2; VMS + 1]);
+    cluster
+        .edit("{\"team\": \"a\", \"deadline_ms\": 800}")
+        .await;
+    advance(6).await;
+    assert_eq!(cluster.generations(), [3; VMS + 1]);
 }
 
-/// Story: the reply to the keeper's write is lost after it took effect. A
-/// keeper that wrote again would count one edit as two generations.
+/// The reply to the keeper's write is lost after the write took effect. A keeper
+/// that repeated the write would count one edit as two generations.
 #[tokio::test(start_paused = true)]
 async fn a_lost_reply_makes_no_second_generation() {
-    let site = site().await;
-    site.store.fault(|faults| faults.lose_replies = 1);
-    let key = document::text_key(&desk());
+    let cluster = ready_cluster().await;
+    cluster.store.fault(|faults| faults.lose_replies = 1);
+    let key = document::text_key(&service());
     use store::Api as _;
-    let put = site
+    let put = cluster
         .store
         .put(&key, "{\"team\": \"a\"}".into(), store::Condition::Any);
     assert!(matches!(put.await, Err(store::Error::Unconfirmed { .. })));
-    site.store.fault(|faults| faults.lose_replies = 1);
-    pass(8).await;
-    assert_eq!(site.generations(), [1; VMS]);
+    cluster.store.fault(|faults| faults.lose_replies = 1);
+    advance(8).await;
+    assert_eq!(cluster.generations(), [1; VMS]);
 }
 
-/// A layout reaches every VM by the same path; one that names an upstream it
-/// doesn't list reaches none and is reported.
+/// A valid layout reaches every VM. One that names an unlisted upstream reaches
+/// none and is reported.
 #[tokio::test(start_paused = true)]
-async fn layouts_spread_and_bad_ones_are_reported() {
+async fn layouts_are_distributed_and_invalid_ones_are_reported() {
     use store::Api as _;
-    let site = site().await;
-    site.edit("{\"team\": \"a\"}").await;
+    let cluster = ready_cluster().await;
+    cluster.edit("{\"team\": \"a\"}").await;
     let good = "{\"version\": 3, \"upstreams\": [], \"shards\": []}";
-    let key = crate::layout::key(&desk());
-    site.store
+    let key = crate::layout::key(&service());
+    cluster
+        .store
         .put(&key, good.into(), store::Condition::Any)
         .await
         .unwrap();
-    pass(6).await;
+    advance(6).await;
     let bad =
         "{\"version\": 4, \"upstreams\": [], \"shards\": [{\"id\": \"s\", \"replicas\": [\"u\"]}]}";
-    site.store
+    cluster
+        .store
         .put(&key, bad.into(), store::Condition::Any)
         .await
         .unwrap();
-    pass(6).await;
-    let versions = site
+    advance(6).await;
+    let versions = cluster
         .catalogs
         .iter()
-        .map(|catalog| catalog.layout(&desk()).unwrap().version.0);
+        .map(|catalog| catalog.layout(&service()).unwrap().version.0);
     assert_eq!(versions.collect::<Vec<_>>(), [3; VMS]);
-    let status = site.status();
+    let status = cluster.status();
     assert_eq!(status.layout_findings.len(), 1);
     assert!(
         status.layout_findings[0]
@@ -288,30 +294,31 @@
     );
 }
 
-/// Story: two VMs don't see each other, so both are keepers, and operators edit
-/// in quick succession. Each generation must stand for one document only, or
-/// VMs of the same generation would apply different ones for good.
+/// Two VMs don't see each other, so both are keepers, while operators edit in
+/// quick succession. Each generation must stand for one document only, or VMs of
+/// the same generation would permanently apply different documents.
 #[tokio::test(start_paused = true)]
-async fn two_keepers_at_once_make_one_document_a_generation() {
+async fn two_concurrent_keepers_accept_one_document_per_generation() {
     for seed in 0..3u64 {
-        let mut site = Site::new();
-        site.store
+        let mut cluster = Cluster::new();
+        cluster
+            .store
             .fault(|faults| faults.slow = time::Duration::from_millis(30));
         for index in 0..2 {
             let alone = vec![view(2).members[index].clone()];
-            site.start_seeing(index, alone);
+            cluster.start_with_view(index, alone);
         }
-        pass(3).await;
+        advance(3).await;
         let mut seen = std::collections::BTreeMap::new();
         for edit in 0..150 {
             if edit % 3 == 0 {
                 let text = format!("{{\"team\": \"a\", \"deadline_ms\": {}}}", 100 + edit);
-                site.edit(&text).await;
+                cluster.edit(&text).await;
             }
             let wait = time::Duration::from_millis(7 + (edit * 13 + seed * 5) % 40);
             tokio::time::sleep(wait).await;
-            for catalog in &site.catalogs {
-                if let Some((generation, document)) = catalog.document(&desk()) {
+            for catalog in &cluster.catalogs {
+                if let Some((generation, document)) = catalog.document(&service()) {
                     let first = seen.entry(generation).or_insert_with(|| document.clone());
                     assert_eq!(*first, document, "seed {seed}, generation {generation}");
                 }
--- a/crates/geraniumgauge/src/document/tests/spread.rs
+++ b/crates/geraniumgauge/src/document/tests/spread.rs
@@ -5,14 +5,15 @@
 
 const VMS: usize = 7;
 
-/// Machines joined by a network that loses, delays, doubles and replays.
+/// State machines of several VMs on a network that loses, delays, duplicates and
+/// replays messages.
 struct World {
     vms: Vec<Spread>,
     frames: Vec<(usize, ids::Vm, message::Body)>,
-    rumours: Vec<(usize, member::Update)>,
+    updates: Vec<(usize, member::Update)>,
     stored: collections::BTreeMap<(ids::Service, held::Kind), held::Part>,
     applied: Vec<collections::BTreeMap<(ids::Service, held::Kind), u64>>,
-    fell_back: bool,
+    version_decreased: bool,
     now: clock::Moment,
     random: rand::rngs::StdRng,
 }
@@ -44,10 +45,10 @@
         let mut world = Self {
             vms: vms.collect(),
             frames: Vec::new(),
-            rumours: Vec::new(),
+            updates: Vec::new(),
             stored: collections::BTreeMap::new(),
             applied: vec![collections::BTreeMap::new(); VMS],
-            fell_back: false,
+            version_decreased: false,
             now,
             random: rand::rngs::StdRng::seed_from_u64(seed),
         };
@@ -57,7 +58,7 @@
         world
     }
 
-    /// A world whose VMs are ready.
+    /// Creates a world whose VMs are ready.
     fn ready(seed: u64) -> Self {
         let mut world = Self::new(seed);
         for index in 0..VMS {
@@ -75,9 +76,9 @@
                     let at = (0..VMS).find(|at| name(*at) == to).unwrap();
                     self.frames.push((at, name(index), body));
                 }
-                Action::Publish(rumour) => {
-                    let all = (0..VMS).map(|at| (at, rumour.clone()));
-                    self.rumours.extend(all.collect::<Vec<_>>());
+                Action::Publish(update) => {
+                    let all = (0..VMS).map(|at| (at, update.clone()));
+                    self.updates.extend(all.collect::<Vec<_>>());
                 }
                 Action::Fetch(service) => self.read(index, &service),
                 Action::Ready(_) => {}
@@ -91,7 +92,7 @@
             held::Content::Layout(layout) => (held::Kind::Layout, layout.version.0),
         };
         let present = self.applied[index].insert((service, kind), version);
-        self.fell_back |= present.is_some_and(|present| present >= version);
+        self.version_decreased |= present.is_some_and(|present| present >= version);
     }
 
     fn read(&mut self, index: usize, service: &ids::Service) {
@@ -122,7 +123,8 @@
         self.stored.insert((service, kind), part);
     }
 
-    /// One of the frames and rumours on their way arrives, is lost or doubled.
+    /// Delivers one frame and one gossip update in transit; `lossy` loses some and
+    /// duplicates some frames.
     fn deliver(&mut self, lossy: bool) {
         if !self.frames.is_empty() {
             let at = self.random.random_range(0..self.frames.len());
@@ -134,11 +136,11 @@
                 self.frame(to, from, body);
             }
         }
-        if !self.rumours.is_empty() {
-            let at = self.random.random_range(0..self.rumours.len());
-            let (to, rumour) = self.rumours.swap_remove(at);
+        if !self.updates.is_empty() {
+            let at = self.random.random_range(0..self.updates.len());
+            let (to, update) = self.updates.swap_remove(at);
             if !(lossy && self.random.random_bool(0.5)) {
-                self.event(to, Event::Rumour(rumour));
+                self.event(to, Event::Update(update));
             }
         }
     }
@@ -151,7 +153,7 @@
         }
     }
 
-    fn pass(&mut self, span: time::Duration) {
+    fn advance(&mut self, span: time::Duration) {
         self.now = self.now + span;
         for index in 0..VMS {
             self.event(index, Event::Tick);
@@ -167,17 +169,17 @@
         match step % 6 {
             0 => self.store(service(value), kind, u64::from(value / 8)),
             1 => self.read(usize::from(value) % VMS, &service(value / 16)),
-            2 => self.pass(time::Duration::from_millis(u64::from(value) * 4)),
+            2 => self.advance(time::Duration::from_millis(u64::from(value) * 4)),
             _ => (0..value / 8).for_each(|_| self.deliver(true)),
         }
     }
 
-    /// Without loss, for as long as a version may take to be in force.
+    /// Runs without loss for six seconds, in which a version must reach every VM.
     fn heal(&mut self) {
         for _ in 0..60 {
-            self.pass(time::Duration::from_millis(100));
-            let on_their_way = self.frames.len() + self.rumours.len();
-            (0..4 * on_their_way).for_each(|_| self.deliver(false));
+            self.advance(time::Duration::from_millis(100));
+            let in_transit = self.frames.len() + self.updates.len();
+            (0..4 * in_transit).for_each(|_| self.deliver(false));
         }
     }
 }
@@ -189,37 +191,37 @@
     }
     world.heal();
     let first = &world.applied[0];
-    !world.fell_back && world.applied.iter().all(|applied| applied == first)
+    !world.version_decreased && world.applied.iter().all(|applied| applied == first)
 }
 
-/// Under any order of writes, restored stores, loss, delay, doubles and
-/// replays no VM applies an older version after a newer one, and within six
-/// seconds of healed links all apply the same.
+/// In any order of writes, restored stores, lost, delayed, duplicated and
+/// replayed messages, no VM applies an older version after a newer one, and six
+/// seconds after the links heal all VMs apply the same versions.
 #[test]
-fn versions_never_fall_and_views_converge() {
+fn versions_never_decrease_and_vms_converge() {
     crate::seeds::checker()
         .tests(300)
         .quickcheck(converges as fn(u64, Vec<(u8, u8)>) -> bool);
 }
 
-/// Story: every rumour of a version is lost, and the one VM that holds it is
-/// asked by no other for seconds. It used to tell nobody by itself.
+/// All gossip updates of a version are lost, and no VM asks the one that holds it
+/// for seconds. The holder must notify others by itself, which it didn't once.
 #[test]
-fn a_holder_tells_what_the_others_lack() {
+fn a_holder_notifies_vms_that_lack_a_version() {
     let steps = vec![(0, 137), (0, 10), (19, 225), (3, 24), (43, 113), (3, 80)];
     assert!(converges(6647516676566343112, steps));
 }
 
-/// Story: a VM misses a rumour, and no other comes. It must learn of the
-/// version by comparing digests, whichever VM has it.
+/// A VM misses a gossip update and receives no other. It must learn of the
+/// version by comparing digests, whichever VM holds it.
 #[test]
-fn a_lost_rumour_costs_seconds() {
+fn a_lost_gossip_update_delays_a_version_by_seconds() {
     for seed in 0..20 {
         let mut world = World::ready(seed);
         world.store(service(0), held::Kind::Document, 4);
         let reader = usize::try_from(seed).unwrap() % VMS;
         world.read(reader, &service(0));
-        world.rumours.clear();
+        world.updates.clear();
         world.heal();
         let first = &world.applied[reader];
         assert!(
@@ -230,40 +232,40 @@
 }
 
 #[test]
-fn the_keeper_learns_how_far_a_version_has_got() {
+fn the_keeper_counts_the_vms_that_apply_a_version() {
     let mut world = World::new(7);
     world.store(service(0), held::Kind::Document, 4);
     world.read(3, &service(0));
     let keeper = roles(0).keeper().cloned().unwrap();
     let keeper = (0..VMS).find(|index| name(*index) == keeper).unwrap();
     world.heal();
-    let count = world.vms[keeper].count(&service(0), world.now);
-    assert_eq!((count.in_force, count.behind.len()), (VMS as u32, 0));
+    let rollout = world.vms[keeper].rollout(&service(0), world.now);
+    assert_eq!((rollout.in_force, rollout.behind.len()), (VMS as u32, 0));
     world.now = world.now + time::Duration::from_secs(60);
-    let count = world.vms[keeper].count(&service(0), world.now);
-    assert_eq!(count.in_force, 0, "reports of silent VMs must age");
+    let rollout = world.vms[keeper].rollout(&service(0), world.now);
+    assert_eq!(rollout.in_force, 0, "reports of silent VMs must age");
 }
 
-/// Story: all VMs that held a version are replaced at once after they had told
-/// of it. A keeper that waited for that version for ever would accept no edit.
+/// All VMs that held a version are replaced at the same time, just after they
+/// published it. A keeper that waited for it forever would accept no edit.
 #[test]
-fn a_version_that_nobody_has_is_given_up() {
+fn a_version_that_no_vm_holds_is_given_up() {
     let mut world = World::new(9);
-    let ghost = frames::rumour(held::Kind::Document, &service(1), 900);
-    world.event(0, Event::Rumour(ghost));
+    let unavailable = frames::update(held::Kind::Document, &service(1), 900);
+    world.event(0, Event::Update(unavailable));
     assert!(world.vms[0].behind());
     for _ in 0..200 {
-        world.pass(time::Duration::from_millis(100));
+        world.advance(time::Duration::from_millis(100));
         world.frames.clear();
     }
     assert!(!world.vms[0].behind());
 }
 
-/// Story: a VM starts while the store is out and takes requests by what the
-/// others told it. Operators must be able to see which VMs the store hasn't
-/// confirmed, and that it has once it is back.
+/// A VM starts while the store is unavailable and accepts requests based on its
+/// peers' versions. It must be reported as unconfirmed until it has read the
+/// store.
 #[test]
-fn vms_that_the_store_has_not_confirmed_are_named() {
+fn vms_that_the_store_has_not_confirmed_are_reported() {
     let mut world = World::new(13);
     let keeper = roles(0).keeper().cloned().unwrap();
     let keeper = (0..VMS).find(|index| name(*index) == keeper).unwrap();
@@ -273,27 +275,26 @@
     }
     world.event(late, Event::StoreFailed);
     world.heal();
-    assert!(world.vms[late].settled());
+    assert!(world.vms[late].ready());
     assert_eq!(world.vms[keeper].tally().unconfirmed(), [name(late)]);
     world.event(late, Event::Loaded);
     world.heal();
     assert_eq!(world.vms[keeper].tally().unconfirmed(), []);
 }
 
-/// Story: a VM starts while the store is out, next to others that have just
-/// started too. Taking requests by no documents at all would refuse them as
-/// unknown services; it must wait for members that were ready.
+/// All VMs start while the store is unavailable. Without documents they would
+/// refuse requests as unknown services, so they must wait for ready members.
 #[test]
-fn unready_peers_make_nobody_ready() {
+fn vms_are_not_ready_by_answers_of_unready_peers() {
     let mut world = World::new(11);
     for index in 0..VMS {
         world.event(index, Event::StoreFailed);
     }
     world.heal();
-    assert!(world.vms.iter().all(|vm| !vm.settled()));
+    assert!(world.vms.iter().all(|vm| !vm.ready()));
     for index in 1..VMS {
         world.event(index, Event::Loaded);
     }
     world.heal();
-    assert!(world.vms.iter().all(Spread::settled));
+    assert!(world.vms.iter().all(Spread::ready));
 }
