--- a/crates/geraniumgauge/src/slo/counts.rs
+++ b/crates/geraniumgauge/src/slo/counts.rs
@@ -1,34 +1,34 @@
-//! What is counted of requests.
+//! Counts of requests and shard calls.
 
 use std::collections;
 
 use crate::query;
 use crate::slo;
 
-/// Counts of one service over some time.
+/// Counts of one service over a period.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Counts {
-    /// Requests of callers.
+    /// Number of requests of callers.
     #[serde(rename = "n", skip_serializing_if = "zero")]
     pub requests: u64,
-    /// Refused ones.
+    /// Number of refused requests.
     #[serde(rename = "r", skip_serializing_if = "zero")]
     pub refused: u64,
-    /// Requests taken that were not answered before their deadline.
+    /// Number of accepted requests that weren't answered before their deadline.
     #[serde(rename = "l", skip_serializing_if = "zero")]
     pub late: u64,
-    /// Requests taken that were not answered with every shard covered.
+    /// Number of accepted requests that weren't answered with every shard covered.
     #[serde(rename = "i", skip_serializing_if = "zero")]
     pub incomplete: u64,
-    /// Shard calls that were first attempts.
+    /// Number of shard calls that were first attempts.
     #[serde(rename = "f", skip_serializing_if = "zero")]
     pub first_attempts: u64,
-    /// Shard calls beyond these.
+    /// Number of other shard calls: hedges, retries, restarts and repeated canaries.
     #[serde(rename = "x", skip_serializing_if = "zero")]
     pub extra_attempts: u64,
-    /// Missing shards by reason.
+    /// Number of missing shards by reason.
     #[serde(rename = "m", skip_serializing_if = "collections::BTreeMap::is_empty")]
     pub missing: collections::BTreeMap<query::Reason, u64>,
 }
@@ -38,14 +38,14 @@
 }
 
 impl Counts {
-    /// Counts one request. A refused one is neither late nor incomplete: it
-    /// burns the objective for refusals only.
+    /// Counts one request. A refused request is neither late nor incomplete: it
+    /// counts against the objective for accepted requests only.
     pub fn count(&mut self, event: &slo::Event) {
-        let taken = !event.refused;
+        let accepted = !event.refused;
         self.requests += 1;
         self.refused += u64::from(event.refused);
-        self.late += u64::from(taken && !event.in_time);
-        self.incomplete += u64::from(taken && !event.complete);
+        self.late += u64::from(accepted && !event.in_time);
+        self.incomplete += u64::from(accepted && !event.complete);
         self.first_attempts += event.first_attempts;
         self.extra_attempts += event.extra_attempts;
         for (reason, shards) in &event.missing {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Adds other counts.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.refused += other.refused;
--- a/crates/geraniumgauge/src/slo/instruments.rs
+++ b/crates/geraniumgauge/src/slo/instruments.rs
@@ -1,10 +1,11 @@
-//! Metrics of callers' requests.
+//! OpenTelemetry instruments for callers' requests.
 
 use opentelemetry::metrics;
 
 use crate::slo;
 
-/// Counters by service; only services that have a document are counted.
+/// Counters with the label `service`; only services that have a document are
+/// counted.
 #[derive(Debug)]
 pub(super) struct Instruments {
     requests: metrics::Counter<u64>,
@@ -17,8 +18,11 @@
 
 impl Instruments {
     pub(super) fn new(meter: &metrics::Meter) -> Self {
-        let counter = |name: &'static str, text: &'static str| {
-            meter.u64_counter(name).with_description(text).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
         Self {
             requests: counter("slo_requests", "requests of callers"),
@@ -32,22 +36,22 @@
 
     pub(super) fn count(&self, event: &slo::Event) {
         let service = opentelemetry::KeyValue::new("service", event.service.to_string());
-        let with = |key: &'static str, value: String| {
+        let labels_with = |key: &'static str, value: String| {
             [service.clone(), opentelemetry::KeyValue::new(key, value)]
         };
         let labels = std::slice::from_ref(&service);
-        let taken = !event.refused;
+        let accepted = !event.refused;
         self.requests.add(1, labels);
         self.refused.add(u64::from(event.refused), labels);
-        self.late.add(u64::from(taken && !event.in_time), labels);
+        self.late.add(u64::from(accepted && !event.in_time), labels);
         self.incomplete
-            .add(u64::from(taken && !event.complete), labels);
-        let kind = |kind: &str| with("kind", kind.to_owned());
+            .add(u64::from(accepted && !event.complete), labels);
+        let kind = |kind: &str| labels_with("kind", kind.to_owned());
         self.attempts.add(event.first_attempts, &kind("first"));
         self.attempts.add(event.extra_attempts, &kind("extra"));
         for (reason, shards) in &event.missing {
             self.missing
-                .add(*shards, &with("reason", reason.to_string()));
+                .add(*shards, &labels_with("reason", reason.to_string()));
         }
     }
 }
--- a/crates/geraniumgauge/src/slo/mod.rs
+++ b/crates/geraniumgauge/src/slo/mod.rs
@@ -1,7 +1,7 @@
-//! Service-level indicators and their burn.
+//! Service-level indicators and burn rates.
 //!
-//! Entries record what became of each request; the counts go to the store,
-//! where `geraniumgauge burn` reads them.
+//! Coordinators record the result of each request. The counts are delivered to the
+//! store, from which `geraniumgauge burn` makes its report.
 
 mod counts;
 mod instruments;
@@ -30,27 +30,27 @@
 use crate::ids;
 use crate::query;
 
-/// What became of one request of a caller.
+/// Result of one request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The service.
     pub service: ids::Service,
-    /// Answered, and before its deadline.
+    /// Set if the request was answered before its deadline.
     pub in_time: bool,
-    /// Answered with every shard covered.
+    /// Set if the answer covered every shard.
     pub complete: bool,
-    /// Refused.
+    /// Set if the request was refused.
     pub refused: bool,
-    /// Missing shards by reason.
+    /// Number of missing shards by reason.
     pub missing: Vec<(query::Reason, u64)>,
-    /// Shard calls that were first attempts.
+    /// Number of shard calls that were first attempts.
     pub first_attempts: u64,
-    /// Shard calls beyond these: hedges, retries, restarts, canaries sent twice.
+    /// Number of other shard calls: hedges, retries, restarts and repeated canaries.
     pub extra_attempts: u64,
 }
 
-/// Takes the events of callers' requests. Must not block.
+/// Records the results of callers' requests. Implementations must not block.
 pub trait Record: Send + Sync {
-    /// Counts one request.
+    /// Records one request.
     fn record(&self, event: &Event);
 }
--- a/crates/geraniumgauge/src/slo/object.rs
+++ b/crates/geraniumgauge/src/slo/object.rs
@@ -1,9 +1,10 @@
-//! The two kinds of store object behind the report.
+//! Store objects from which the burn report is made.
 //!
-//! Each VM adds its counts to one of [`GROUPS`] inboxes; now and then an inbox
-//! is closed as a numbered batch and folded into `burn/{service}`. Both steps
-//! are conditional updates that carry a number, so a step whose reply was lost
-//! is recognised when it is read back and never counted twice.
+//! Each VM adds its counts to one of [`INBOXES`] inboxes. From time to time, the
+//! counts of an inbox are closed as a numbered batch and folded into
+//! `burn/{service}`. Both steps are conditional updates that carry a number, so a
+//! step whose reply was lost is recognised when the object is read back, and isn't
+//! counted twice.
 
 use std::collections;
 use std::time;
@@ -12,46 +13,46 @@
 use crate::slo;
 use crate::time as clock;
 
-/// Inboxes. A write of an inbox takes a few milliseconds to read and change, so
-/// four bear the 20 writes a second that the largest fleet is held to.
-pub(super) const GROUPS: u64 = 4;
-/// How long an inbox remembers a VM that is silent.
-const REMEMBERED: time::Duration = time::Duration::from_secs(3600);
-/// Longest time after which a write whose reply was lost is tried again. It is
-/// well below [`REMEMBERED`], so that clocks that differ do no harm.
-pub(super) const TRIED: time::Duration = time::Duration::from_secs(2400);
+/// Number of inboxes. Reading and writing an inbox takes a few milliseconds, so
+/// four can take the 20 writes a second to which the largest fleet is limited.
+pub(super) const INBOXES: u64 = 4;
+/// Time after which an inbox removes a VM that has delivered nothing.
+const VM_RETENTION: time::Duration = time::Duration::from_secs(3600);
+/// Maximum time for which a write whose reply was lost is retried. It is well below
+/// [`VM_RETENTION`], which allows for clocks that differ.
+pub(super) const MAX_UNCONFIRMED_AGE: time::Duration = time::Duration::from_secs(2400);
 
-/// Store key of a service's counts.
+/// Returns the store key of a service's counts.
 pub(super) fn burn_key(service: &ids::Service) -> String {
     format!("burn/{service}")
 }
 
-/// Store key of an inbox.
-pub(super) fn inbox_key(group: u64) -> String {
-    format!("burn-inbox/{group}")
+/// Returns the store key of an inbox.
+pub(super) fn inbox_key(index: u64) -> String {
+    format!("burn-inbox/{index}")
 }
 
-/// The inbox of a VM.
-pub(super) fn group(vm: &ids::Vm) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(vm.as_str().as_bytes()) % GROUPS
+/// Returns the index of a VM's inbox.
+pub(super) fn inbox_index(vm: &ids::Vm) -> u64 {
+    xxhash_rust::xxh3::xxh3_64(vm.as_str().as_bytes()) % INBOXES
 }
 
-/// Counts of services by time.
+/// Counts over time, by service.
 pub(super) type Services = collections::BTreeMap<ids::Service, slo::Series>;
 
-/// The object `burn-inbox/{group}`.
+/// The object `burn-inbox/{index}`.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Inbox {
     /// The newest delivery of each VM.
     vms: collections::BTreeMap<ids::Vm, Delivery>,
-    /// Number of the batch that is being filled, from 1.
+    /// Number of the open batch, from 1.
     number: u64,
-    /// When its first counts came.
+    /// Time at which the first counts of the open batch were added.
     opened: Option<clock::Wall>,
-    /// Its counts.
+    /// Counts of the open batch.
     open: Services,
-    /// The batch before, until it is folded.
+    /// The previous batch, until it is folded.
     closed: Option<Batch>,
 }
 
@@ -64,56 +65,56 @@
     at: clock::Wall,
 }
 
-/// Counts that are to be folded into the services' objects.
+/// Closed counts of an inbox that are folded into the services' objects.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Batch {
-    /// Its number.
+    /// Number of the batch.
     pub(super) number: u64,
-    /// When it was closed.
+    /// Time at which the batch was closed.
     pub(super) closed: clock::Wall,
-    /// Its counts.
+    /// Counts of the batch.
     pub(super) services: Services,
 }
 
-/// What one VM delivers at once.
+/// Counts that a VM adds to its inbox in one write.
 #[derive(Debug, Clone)]
-pub(super) struct Parcel {
-    /// Whose it is.
+pub(super) struct Payload {
+    /// The VM that delivers.
     pub(super) vm: ids::Vm,
-    /// Which start of it.
+    /// Incarnation of the VM.
     pub(super) incarnation: ids::Incarnation,
-    /// Counts the parcels of this start, from 1.
+    /// Sequence number within this incarnation, from 1.
     pub(super) sequence: u64,
-    /// The counts.
+    /// Counts by service.
     pub(super) services: Services,
 }
 
 impl Inbox {
-    /// Whether `parcel` is in this inbox or was.
-    pub(super) fn has(&self, parcel: &Parcel) -> bool {
-        self.vms.get(&parcel.vm).is_some_and(|last| {
-            (last.incarnation, last.sequence) >= (parcel.incarnation, parcel.sequence)
+    /// Returns whether `payload` was added to this inbox before.
+    pub(super) fn contains(&self, payload: &Payload) -> bool {
+        self.vms.get(&payload.vm).is_some_and(|last| {
+            (last.incarnation, last.sequence) >= (payload.incarnation, payload.sequence)
         })
     }
 
-    /// Adds a parcel that is not here yet.
-    pub(super) fn add(&mut self, parcel: &Parcel, now: clock::Wall) {
+    /// Adds a payload that the inbox doesn't contain yet.
+    pub(super) fn add(&mut self, payload: &Payload, now: clock::Wall) {
         self.number = self.number.max(1);
         self.opened.get_or_insert(now);
-        for (service, series) in &parcel.services {
+        for (service, series) in &payload.services {
             self.open.entry(service.clone()).or_default().add(series);
         }
         let delivery = Delivery {
-            incarnation: parcel.incarnation,
-            sequence: parcel.sequence,
+            incarnation: payload.incarnation,
+            sequence: payload.sequence,
             at: now,
         };
-        self.vms.insert(parcel.vm.clone(), delivery);
-        self.vms.retain(|_, last| now.since(last.at) < REMEMBERED);
+        self.vms.insert(payload.vm.clone(), delivery);
+        self.vms.retain(|_, last| now.since(last.at) < VM_RETENTION);
     }
 
-    /// Closes the open batch where none is closed yet.
+    /// Closes the open batch, unless it is empty or a closed batch isn't folded yet.
     pub(super) fn close(&mut self, now: clock::Wall) {
         if self.closed.is_some() || self.open.is_empty() {
             return;
@@ -127,19 +128,20 @@
         self.number += 1;
     }
 
-    /// Whether the open batch has been filled for `span`.
-    pub(super) fn due(&self, now: clock::Wall, span: time::Duration) -> bool {
+    /// Returns whether the open batch has been filled for `span` and can be closed.
+    pub(super) fn close_due(&self, now: clock::Wall, span: time::Duration) -> bool {
         let filled = self.opened.is_some_and(|opened| now.since(opened) >= span);
         self.closed.is_none() && filled
     }
 
-    /// The batch that is to be folded.
+    /// Returns the closed batch, which is to be folded.
     pub(super) fn closed(&self) -> Option<&Batch> {
         self.closed.as_ref()
     }
 
-    /// Forgets the closed batch once it is folded.
-    pub(super) fn folded(&mut self, number: u64) -> bool {
+    /// Removes the closed batch after it was folded; returns false if it is another
+    /// one.
+    pub(super) fn remove_folded(&mut self, number: u64) -> bool {
         let same = self
             .closed
             .as_ref()
@@ -150,14 +152,14 @@
         same
     }
 
-    /// The VMs that delivered of late.
+    /// Returns the number of VMs that delivered recently.
     pub(super) fn vms(&self) -> usize {
         self.vms.len()
     }
 
-    /// The counts of `service` that `burn` doesn't hold yet.
-    pub(super) fn beyond(&self, group: u64, service: &ids::Service, burn: &Burn) -> slo::Series {
-        let folded = burn.folded.get(&group).copied().unwrap_or(0);
+    /// Returns the counts of `service` that `burn` doesn't include yet.
+    pub(super) fn unfolded(&self, index: u64, service: &ids::Service, burn: &Burn) -> slo::Series {
+        let folded = burn.folded.get(&index).copied().unwrap_or(0);
         let mut series = slo::Series::default();
         let closed = self.closed.as_ref().filter(|batch| batch.number > folded);
         if let Some(found) = closed.and_then(|batch| batch.services.get(service)) {
@@ -174,22 +176,22 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Burn {
-    /// The newest batch of each inbox that is counted here.
+    /// Number of the newest batch included, by inbox index.
     folded: collections::BTreeMap<u64, u64>,
-    /// The counts.
+    /// Counts of the service over time.
     pub(super) series: slo::Series,
 }
 
 impl Burn {
-    /// Counts a batch of an inbox; false where it is counted already.
+    /// Adds a batch of an inbox; returns false if it is already included.
     pub(super) fn fold(
         &mut self,
-        group: u64,
+        index: u64,
         number: u64,
         series: &slo::Series,
         now: clock::Wall,
     ) -> bool {
-        let folded = self.folded.entry(group).or_default();
+        let folded = self.folded.entry(index).or_default();
         if *folded >= number {
             return false;
         }
--- a/crates/geraniumgauge/src/slo/page.rs
+++ b/crates/geraniumgauge/src/slo/page.rs
@@ -1,4 +1,4 @@
-//! The burn report as a page.
+//! Renders the burn report as SVG and as an HTML page.
 
 use std::fmt::Write as _;
 
@@ -8,19 +8,19 @@
 
 use crate::slo;
 
-/// Why a report can't be drawn.
+/// Error in drawing a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
-#[display("the report can't be drawn: {reason}")]
+#[display("failed to draw the report: {reason}")]
 pub struct Error {
     reason: String,
 }
 
-/// Size of the plot, in pixels.
-const SIZE: (u32, u32) = (960, 360);
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 360);
 /// Highest burn rate that the plot shows.
-const TOP: f64 = 20.0;
-const HOUR: f64 = 3_600_000.0;
+const MAX_PLOTTED_BURN: f64 = 20.0;
+const MILLIS_PER_HOUR: f64 = 3_600_000.0;
 const COLOURS: [plot::RGBColor; 4] = [
     plot::RGBColor(0, 90, 160),
     plot::RGBColor(190, 80, 0),
@@ -28,10 +28,10 @@
     plot::RGBColor(130, 60, 140),
 ];
 
-/// The burn rate of each objective over time, as SVG.
+/// Draws the burn rate of each objective over time as SVG.
 ///
 /// # Errors
-/// Where the plot can't be drawn.
+/// Fails if the plot can't be drawn.
 pub fn plot(report: &slo::Report) -> Result<String, Error> {
     let mut svg = String::new();
     draw(report, &mut svg).map_err(|error| Error {
@@ -41,7 +41,7 @@
 }
 
 fn draw(report: &slo::Report, svg: &mut String) -> Result<(), Box<dyn std::error::Error>> {
-    let area = plot::SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let area = plot::SVGBackend::with_string(svg, PLOT_SIZE).into_drawing_area();
     area.fill(&plot::WHITE)?;
     let lines = lines(report);
     let points = lines.iter().flatten();
@@ -55,7 +55,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(44)
-        .build_cartesian_2d(oldest..0.0, 0.0..highest.min(TOP))?;
+        .build_cartesian_2d(oldest..0.0, 0.0..highest.min(MAX_PLOTTED_BURN))?;
     chart
         .configure_mesh()
         .x_desc("hours before the report")
@@ -64,8 +64,8 @@
         .draw()?;
     let limit = plot::LineSeries::new([(oldest, 1.0), (0.0, 1.0)], plot::BLACK.mix(0.4));
     chart.draw_series(limit)?;
-    let named = lines.into_iter().zip(&report.indicators).zip(COLOURS);
-    for ((line, indicator), colour) in named {
+    let labelled = lines.into_iter().zip(&report.indicators).zip(COLOURS);
+    for ((line, indicator), colour) in labelled {
         let style = plot::ShapeStyle::from(colour).stroke_width(2);
         let series = chart.draw_series(plot::LineSeries::new(line, style))?;
         series
@@ -81,23 +81,23 @@
     Ok(())
 }
 
-/// Hours before the report and burn rate, for each indicator.
+/// Returns the points of each indicator: hours relative to the report, burn rate.
 fn lines(report: &slo::Report) -> Vec<Vec<(f64, f64)>> {
     let points = report.series.points();
     let line = |indicator: &slo::Indicator| {
         let burns = points.iter().map(|(start, counts)| {
-            let hours = (start.0 as f64 - report.made.0 as f64) / HOUR;
-            (hours.min(0.0), indicator.burn(counts).min(TOP))
+            let hours = (start.0 as f64 - report.made.0 as f64) / MILLIS_PER_HOUR;
+            (hours.min(0.0), indicator.burn(counts).min(MAX_PLOTTED_BURN))
         });
         burns.collect()
     };
     report.indicators.iter().map(line).collect()
 }
 
-/// The report as an HTML page of its own, with the plot in it.
+/// Renders the report as a self-contained HTML page that includes the plot.
 ///
 /// # Errors
-/// Where the plot can't be drawn.
+/// Fails if the plot can't be drawn.
 pub fn page(report: &slo::Report) -> Result<String, Error> {
     let mut rows = String::new();
     for indicator in &report.indicators {
--- a/crates/geraniumgauge/src/slo/report.rs
+++ b/crates/geraniumgauge/src/slo/report.rs
@@ -1,4 +1,4 @@
-//! The burn report of a service, read from the store alone.
+//! The burn report of a service, which is made from store objects only.
 
 use std::time;
 
@@ -20,109 +20,109 @@
     ("3 days", time::Duration::from_secs(72 * 3600)),
 ];
 
-/// Burn rate of the two short windows from which someone should look at once:
-/// at this rate the budget of three days is gone in five hours.
+/// Burn rate that needs immediate attention if both short windows reach it: at this
+/// rate the budget of three days is spent in five hours.
 pub const FAST: f64 = 14.4;
 
-/// What a service's objectives have cost.
+/// Burn rates of a service's objectives.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize)]
 pub struct Report {
     /// The service.
     pub service: ids::Service,
-    /// When the report was made, by the reader's clock.
+    /// Time at which the report was made, by the reader's clock.
     pub made: clock::Wall,
-    /// Generation of the document whose objectives these are; 0 for defaults.
+    /// Generation of the document that sets the objectives; 0 for defaults.
     pub generation: ids::Generation,
-    /// One for each objective.
+    /// One indicator for each objective.
     pub indicators: Vec<Indicator>,
-    /// Missing shards by reason over the longest window, most first.
+    /// Missing shards by reason over the longest window, most frequent first.
     pub missing: Vec<Missing>,
-    /// The counts, for plots.
+    /// Counts over time, for plots.
     #[serde(skip)]
     pub series: slo::Series,
 }
 
-/// One objective and how far it is kept.
+/// One objective with its burn rates.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize)]
 pub struct Indicator {
-    /// Its name in the document.
+    /// Name of the objective in the document.
     pub name: &'static str,
-    /// What is counted.
+    /// Description of the good events.
     pub meaning: &'static str,
-    /// Share of good events asked for.
+    /// Required share of good events.
     pub objective: rate::Share,
-    /// One for each of [`WINDOWS`].
+    /// Burn rate in each of [`WINDOWS`].
     pub windows: Vec<Window>,
-    /// Part of the longest window's budget that is left; below 0 where overspent.
+    /// Remaining part of the longest window's budget; negative if overspent.
     pub budget_left: f64,
-    /// Both short windows burn at [`FAST`] or more.
+    /// Set if both short windows burn at [`FAST`] or more.
     pub fast: bool,
-    /// Bad and all events of counts.
+    /// Returns the number of bad and of all events in counts.
     #[serde(skip)]
-    count: Count,
+    bad_and_total: BadAndTotal,
 }
 
 impl Indicator {
-    /// The burn rate of other counts under this objective.
+    /// Returns the burn rate that `counts` have under this objective.
     pub fn burn(&self, counts: &slo::Counts) -> f64 {
-        let (bad, total) = (self.count)(counts);
+        let (bad, total) = (self.bad_and_total)(counts);
         burn(bad, total, self.objective)
     }
 }
 
-type Count = fn(&slo::Counts) -> (u64, u64);
+type BadAndTotal = fn(&slo::Counts) -> (u64, u64);
 
 /// One objective over one window.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize)]
 pub struct Window {
-    /// Its name.
+    /// Name of the window.
     pub window: &'static str,
-    /// Events that count against the objective.
+    /// Number of bad events.
     pub bad: u64,
-    /// All events.
+    /// Number of all events.
     pub total: u64,
-    /// Share of bad events over the share that the objective allows; 1 spends
-    /// exactly the budget.
+    /// Share of bad events divided by the share that the objective allows; 1
+    /// spends exactly the budget.
     pub burn: f64,
 }
 
-/// Missing shards of one reason.
+/// Shards that were missing for one reason.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize)]
 pub struct Missing {
-    /// The reason.
+    /// Reason for which the shards were missing.
     pub reason: query::Reason,
-    /// Shards missing for it.
+    /// Number of shards.
     pub shards: u64,
-    /// Its part of all missing shards.
+    /// Fraction of all missing shards.
     pub part: f64,
 }
 
-/// Reads the report of `service`.
+/// Makes the report of `service`.
 ///
 /// # Errors
-/// Where the store can't be read.
+/// Fails if an object can't be read from the store or parsed.
 pub async fn report(
     store: &dyn store::Api,
     service: &ids::Service,
     now: clock::Wall,
 ) -> Result<Report, store::Error> {
     let accepted = get::<keeper::Accepted>(store, &document::accepted_key(service)).await?;
-    // Inboxes first: a batch that is folded between the two reads is known by
-    // its number, and counts once.
+    // The inboxes are read first. A batch that is folded between the two reads is
+    // recognised by its number and counted once.
     let mut inboxes = Vec::new();
-    for group in 0..object::GROUPS {
-        let inbox = get::<object::Inbox>(store, &object::inbox_key(group)).await?;
-        inboxes.push((group, inbox.unwrap_or_default()));
+    for index in 0..object::INBOXES {
+        let inbox = get::<object::Inbox>(store, &object::inbox_key(index)).await?;
+        inboxes.push((index, inbox.unwrap_or_default()));
     }
     let burn = get::<object::Burn>(store, &object::burn_key(service)).await?;
     let burn = burn.unwrap_or_default();
     let mut series = burn.series.clone();
-    for (group, inbox) in &inboxes {
-        series.add(&inbox.beyond(*group, service, &burn));
+    for (index, inbox) in &inboxes {
+        series.add(&inbox.unfolded(*index, service, &burn));
     }
     series.compact(now);
     let (generation, objectives) = accepted.map_or_else(Default::default, |record| {
@@ -143,10 +143,10 @@
 ) -> Result<Option<O>, store::Error> {
     match store.get(key).await {
         Ok(object) => {
-            let read = serde_json::from_slice(&object.body);
-            read.map(Some).map_err(|error| store::Error::Refused {
+            let parsed = serde_json::from_slice(&object.body);
+            parsed.map(Some).map_err(|error| store::Error::Refused {
                 key: key.to_owned(),
-                reason: format!("it can't be read: {error}"),
+                reason: format!("the object can't be parsed: {error}"),
             })
         }
         Err(store::Error::Missing { .. }) => Ok(None),
@@ -154,12 +154,12 @@
     }
 }
 
-/// Name, meaning, objective, and bad and all events of counts.
+/// Name, meaning, objective, and number of bad and of all events.
 type Definition = (
     &'static str,
     &'static str,
     fn(&document::Slo) -> rate::Share,
-    Count,
+    BadAndTotal,
 );
 
 const INDICATORS: [Definition; 4] = [
@@ -193,7 +193,7 @@
 ];
 
 impl Report {
-    /// The report of counts under objectives.
+    /// Makes a report of `series` under `objectives`.
     pub fn new(
         service: ids::Service,
         now: clock::Wall,
@@ -215,14 +215,14 @@
         }
     }
 
-    /// The reason that costs most coverage.
+    /// Returns the reason for which most shards were missing.
     pub fn worst(&self) -> Option<&Missing> {
         self.missing.first()
     }
 }
 
 fn indicator(
-    (name, meaning, objective, count): &Definition,
+    (name, meaning, objective, bad_and_total): &Definition,
     objectives: &document::Slo,
     sums: &[(&'static str, slo::Counts)],
 ) -> Indicator {
@@ -230,7 +230,7 @@
     let windows: Vec<_> = sums
         .iter()
         .map(|(window, counts)| {
-            let (bad, total) = count(counts);
+            let (bad, total) = bad_and_total(counts);
             Window {
                 window,
                 bad,
@@ -247,11 +247,11 @@
         budget_left: 1.0 - spent,
         fast: windows.iter().take(2).all(|window| window.burn >= FAST),
         windows,
-        count: *count,
+        bad_and_total: *bad_and_total,
     }
 }
 
-/// Share of bad events over the share allowed. Nothing counted burns nothing.
+/// Returns the share of bad events divided by the allowed share; 0 without events.
 pub fn burn(bad: u64, total: u64, objective: rate::Share) -> f64 {
     let allowed = 1.0 - objective.get();
     if total == 0 || allowed <= 0.0 {
--- a/crates/geraniumgauge/src/slo/series.rs
+++ b/crates/geraniumgauge/src/slo/series.rs
@@ -1,4 +1,4 @@
-//! Counts over time, in slices that grow coarser with age.
+//! Counts over time, in slices that are merged into wider ones with age.
 
 use std::collections;
 use std::time;
@@ -6,17 +6,17 @@
 use crate::slo;
 use crate::time as clock;
 
-const MINUTE: u64 = 60_000;
+const MINUTE_MS: u64 = 60_000;
 
-/// Widths of slices in milliseconds, and the age up to which each is kept. The
-/// report's windows are 5 minutes, 1 hour, 6 hours and 3 days.
+/// Slice widths and the ages up to which slices of that width are kept, both in
+/// milliseconds. The report's windows are 5 minutes, 1 hour, 6 hours and 3 days.
 const TIERS: [(u64, u64); 3] = [
-    (MINUTE, 10 * MINUTE),
-    (5 * MINUTE, 370 * MINUTE),
-    (60 * MINUTE, (72 + 2) * 60 * MINUTE),
+    (MINUTE_MS, 10 * MINUTE_MS),
+    (5 * MINUTE_MS, 370 * MINUTE_MS),
+    (60 * MINUTE_MS, (72 + 2) * 60 * MINUTE_MS),
 ];
 
-/// Counts of one service by time. At most about 160 slices.
+/// Counts of one service over time, in at most about 160 slices.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
@@ -24,7 +24,7 @@
     slices: Vec<Slice>,
 }
 
-/// Counts from `start` for `width`.
+/// Counts of the period from `start` that lasts `width` milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 struct Slice {
@@ -37,24 +37,24 @@
 }
 
 impl Series {
-    /// The counts of the minute of `now`.
+    /// Returns the counts of the minute that contains `now`.
     pub fn at(&mut self, now: clock::Wall) -> &mut slo::Counts {
-        self.slice(floor(now, MINUTE), MINUTE)
+        self.slice(floor(now, MINUTE_MS), MINUTE_MS)
     }
 
-    /// Adds another series.
+    /// Adds the counts of another series.
     pub fn add(&mut self, other: &Self) {
         for slice in &other.slices {
             self.slice(slice.start, slice.width).add(&slice.counts);
         }
     }
 
-    /// Whether nothing is counted.
+    /// Returns whether the series has no slices.
     pub fn is_empty(&self) -> bool {
         self.slices.is_empty()
     }
 
-    /// Merges slices that have aged and drops those of no window.
+    /// Merges aged slices and removes those that are older than every window.
     pub fn compact(&mut self, now: clock::Wall) {
         let mut merged = collections::BTreeMap::<(clock::Wall, u64), slo::Counts>::new();
         for slice in self.slices.drain(..) {
@@ -77,8 +77,8 @@
         self.slices = slices.collect();
     }
 
-    /// The counts of the last `window`. Slices count whole, so up to one
-    /// slice's width more than the window may be in it.
+    /// Returns the counts of the last `window`. A slice that lies partly within is
+    /// counted in full, so the sum may cover up to one slice's width more.
     pub fn window(&self, now: clock::Wall, window: time::Duration) -> slo::Counts {
         let from = now.0.saturating_sub(clock::millis(window));
         let mut sum = slo::Counts::default();
@@ -88,7 +88,7 @@
         sum
     }
 
-    /// Start and counts of every slice, oldest first.
+    /// Returns the start and counts of every slice, oldest first.
     pub fn points(&self) -> Vec<(clock::Wall, &slo::Counts)> {
         let slices = self.slices.iter();
         let mut points: Vec<_> = slices.map(|slice| (slice.start, &slice.counts)).collect();
@@ -97,8 +97,8 @@
     }
 
     fn slice(&mut self, start: clock::Wall, width: u64) -> &mut slo::Counts {
-        let same = |slice: &Slice| slice.start == start && slice.width == width;
-        let at = match self.slices.iter().rposition(same) {
+        let matches = |slice: &Slice| slice.start == start && slice.width == width;
+        let at = match self.slices.iter().rposition(matches) {
             Some(at) => at,
             None => {
                 self.slices.push(Slice {
--- a/crates/geraniumgauge/src/slo/service.rs
+++ b/crates/geraniumgauge/src/slo/service.rs
@@ -1,10 +1,11 @@
 //! Counts requests on this VM and delivers the counts to the store.
 //!
-//! VMs keep nothing, so counts go to the store every [`DELIVER`] or more
-//! rarely. A VM writes one inbox for all services; the folding into one object
-//! a service is done once a minute by whichever VM finds it due. At 8 VMs and
-//! 60 services that is about 0.5 deliveries and 4 folds a second, at 2,200 VMs
-//! 20 deliveries a second and the same folds.
+//! VMs have no persistent state, so each one delivers its counts to the store
+//! every [`MIN_DELIVERY_INTERVAL`], or less often in a large fleet. A VM writes the
+//! counts of all services to one inbox. Once a minute, the first VM that finds it
+//! due folds the inbox into one object for each service. With 8 VMs and 60
+//! services that makes about 0.5 deliveries and 4 folds a second; with 2,200 VMs,
+//! 20 deliveries and as many folds.
 
 use std::mem;
 use std::sync;
@@ -21,27 +22,28 @@
 use crate::time as clock;
 use crate::timer;
 
-/// Shortest time between deliveries of a VM.
-const DELIVER: time::Duration = time::Duration::from_secs(15);
-/// Deliveries a second of the whole fleet at most.
-const FLEET_DELIVERIES: f64 = 20.0;
-/// How long a batch is filled, and how long a VM that folds it may take.
-const FOLD: time::Duration = time::Duration::from_secs(60);
-/// Tries of one update; each meets another writer or a lost reply.
-const TRIES: u32 = 6;
-/// Longest wait between tries.
-const AGAIN: time::Duration = time::Duration::from_millis(100);
+/// Shortest time between two deliveries of a VM.
+const MIN_DELIVERY_INTERVAL: time::Duration = time::Duration::from_secs(15);
+/// Maximum deliveries of the whole fleet per second.
+const MAX_FLEET_DELIVERIES_PER_SECOND: f64 = 20.0;
+/// Time for which a batch is filled, and time that a VM has to fold it before
+/// another VM takes over.
+const FOLD_INTERVAL: time::Duration = time::Duration::from_secs(60);
+/// Maximum attempts of one update, which fail by conflicts or lost replies.
+const MAX_UPDATE_ATTEMPTS: u32 = 6;
+/// Maximum delay between two attempts.
+const MAX_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// Which start of which VM counts.
+/// Identity of the VM that counts.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The VM.
+    /// Name of the VM.
     pub vm: ids::Vm,
-    /// Its start.
+    /// Incarnation of the VM.
     pub incarnation: ids::Incarnation,
 }
 
-/// Counts requests; clones share it.
+/// Counts requests; clones share the counts.
 #[derive(Clone)]
 pub struct Service {
     inner: sync::Arc<Inner>,
@@ -58,15 +60,17 @@
     delivery: tokio::sync::Mutex<Delivery>,
 }
 
-/// What is on its way to the store.
+/// State of the deliveries to the store.
 #[derive(Debug, Default)]
 struct Delivery {
+    /// Sequence number of the newest payload.
     sequence: u64,
-    parcel: Option<object::Parcel>,
-    /// Since when a reply is missing for the parcel.
-    unsure: Option<clock::Wall>,
-    /// VMs that share this VM's inbox.
-    sharers: usize,
+    /// Payload that isn't delivered yet.
+    payload: Option<object::Payload>,
+    /// Time of the first write of the payload whose reply was lost.
+    unconfirmed_since: Option<clock::Wall>,
+    /// Number of VMs that deliver to this VM's inbox.
+    inbox_vms: usize,
 }
 
 impl Service {
@@ -93,17 +97,18 @@
         Self { inner }
     }
 
-    /// Delivers what is counted, for a graceful stop. Bounded by the store's
-    /// own call times; what can't be delivered then is lost with the VM.
+    /// Delivers the remaining counts for a graceful stop. Bounded by the timeouts
+    /// of the store's calls; counts that can't be delivered are lost.
     pub async fn flush(&self) {
         if let Err(error) = self.inner.deliver().await {
-            log::warn!("the last counts of requests are lost: {error}");
+            log::warn!("lost the last request counts: {error}");
         }
     }
 }
 
 impl slo::Record for Service {
-    /// Services without a document aren't counted: callers may name anything.
+    /// Counts one request. Services without a document aren't counted, because
+    /// callers may send any name.
     fn record(&self, event: &slo::Event) {
         if self.inner.catalog.document(&event.service).is_none() {
             return;
@@ -117,15 +122,16 @@
 }
 
 async fn deliver(inner: sync::Arc<Inner>) {
-    let mut wait = DELIVER.mul_f64(rand::random());
+    let mut wait = MIN_DELIVERY_INTERVAL.mul_f64(rand::random());
     while inner.timer.sleep(wait).await {
         if let Err(error) = inner.deliver().await {
-            log::debug!("counts of requests wait for the store: {error}");
+            log::debug!("failed to deliver request counts, will retry: {error}");
         }
-        let vms = inner.delivery.lock().await.sharers * object::GROUPS as usize;
-        let shared = time::Duration::from_secs_f64(vms as f64 / FLEET_DELIVERIES);
-        wait = DELIVER
-            .max(shared)
+        let fleet_vms = inner.delivery.lock().await.inbox_vms * object::INBOXES as usize;
+        let fleet_interval =
+            time::Duration::from_secs_f64(fleet_vms as f64 / MAX_FLEET_DELIVERIES_PER_SECOND);
+        wait = MIN_DELIVERY_INTERVAL
+            .max(fleet_interval)
             .mul_f64(0.75 + 0.5 * rand::random::<f64>());
     }
 }
@@ -139,23 +145,23 @@
 
     async fn deliver(&self) -> Result<(), store::Error> {
         let mut delivery = self.delivery.lock().await;
-        // A parcel from an outage goes first; what was counted since is next.
+        // A payload left from an outage is sent first, then the counts since then.
         for _ in 0..2 {
-            let waiting = delivery.parcel.is_some();
-            self.pack(&mut delivery);
-            if delivery.parcel.is_none() {
+            let pending = delivery.payload.is_some();
+            self.prepare(&mut delivery);
+            if delivery.payload.is_none() {
                 break;
             }
             self.send(&mut delivery).await?;
-            if !waiting {
+            if !pending {
                 break;
             }
         }
         self.fold().await
     }
 
-    fn pack(&self, delivery: &mut Delivery) {
-        if delivery.parcel.is_some() {
+    fn prepare(&self, delivery: &mut Delivery) {
+        if delivery.payload.is_some() {
             return;
         }
         let now = self.clock.wall();
@@ -166,7 +172,7 @@
             return;
         }
         delivery.sequence += 1;
-        delivery.parcel = Some(object::Parcel {
+        delivery.payload = Some(object::Payload {
             vm: self.config.vm.clone(),
             incarnation: self.config.incarnation,
             sequence: delivery.sequence,
@@ -174,61 +180,64 @@
         });
     }
 
-    /// Failure: the write took effect and its reply was lost; sent again, the
-    /// requests would count twice. The inbox holds the number of each VM's
-    /// newest parcel, so reading it back tells. An inbox forgets silent VMs in
-    /// time; a parcel that was unsure for too long is dropped, not doubled.
+    /// Writes the payload to this VM's inbox.
+    ///
+    /// If a write takes effect but its reply is lost, a second write would count
+    /// the requests twice. The inbox therefore records the sequence number of
+    /// each VM's newest payload, which is read back first. Since an inbox removes
+    /// VMs that stay silent, a payload that was unconfirmed for too long is
+    /// dropped rather than counted twice.
     async fn send(&self, delivery: &mut Delivery) -> Result<(), store::Error> {
-        let Some(parcel) = delivery.parcel.clone() else {
+        let Some(payload) = delivery.payload.clone() else {
             return Ok(());
         };
         let now = self.clock.wall();
         if delivery
-            .unsure
-            .is_some_and(|since| now.since(since) > object::TRIED)
+            .unconfirmed_since
+            .is_some_and(|since| now.since(since) > object::MAX_UNCONFIRMED_AGE)
         {
-            log::warn!("counts of requests are dropped: whether they arrived isn't known");
-            (delivery.parcel, delivery.unsure) = (None, None);
+            log::warn!("dropped request counts: a lost reply was not resolved in time");
+            (delivery.payload, delivery.unconfirmed_since) = (None, None);
             return Ok(());
         }
-        let key = object::inbox_key(object::group(&self.config.vm));
-        let sent = self.update(&key, |inbox: &mut object::Inbox| {
-            let new = !inbox.has(&parcel);
+        let key = object::inbox_key(object::inbox_index(&self.config.vm));
+        let result = self.update(&key, |inbox: &mut object::Inbox| {
+            let new = !inbox.contains(&payload);
             if new {
-                inbox.add(&parcel, now);
+                inbox.add(&payload, now);
             }
             (new, inbox.vms())
         });
-        match sent.await {
-            Ok(sharers) => {
+        match result.await {
+            Ok(inbox_vms) => {
                 *delivery = Delivery {
                     sequence: delivery.sequence,
-                    parcel: None,
-                    unsure: None,
-                    sharers,
+                    payload: None,
+                    unconfirmed_since: None,
+                    inbox_vms,
                 };
                 Ok(())
             }
             Err(error) => {
                 if matches!(error, store::Error::Unconfirmed { .. }) {
-                    delivery.unsure.get_or_insert(now);
+                    delivery.unconfirmed_since.get_or_insert(now);
                 }
                 Err(error)
             }
         }
     }
 
-    /// Folds this VM's inbox where that is due. A VM that dies within leaves a
-    /// closed batch, which another VM folds; each service's object knows which
-    /// batches it holds.
+    /// Folds this VM's inbox if that is due. If a VM fails meanwhile, another one
+    /// folds the closed batch again; each service's object records the batches
+    /// that it includes.
     async fn fold(&self) -> Result<(), store::Error> {
         let now = self.clock.wall();
-        let group = object::group(&self.config.vm);
-        let key = object::inbox_key(group);
+        let index = object::inbox_index(&self.config.vm);
+        let key = object::inbox_key(index);
         let closing = self.update(&key, |inbox: &mut object::Inbox| {
             let batch = inbox.closed();
-            let busy = batch.is_some_and(|batch| now.since(batch.closed) < FOLD);
-            let due = inbox.due(now, FOLD);
+            let busy = batch.is_some_and(|batch| now.since(batch.closed) < FOLD_INTERVAL);
+            let due = inbox.close_due(now, FOLD_INTERVAL);
             if due {
                 inbox.close(now);
             }
@@ -240,16 +249,16 @@
         for (service, series) in &batch.services {
             let key = object::burn_key(service);
             let folded = self.update(&key, |burn: &mut object::Burn| {
-                (burn.fold(group, batch.number, series, now), ())
+                (burn.fold(index, batch.number, series, now), ())
             });
             folded.await?;
         }
-        let forget = |inbox: &mut object::Inbox| (inbox.folded(batch.number), ());
-        self.update(&key, forget).await
+        let remove = |inbox: &mut object::Inbox| (inbox.remove_folded(batch.number), ());
+        self.update(&key, remove).await
     }
 
-    /// Reads, changes and writes one object until no other writer interferes.
-    /// `change` must be idempotent: it says whether it changed anything.
+    /// Reads, changes and writes one object, and retries after conflicts. `change`
+    /// must be idempotent and return whether it changed anything.
     async fn update<O, T>(
         &self,
         key: &str,
@@ -259,9 +268,10 @@
         O: Default + serde::Serialize + serde::de::DeserializeOwned,
     {
         let mut last = None;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_UPDATE_ATTEMPTS {
             let (mut value, condition) = self.read::<O>(key).await.map_err(|error| {
-                // A lost reply stays unsure until a read succeeds.
+                // Until a read succeeds, it is unknown whether a write whose reply
+                // was lost took effect.
                 last.take().unwrap_or(error)
             })?;
             let (changed, result) = change(&mut value);
@@ -273,14 +283,14 @@
                 Ok(_) => return Ok(result),
                 Err(error @ (store::Error::Conflict { .. } | store::Error::Unconfirmed { .. })) => {
                     last = Some(error);
-                    let wait = AGAIN.mul_f64(rand::random());
-                    tokio::time::sleep(wait).await;
+                    let delay = MAX_RETRY_DELAY.mul_f64(rand::random());
+                    tokio::time::sleep(delay).await;
                 }
                 Err(error) => return Err(last.take().unwrap_or(error)),
             }
         }
         Err(last.unwrap_or_else(|| store::Error::Unavailable {
-            reason: format!("{key} is written by others all the time"),
+            reason: format!("{key} was changed by another writer on every attempt"),
         }))
     }
 
@@ -290,8 +300,8 @@
     {
         match self.store.get(key).await {
             Ok(object) => {
-                // An object that can't be read is started anew: its counts are
-                // lost to the report, and so are they to any other reader.
+                // An object that can't be parsed is replaced by an empty one. Its
+                // counts are lost to the report, as no reader could parse them.
                 let value = serde_json::from_slice(&object.body).unwrap_or_default();
                 Ok((value, store::Condition::Version(object.version)))
             }
--- a/crates/geraniumgauge/src/slo/tests/page.rs
+++ b/crates/geraniumgauge/src/slo/tests/page.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_page_holds_the_table_the_plot_and_the_reasons() {
+fn the_page_contains_the_table_the_plot_and_the_reasons() {
     let page = page(&report()).unwrap();
     for part in [
         "<svg",
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_empty_report_is_drawn_too() {
+fn an_empty_report_is_drawn() {
     let service = "desk".parse().unwrap();
     let objectives = document::Slo::default();
     let empty = slo::Series::default();
--- a/crates/geraniumgauge/src/slo/tests/series.rs
+++ b/crates/geraniumgauge/src/slo/tests/series.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-const DAY: u64 = 24 * 60 * MINUTE;
+const DAY_MS: u64 = 24 * 60 * MINUTE_MS;
 
-/// Compaction at any times loses nothing that a window still needs, and the
-/// series stays small.
+/// Compaction at any time loses no counts that a window still needs, and keeps the
+/// series small.
 #[test]
-fn windows_hold_what_was_counted_within_them() {
+fn windows_include_all_counts_within_them() {
     fn property(gaps: Vec<u16>) -> bool {
         let mut series = Series::default();
-        let mut now = clock::Wall(20 * DAY);
+        let mut now = clock::Wall(20 * DAY_MS);
         let mut events = Vec::new();
         for gap in gaps {
             now = now + time::Duration::from_secs(u64::from(gap) / 4);
@@ -20,8 +20,8 @@
             let counted = series.window(now, *window).requests as usize;
             let within = events.iter().filter(|at| now.since(**at) < *window).count();
             let widest = *window + time::Duration::from_secs(2 * 3600);
-            let near = events.iter().filter(|at| now.since(**at) < widest).count();
-            within <= counted && counted <= near
+            let nearby = events.iter().filter(|at| now.since(**at) < widest).count();
+            within <= counted && counted <= nearby
         }) && series.slices.len() < 200
     }
     crate::seeds::checker().quickcheck(property as fn(Vec<u16>) -> bool);
@@ -31,7 +31,7 @@
 fn a_full_series_of_a_busy_service_is_small() {
     let mut series = Series::default();
     for minute in 0..74 * 60 {
-        let now = clock::Wall(20 * DAY + minute * MINUTE);
+        let now = clock::Wall(20 * DAY_MS + minute * MINUTE_MS);
         let counts = series.at(now);
         counts.requests += 100_000;
         counts.incomplete += 1000;
--- a/crates/geraniumgauge/src/slo/tests/service.rs
+++ b/crates/geraniumgauge/src/slo/tests/service.rs
@@ -3,22 +3,22 @@
 use crate::query;
 use crate::slo::Record as _;
 
-fn desk() -> ids::Service {
+fn service() -> ids::Service {
     "desk".parse().unwrap()
 }
 
-struct Site {
+struct Cluster {
     store: store::Fake,
     catalog: document::Catalog,
     clock: clock::Clock,
     timer: timer::Service,
 }
 
-impl Site {
+impl Cluster {
     fn new() -> Self {
         let catalog = document::Catalog::default();
         let document = document::Document::default();
-        catalog.put_document(&desk(), ids::Generation(1), document);
+        catalog.put_document(&service(), ids::Generation(1), document);
         Self {
             store: store::Fake::new(),
             catalog,
@@ -46,7 +46,7 @@
     }
 
     async fn requests(&self) -> u64 {
-        let report = slo::report(&self.store, &desk(), self.clock.wall())
+        let report = slo::report(&self.store, &service(), self.clock.wall())
             .await
             .unwrap();
         report.indicators[2].windows[3].total
@@ -55,7 +55,7 @@
 
 fn event(refused: bool) -> slo::Event {
     slo::Event {
-        service: desk(),
+        service: service(),
         in_time: !refused,
         complete: false,
         refused,
@@ -65,32 +65,32 @@
     }
 }
 
-async fn pass(seconds: u64) {
+async fn advance(seconds: u64) {
     for _ in 0..seconds * 10 {
         tokio::time::sleep(time::Duration::from_millis(100)).await;
     }
 }
 
-/// Story: every VM is replaced within the hour. The report must still hold what
-/// their callers saw, whichever of them delivered, closed or folded.
+/// All VMs are replaced several times. The report must still include the requests
+/// that they counted, whichever VM delivered, closed or folded the counts.
 #[tokio::test(start_paused = true)]
-async fn counts_outlive_the_vms() {
-    let site = Site::new();
+async fn counts_survive_the_replacement_of_all_vms() {
+    let cluster = Cluster::new();
     for generation in 0..3 {
         let vms: Vec<_> = (0..8)
-            .map(|n| site.vm(&format!("vm-{n}"), generation))
+            .map(|n| cluster.vm(&format!("vm-{n}"), generation))
             .collect();
         for vm in &vms {
             (0..10).for_each(|_| vm.record(&event(false)));
         }
-        pass(120).await;
+        advance(120).await;
         for vm in &vms {
             vm.record(&event(true));
             vm.flush().await;
         }
     }
-    assert_eq!(site.requests().await, 3 * 8 * 11);
-    let report = slo::report(&site.store, &desk(), site.clock.wall())
+    assert_eq!(cluster.requests().await, 3 * 8 * 11);
+    let report = slo::report(&cluster.store, &service(), cluster.clock.wall())
         .await
         .unwrap();
     assert_eq!(
@@ -105,60 +105,61 @@
     assert!(complete.budget_left < 0.0);
 }
 
-/// Story: the store loses replies of writes that took effect. A VM that sends
-/// its counts again doubles its requests in the report, and the team sees a
-/// burn that never was.
+/// The store loses replies to writes that took effect. If a VM sent its counts
+/// again, they would be doubled in the report, which would show a false burn rate.
 #[tokio::test(start_paused = true)]
-async fn lost_replies_double_and_lose_nothing() {
+async fn lost_replies_neither_double_nor_lose_counts() {
     for seed in 0..20u32 {
-        let site = Site::new();
-        let vms: Vec<_> = (0..4).map(|n| site.vm(&format!("vm-{n}"), 1)).collect();
+        let cluster = Cluster::new();
+        let vms: Vec<_> = (0..4).map(|n| cluster.vm(&format!("vm-{n}"), 1)).collect();
         for round in 0..6 {
             vms.iter().for_each(|vm| vm.record(&event(false)));
-            site.store.fault(|faults| {
+            cluster.store.fault(|faults| {
                 faults.lose_replies = (seed + round) % 4;
                 faults.lose_writes = (seed * 7 + round) % 3;
             });
-            pass(45).await;
+            advance(45).await;
         }
-        site.store
+        cluster
+            .store
             .fault(|faults| *faults = store::Faults::default());
         for vm in &vms {
             vm.flush().await;
         }
-        assert_eq!(site.requests().await, 24, "seed {seed}");
+        assert_eq!(cluster.requests().await, 24, "seed {seed}");
     }
 }
 
-/// Story: as above, but it is the folding whose replies are lost: a batch that
-/// was counted in a service's object must not be counted there again.
+/// Replies to the writes that fold a batch are lost. A batch that a service's
+/// object includes must not be added to it again.
 #[tokio::test(start_paused = true)]
-async fn lost_replies_while_folding_double_nothing() {
-    let site = Site::new();
-    let vms: Vec<_> = (0..4).map(|n| site.vm(&format!("vm-{n}"), 1)).collect();
+async fn lost_replies_while_folding_double_no_counts() {
+    let cluster = Cluster::new();
+    let vms: Vec<_> = (0..4).map(|n| cluster.vm(&format!("vm-{n}"), 1)).collect();
     for _ in 0..40 {
         vms.iter().for_each(|vm| vm.record(&event(false)));
         for _ in 0..2500 {
-            site.store.fault(|faults| faults.lose_replies = 1);
+            cluster.store.fault(|faults| faults.lose_replies = 1);
             tokio::time::sleep(time::Duration::from_millis(2)).await;
         }
     }
-    site.store
+    cluster
+        .store
         .fault(|faults| *faults = store::Faults::default());
     for vm in &vms {
         vm.flush().await;
     }
-    assert_eq!(site.requests().await, 160);
+    assert_eq!(cluster.requests().await, 160);
 }
 
-/// Story: the store is out for longer than an inbox remembers a VM, right after
-/// a write whose fate isn't known. Counts may be lost then, but never doubled.
+/// The store is unavailable for longer than an inbox keeps a VM, right after a write
+/// whose reply was lost. Counts may be lost then, but must not be doubled.
 #[tokio::test(start_paused = true)]
-async fn after_a_long_outage_nothing_is_doubled() {
-    let site = Site::new();
-    let vm = site.vm("vm-0", 1);
+async fn a_long_outage_doubles_no_counts() {
+    let cluster = Cluster::new();
+    let vm = cluster.vm("vm-0", 1);
     vm.record(&event(false));
-    site.store.fault(|faults| {
+    cluster.store.fault(|faults| {
         faults.lose_replies = 1;
         faults.slow = time::Duration::from_millis(10);
     });
@@ -167,41 +168,43 @@
         async move { vm.flush().await }
     });
     tokio::time::sleep(time::Duration::from_millis(25)).await;
-    site.store.fault(|faults| faults.down = true);
+    cluster.store.fault(|faults| faults.down = true);
     flush.await.unwrap();
-    pass(4000).await;
+    advance(4000).await;
     vm.record(&event(false));
-    site.store
+    cluster
+        .store
         .fault(|faults| *faults = store::Faults::default());
-    pass(60).await;
-    let counted = site.requests().await;
+    advance(60).await;
+    let counted = cluster.requests().await;
     assert!((1..=2).contains(&counted), "{counted}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn services_without_a_document_are_not_counted() {
-    let site = Site::new();
-    let vm = site.vm("vm-0", 1);
+    let cluster = Cluster::new();
+    let vm = cluster.vm("vm-0", 1);
     vm.record(&slo::Event {
         service: "no-such-service".parse().unwrap(),
         ..event(true)
     });
     vm.flush().await;
-    assert_eq!(site.store.count().writes, 0);
+    assert_eq!(cluster.store.count().writes, 0);
 }
 
-/// 60 services at 8 VMs: a few calls a second of the several hundred writes and
-/// two thousand reads that the store takes.
+/// With 60 services and 8 VMs, deliveries and folds may use only a few of the
+/// several hundred writes and two thousand reads per second that the store takes.
 #[tokio::test(start_paused = true)]
-async fn the_store_budget_holds_at_todays_size() {
-    let site = Site::new();
+async fn store_calls_stay_within_budget_at_60_services_and_8_vms() {
+    let cluster = Cluster::new();
     let services: Vec<ids::Service> = (0..60).map(|n| format!("s-{n}").parse().unwrap()).collect();
     for service in &services {
         let document = document::Document::default();
-        site.catalog
+        cluster
+            .catalog
             .put_document(service, ids::Generation(1), document);
     }
-    let vms: Vec<_> = (0..8).map(|n| site.vm(&format!("vm-{n}"), 1)).collect();
+    let vms: Vec<_> = (0..8).map(|n| cluster.vm(&format!("vm-{n}"), 1)).collect();
     const SECONDS: u64 = 600;
     for _ in 0..SECONDS / 10 {
         for vm in &vms {
@@ -212,9 +215,9 @@
                 });
             }
         }
-        pass(10).await;
+        advance(10).await;
     }
-    let count = site.store.count();
+    let count = cluster.store.count();
     assert!(count.writes < 6 * SECONDS, "{count:?}");
     assert!(count.reads < 7 * SECONDS, "{count:?}");
 }
