--- a/crates/geraniumgauge/src/document/keeper_task.rs
+++ b/crates/geraniumgauge/src/document/keeper_task.rs
@@ -252,7 +252,7 @@
             Ok(_) => self.last_reported = Some((now, reported.vms)),
             Err(error) => {
                 self.no_writes_until = now + STORE_FAILURE_DELAY;
-                log::debug!("failed to write {}: {error}", status::REPORTED);
+                log::debug!("failed to write the reports of VMs: {error}");
             }
         }
     }
