--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -64,7 +64,7 @@
     /// Services that the keeper has to check, because their record in the store is
     /// missing or outdated.
     pub(super) checks: channel::mpsc::Sender<ids::Service>,
-    post: sync::Arc<dyn mesh::Sender>,
+    sender: sync::Arc<dyn mesh::Sender>,
     gossip: sync::Arc<dyn Gossip>,
     spread: sync::Mutex<spread::Spread>,
     ready: channel::watch::Sender<bool>,
@@ -78,7 +78,7 @@
     /// The membership view.
     pub view: channel::watch::Receiver<member::SharedView>,
     /// Sends frames to other VMs.
-    pub post: sync::Arc<dyn mesh::Sender>,
+    pub sender: sync::Arc<dyn mesh::Sender>,
     /// Exchanges gossip updates with other VMs.
     pub gossip: sync::Arc<dyn Gossip>,
     /// The platform's object API.
@@ -107,7 +107,7 @@
             timer: parts.timer,
             reads: load::Reads::default(),
             checks,
-            post: parts.post,
+            sender: parts.sender,
             gossip: parts.gossip,
             spread: sync::Mutex::new(spread),
             ready,
@@ -175,7 +175,7 @@
             spread::Action::Apply(service, content) => self.apply(&service, content),
             spread::Action::Send(to, body) => {
                 // Every request is retried, so a frame that can't be sent is dropped.
-                if let Err(error) = self.post.send(&to, body) {
+                if let Err(error) = self.sender.send(&to, body) {
                     log::debug!("{error}");
                 }
             }
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -110,7 +110,7 @@
         let parts = Parts {
             catalog,
             view: receiver,
-            post: sync::Arc::new(Link {
+            sender: sync::Arc::new(Link {
                 network: self.network.clone(),
                 local: vm(index),
             }),
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -239,7 +239,7 @@
         let parts = document::Parts {
             catalog: self.catalog.clone(),
             view: member.view(),
-            post: sync::Arc::clone(post),
+            sender: sync::Arc::clone(post),
             gossip: sync::Arc::new(member.clone()),
             store: sync::Arc::clone(&self.store),
             clock: self.clock,
