--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -42,7 +42,7 @@
     fn publish(&self, update: member::Update);
 
     /// Subscribes to the updates that this VM receives for the first time.
-    fn rumours(&self) -> channel::broadcast::Receiver<member::Update>;
+    fn updates(&self) -> channel::broadcast::Receiver<member::Update>;
 }
 
 /// One VM's document service; clones share its state. It stops with its timer
@@ -214,7 +214,7 @@
     let mut ticks = inner
         .timer
         .every(TICK_INTERVAL, TICK_INTERVAL.mul_f64(rand::random()));
-    let mut updates = inner.gossip.rumours();
+    let mut updates = inner.gossip.updates();
     let mut views_open = true;
     let mut gossip_open = true;
     loop {
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -39,7 +39,7 @@
         let _ = self.0.send(update);
     }
 
-    fn rumours(&self) -> channel::broadcast::Receiver<member::Update> {
+    fn updates(&self) -> channel::broadcast::Receiver<member::Update> {
         self.0.subscribe()
     }
 }
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -106,7 +106,7 @@
         self.publish(rumour);
     }
 
-    fn rumours(&self) -> broadcast::Receiver<member::Update> {
+    fn updates(&self) -> broadcast::Receiver<member::Update> {
         self.updates()
     }
 }
