--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -71,7 +71,7 @@
         format!(
             "{} burns fast: over {} times the budget's rate in 5 min and 1 h; look now",
             indicator.name,
-            slo::FAST
+            slo::FAST_BURN_RATE
         )
     }));
     lines.push(missing(report));
--- a/crates/geraniumgauge/src/slo/mod.rs
+++ b/crates/geraniumgauge/src/slo/mod.rs
@@ -15,7 +15,7 @@
 pub use page::Error as PageError;
 pub use page::page;
 pub use page::plot;
-pub use report::FAST;
+pub use report::FAST_BURN_RATE;
 pub use report::Indicator;
 pub use report::Missing;
 pub use report::Report;
--- a/crates/geraniumgauge/src/slo/report.rs
+++ b/crates/geraniumgauge/src/slo/report.rs
@@ -22,7 +22,7 @@
 
 /// Burn rate that needs immediate attention if both short windows reach it: at this
 /// rate the budget of three days is spent in five hours.
-pub const FAST: f64 = 14.4;
+pub const FAST_BURN_RATE: f64 = 14.4;
 
 /// Burn rates of a service's objectives.
 #[derive(Debug, Clone)]
@@ -57,7 +57,7 @@
     pub windows: Vec<Window>,
     /// Remaining part of the longest window's budget; negative if overspent.
     pub budget_left: f64,
-    /// Set if both short windows burn at [`FAST`] or more.
+    /// Set if both short windows burn at [`FAST_BURN_RATE`] or more.
     pub fast: bool,
     /// Returns the number of bad and of all events in counts.
     #[serde(skip)]
@@ -245,7 +245,10 @@
         meaning,
         objective,
         budget_left: 1.0 - spent,
-        fast: windows.iter().take(2).all(|window| window.burn >= FAST),
+        fast: windows
+            .iter()
+            .take(2)
+            .all(|window| window.burn >= FAST_BURN_RATE),
         windows,
         bad_and_total: *bad_and_total,
     }
