--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -102,7 +102,7 @@
     Field {
         path: "objective",
         required: false,
-        doc: "What an answer gives up last: coverage waits for missing shards until the deadline; latency answers at latency_target_ms once min_coverage holds.",
+        doc: "Whether coverage or latency has priority: coverage waits for missing shards until the deadline; latency answers at latency_target_ms once min_coverage is reached.",
         kind: jsonc::Kind::Text {
             form: "one of coverage, latency",
             get: |kept| Some(kept.objective.to_string()),
@@ -118,7 +118,7 @@
     Field {
         path: "deadline_ms",
         required: false,
-        doc: "Deadline of a request that names none.",
+        doc: "Deadline of a request that doesn't set one.",
         kind: jsonc::Kind::Whole {
             min: 1,
             max: 60_000,
@@ -142,7 +142,7 @@
     Field {
         path: "latency_target_ms",
         required: false,
-        doc: "When the latency objective answers with what it has.",
+        doc: "Time after which the latency objective answers with the shards received so far.",
         kind: jsonc::Kind::Whole {
             min: 1,
             max: 60_000,
@@ -154,7 +154,7 @@
     Field {
         path: "min_coverage",
         required: false,
-        doc: "Least share of shards for an answer at the latency target.",
+        doc: "Minimum share of covered shards for an answer at the latency target.",
         kind: jsonc::Kind::Number {
             min: 0.0,
             max: 1.0,
@@ -165,7 +165,7 @@
     Field {
         path: "budgets.hedge",
         required: false,
-        doc: "Hedges a first attempt: extra load on upstreams for a shorter tail.",
+        doc: "Maximum hedges per first attempt: extra load on upstreams for a shorter latency tail.",
         kind: jsonc::Kind::Number {
             min: 0.0,
             max: 0.5,
@@ -176,7 +176,7 @@
     Field {
         path: "budgets.retry",
         required: false,
-        doc: "Retries a first attempt.",
+        doc: "Maximum retries per first attempt.",
         kind: jsonc::Kind::Number {
             min: 0.0,
             max: 0.5,
@@ -198,7 +198,7 @@
     Field {
         path: "limits.searches",
         required: false,
-        doc: "Searches that run at once at one VM; more are refused with 429.",
+        doc: "Maximum concurrent searches at one VM; more are refused with 429.",
         kind: jsonc::Kind::Whole {
             min: 1,
             max: 100_000,
@@ -210,7 +210,7 @@
     Field {
         path: "limits.registrations",
         required: false,
-        doc: "Registrations that run at once at one VM; more are refused with 429.",
+        doc: "Maximum concurrent registrations at one VM; more are refused with 429.",
         kind: jsonc::Kind::Whole {
             min: 1,
             max: 100_000,
@@ -290,7 +290,7 @@
     Field {
         path: "retired",
         required: false,
-        doc: "true ends the service: requests are refused with 404. Deleting a document ends nothing.",
+        doc: "true ends the service: requests are refused with 404. Deleting the document doesn't end it.",
         kind: jsonc::Kind::Flag {
             get: |kept| kept.retired,
             set: |kept, value| kept.retired = value,
--- a/crates/geraniumgauge/src/document/instruments.rs
+++ b/crates/geraniumgauge/src/document/instruments.rs
@@ -9,8 +9,8 @@
 use crate::document::held;
 use crate::time;
 
-/// OpenTelemetry instruments. The label `service` takes only names of services
-/// that have a document.
+/// OpenTelemetry instruments. The label `service` takes only names of services in
+/// the catalog.
 #[derive(Debug)]
 pub(super) struct Instruments {
     applied: metrics::Counter<u64>,
--- a/crates/geraniumgauge/src/document/keeper_task.rs
+++ b/crates/geraniumgauge/src/document/keeper_task.rs
@@ -101,13 +101,13 @@
                 let services = changes.iter().filter_map(service_of);
                 services.for_each(|(service, _)| self.schedule(service));
             }
-            load::Update::Listed(listing) => self.listed(&listing),
+            load::Update::Listed(listing) => self.handle_listing(&listing),
         }
     }
 
     /// Schedules a check of every text that is new to this VM, and of every
     /// service whose text was deleted.
-    fn listed(&mut self, listing: &store::Listing) {
+    fn handle_listing(&mut self, listing: &store::Listing) {
         let texts: collections::BTreeMap<_, _> =
             listing.changes.iter().filter_map(service_of).collect();
         for (service, version) in &texts {
@@ -268,7 +268,7 @@
             let Some(status) = self.status(&service, now) else {
                 continue;
             };
-            if !self.worth_writing(&status, now) || writes == MAX_WRITES_PER_TICK {
+            if !self.needs_write(&status, now) || writes == MAX_WRITES_PER_TICK {
                 continue;
             }
             writes += 1;
@@ -289,7 +289,7 @@
         }
     }
 
-    fn worth_writing(&self, status: &status::Status, now: clock::Moment) -> bool {
+    fn needs_write(&self, status: &status::Status, now: clock::Moment) -> bool {
         let Some((at, before)) = self.written.get(&status.service) else {
             return true;
         };
--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -171,7 +171,7 @@
 }
 
 /// Reads the services that the state machine couldn't get from peers.
-pub(super) async fn fetch_wanted(
+pub(super) async fn fetch_missing(
     inner: sync::Arc<service::Inner>,
     mut services: channel::mpsc::Receiver<ids::Service>,
 ) {
--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -23,8 +23,8 @@
 
 /// Time between two ticks of the state machine.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
-/// Services that may wait for a read of the store. Further ones are dropped and
-/// requested again.
+/// Services that may wait for a read of the store or for a check. Further ones are
+/// dropped and requested again.
 const QUEUE_CAPACITY: usize = 256;
 
 /// Identity of this VM.
@@ -115,7 +115,7 @@
         });
         inner.update_view(&parts.view.borrow());
         tokio::spawn(run(inner.clone(), parts.view));
-        tokio::spawn(load::fetch_wanted(inner.clone(), to_fetch));
+        tokio::spawn(load::fetch_missing(inner.clone(), to_fetch));
         tokio::spawn(load::poll(inner.clone()));
         tokio::spawn(load::watch(inner.clone(), held::Kind::Document));
         tokio::spawn(load::watch(inner.clone(), held::Kind::Layout));
--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -320,7 +320,7 @@
     }
 
     fn tick(&mut self, now: clock::Moment) {
-        self.ask(now);
+        self.request_missing(now);
         self.report(now);
         self.compare(now);
         for peer in self.join.ask(&self.roles.peers, now) {
@@ -336,7 +336,7 @@
     }
 
     /// Requests all missing versions that are due from one peer or the store.
-    fn ask(&mut self, now: clock::Moment) {
+    fn request_missing(&mut self, now: clock::Moment) {
         let Some(due) = self.missing.due(now) else {
             return;
         };
--- a/crates/geraniumgauge/src/document/tally.rs
+++ b/crates/geraniumgauge/src/document/tally.rs
@@ -1,4 +1,4 @@
-//! Collects the versions that other VMs report to apply.
+//! Collects the reports of VMs about the versions that they apply.
 
 use std::collections;
 use std::time;
@@ -104,8 +104,8 @@
         applied: &[message::Have],
         now: clock::Moment,
     ) -> collections::BTreeMap<ids::Vm, status::Report> {
-        let one = |vm: &ids::Vm| (vm.clone(), self.report(vm, applied, now));
-        vms.iter().map(one).collect()
+        let summary = |vm: &ids::Vm| (vm.clone(), self.report(vm, applied, now));
+        vms.iter().map(summary).collect()
     }
 
     fn report(
--- a/crates/geraniumgauge/src/document/tests/scale.rs
+++ b/crates/geraniumgauge/src/document/tests/scale.rs
@@ -10,13 +10,13 @@
 
 struct Fleet {
     vms: Vec<Spread>,
-    names: collections::BTreeMap<ids::Vm, usize>,
+    indices: collections::BTreeMap<ids::Vm, usize>,
     queue: events::Queue<(usize, Event)>,
     now: clock::Moment,
     random: rand::rngs::StdRng,
     /// Time at which each VM last applied a version.
     applied: Vec<Option<clock::Moment>>,
-    /// Number of documents and layouts that each VM sent.
+    /// Number of entries that each VM sent.
     served: Vec<u64>,
     /// Number of frames that each VM received.
     frames: Vec<u64>,
@@ -43,7 +43,7 @@
         let members: Vec<_> = (0..VMS).map(member).collect();
         let mut fleet = Self {
             vms: Vec::new(),
-            names: (0..VMS).map(|index| (vm(index), index)).collect(),
+            indices: (0..VMS).map(|index| (vm(index), index)).collect(),
             queue: events::Queue::default(),
             now: clock::Moment(0),
             random: rand::rngs::StdRng::seed_from_u64(seed),
@@ -107,7 +107,7 @@
     }
 
     fn send(&mut self, from: usize, to: &ids::Vm, body: message::Body) {
-        let at = self.names[to];
+        let at = self.indices[to];
         self.frames[at] += 1;
         let event = match body {
             message::Body::Pull(pull) => Event::Pull(vm(from), pull),
@@ -147,7 +147,7 @@
         let service = "service-3".parse().unwrap();
         let edit = Event::Stored(service, held::Kind::Document, part(2));
         let delay = fleet.random.random_range(0..100 * MICROS_PER_MILLI);
-        fleet.schedule(delay, fleet.names[&watcher], edit);
+        fleet.schedule(delay, fleet.indices[&watcher], edit);
     }
     fleet.run(edited + time::Duration::from_secs(6), lose_updates);
     let last = fleet.applied.iter().copied().collect::<Option<Vec<_>>>();
--- a/crates/geraniumgauge/src/document/tests/spread.rs
+++ b/crates/geraniumgauge/src/document/tests/spread.rs
@@ -205,7 +205,7 @@
 }
 
 /// All gossip updates of a version are lost, and no VM asks the one that holds it
-/// for seconds. The holder must notify others by itself, which it didn't once.
+/// for seconds. The holder must notify the others without being asked.
 #[test]
 fn a_holder_notifies_vms_that_lack_a_version() {
     let steps = vec![(0, 137), (0, 10), (19, 225), (3, 24), (43, 113), (3, 80)];
