--- a/crates/geraniumgauge/src/slo/object.rs
+++ b/crates/geraniumgauge/src/slo/object.rs
@@ -28,8 +28,8 @@
 }
 
 /// Returns the store key of an inbox.
-pub(super) fn inbox_key(index: u64) -> String {
-    format!("burn-inbox/{index}")
+pub(super) fn inbox_key(group: u64) -> String {
+    format!("burn-inbox/{group}")
 }
 
 /// Returns the index of a VM's inbox.
@@ -40,7 +40,7 @@
 /// Counts over time, by service.
 pub(super) type Services = collections::BTreeMap<ids::Service, slo::Series>;
 
-/// The object `burn-inbox/{index}`.
+/// The object `burn-inbox/{group}`.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub(super) struct Inbox {
