--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -73,7 +73,7 @@
         format!(
             "{} burns fast: over {} times the budget's rate in 5 min and 1 h; act now",
             indicator.name,
-            slo::FAST
+            slo::FAST_BURN_RATE
         )
     }));
     lines.push(missing_shards(report));
