--- a/crates/geraniumgauge/src/http/callers.rs
+++ b/crates/geraniumgauge/src/http/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' paths.
+//! HTTP routes for callers: searches, registrations and their records.
 
 use std::time;
 
@@ -11,12 +11,12 @@
 use crate::ledger;
 use crate::query;
 
-/// Longest wait for a whole body.
-const BODY: time::Duration = time::Duration::from_secs(10);
-/// Hits where the caller names no limit.
-const DEFAULT_HITS: u32 = 10;
+/// Longest time to read a complete body.
+const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Default of a search's `limit`.
+const DEFAULT_LIMIT: u32 = 10;
 
-/// The body of a search.
+/// JSON body of a search request.
 #[derive(Debug)]
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -26,12 +26,12 @@
     shards: Option<Vec<ids::Shard>>,
 }
 
-/// The paths, for rocket.
+/// Returns the routes to mount.
 pub(super) fn routes() -> Vec<rocket::Route> {
     rocket::routes![search, register, record]
 }
 
-/// The catchers, for rocket.
+/// Returns the error catchers to register.
 pub(super) fn catchers() -> Vec<rocket::Catcher> {
     rocket::catchers![caught]
 }
@@ -47,7 +47,7 @@
         Ok(search) => context.backend.search(search).await,
         Err(refusal) => Err(refusal),
     };
-    finish(answer, &head, context)
+    to_reply(answer, &head, context)
 }
 
 #[rocket::post("/v1/services/<service>/records", data = "<data>")]
@@ -61,7 +61,7 @@
         Ok(registration) => context.backend.register(registration).await,
         Err(refusal) => Err(refusal),
     };
-    finish(done, &head, context)
+    to_reply(done, &head, context)
 }
 
 #[rocket::get("/v1/services/<service>/records/<key>")]
@@ -71,18 +71,19 @@
     head: head::Head,
     context: &rocket::State<head::Context>,
 ) -> reply::Reply {
-    let wanted = head
+    let parsed = head
         .admit()
-        .and_then(|_| Ok((named(service)?, named(key)?)));
-    let state = match wanted {
+        .and_then(|_| Ok((parse_id(service)?, parse_id(key)?)));
+    let state = match parsed {
         Ok((service, key)) => context.backend.record(service, key).await,
         Err(refusal) => Err(refusal),
     };
-    finish(state, &head, context)
+    to_reply(state, &head, context)
 }
 
-/// Whatever rocket itself refuses: unknown paths, wrong methods, and panics of
-/// handlers, which rocket catches so that nothing else is taken along.
+/// Answers requests that rocket refuses, such as unknown paths and wrong methods,
+/// and requests whose handler panicked. Rocket catches such a panic, so that other
+/// requests are not affected.
 #[rocket::catch(default)]
 fn caught(status: rocket::http::Status, request: &rocket::Request<'_>) -> reply::Reply {
     let (code, ran) = match status.code {
@@ -97,8 +98,8 @@
             request.method(),
             request.uri().path(),
         ),
-        query::Code::Internal => "a fault of this program; other requests go on".to_owned(),
-        _ => format!("the request can't be read: {status}"),
+        query::Code::Internal => "internal error; other requests are not affected".to_owned(),
+        _ => format!("invalid request: {status}"),
     };
     let refusal = query::Refusal {
         code,
@@ -112,7 +113,7 @@
     }
 }
 
-fn finish(
+fn to_reply(
     answer: Result<impl serde::Serialize, query::Refusal>,
     head: &head::Head,
     context: &head::Context,
@@ -120,14 +121,14 @@
     let reply = match &answer {
         Ok(answer) => reply::Reply::json(answer, &head.request),
         Err(refusal) => {
-            log(refusal, head);
+            log_refusal(refusal, head);
             reply::Reply::refusal(refusal, &head.request)
         }
     };
     reply.closing(context.gate.is_stopping())
 }
 
-fn log(refusal: &query::Refusal, head: &head::Head) {
+fn log_refusal(refusal: &query::Refusal, head: &head::Head) {
     let caller = head
         .headers
         .as_ref()
@@ -150,26 +151,26 @@
     context: &head::Context,
 ) -> Result<query::Search, query::Refusal> {
     let headers = head.admit()?;
-    let service = named(service)?;
-    let bytes = read(data, &context.limits).await?;
+    let service = parse_id(service)?;
+    let bytes = read_body(data, &context.limits).await?;
     let body: Body =
-        serde_json::from_slice(&bytes).map_err(|error| bad(format!("body: {error}")))?;
+        serde_json::from_slice(&bytes).map_err(|error| bad_request(format!("body: {error}")))?;
     let size = body.query.get().len() as u64;
     if size > context.limits.query.0 {
-        let most = context.limits.query.0;
-        let message = format!("body: query: {size} bytes; send at most {most}");
+        let max = context.limits.query.0;
+        let message = format!("body: query: {size} bytes; send at most {max}");
         return Err(query::Refusal::not_run(query::Code::TooLarge, message));
     }
-    let limit = body.limit.unwrap_or(DEFAULT_HITS);
+    let limit = body.limit.unwrap_or(DEFAULT_LIMIT);
     if !(1..=context.limits.hits).contains(&limit) {
-        let most = context.limits.hits;
-        return Err(bad(format!(
-            "body: limit: {limit}; ask for 1 to {most} hits"
+        let max = context.limits.hits;
+        return Err(bad_request(format!(
+            "body: limit: {limit} is out of range; ask for 1 to {max} hits"
         )));
     }
     if body.shards.as_ref().is_some_and(Vec::is_empty) {
-        return Err(bad(
-            "body: shards: an empty list; name shards or leave it out".to_owned(),
+        return Err(bad_request(
+            "body: shards: the list is empty; name at least one shard or omit it".to_owned(),
         ));
     }
     Ok(query::Search {
@@ -189,17 +190,17 @@
     context: &head::Context,
 ) -> Result<ledger::Registration, query::Refusal> {
     let headers = head.admit()?;
-    let service = named(service)?;
+    let service = parse_id(service)?;
     let missing = || {
         let name = head::IDEMPOTENCY_KEY;
-        bad(format!(
-            "header {name} is missing; send a key that names this registration"
+        bad_request(format!(
+            "header {name} is missing; send a key that identifies this registration"
         ))
     };
     let key = headers.key.clone().ok_or_else(missing)?;
-    let bytes = read(data, &context.limits).await?;
+    let bytes = read_body(data, &context.limits).await?;
     let parsed = serde_json::from_slice::<&serde_json::value::RawValue>(&bytes);
-    parsed.map_err(|error| bad(format!("body: {error}")))?;
+    parsed.map_err(|error| bad_request(format!("body: {error}")))?;
     Ok(ledger::Registration {
         request: head.request.clone(),
         service,
@@ -209,20 +210,25 @@
     })
 }
 
-/// Reads a body. Failure: a caller that sends its body drop by drop, or whose
-/// connection went silent, would hold one of the requests that may run here for
-/// ever, and a planned stop would wait for it.
-async fn read(data: rocket::Data<'_>, limits: &http::Limits) -> Result<Vec<u8>, query::Refusal> {
+/// Reads a body within [`BODY_TIMEOUT`]. Without the limit, a caller that sends
+/// its body slowly, or whose connection went silent, would occupy one of the
+/// allowed requests forever, and a planned stop would wait for it.
+async fn read_body(
+    data: rocket::Data<'_>,
+    limits: &http::Limits,
+) -> Result<Vec<u8>, query::Refusal> {
     let limit = data::ByteUnit::from(limits.body.0);
     let reading = data.open(limit).into_bytes();
-    let late = |_| {
-        bad(format!(
-            "body: not whole after {} s; send it at once",
-            BODY.as_secs()
+    let timed_out = |_| {
+        bad_request(format!(
+            "body: incomplete after {} s; send it without pauses",
+            BODY_TIMEOUT.as_secs()
         ))
     };
-    let bytes = tokio::time::timeout(BODY, reading).await.map_err(late)?;
-    let bytes = bytes.map_err(|error| bad(format!("body: can't be read: {error}")))?;
+    let bytes = tokio::time::timeout(BODY_TIMEOUT, reading)
+        .await
+        .map_err(timed_out)?;
+    let bytes = bytes.map_err(|error| bad_request(format!("body: can't be read: {error}")))?;
     if !bytes.is_complete() {
         let message = format!("body: more than {} bytes; send less", limits.body.0);
         return Err(query::Refusal::not_run(query::Code::TooLarge, message));
@@ -230,10 +236,11 @@
     Ok(bytes.into_inner())
 }
 
-fn named<T: std::str::FromStr<Err = ids::Error>>(text: &str) -> Result<T, query::Refusal> {
-    text.parse().map_err(|error| bad(format!("path: {error}")))
+fn parse_id<T: std::str::FromStr<Err = ids::Error>>(text: &str) -> Result<T, query::Refusal> {
+    text.parse()
+        .map_err(|error| bad_request(format!("path: {error}")))
 }
 
-fn bad(message: String) -> query::Refusal {
+fn bad_request(message: String) -> query::Refusal {
     query::Refusal::not_run(query::Code::BadRequest, message)
 }
--- a/crates/geraniumgauge/src/http/gate.rs
+++ b/crates/geraniumgauge/src/http/gate.rs
@@ -1,12 +1,12 @@
-//! Counts requests in and out, and knows whether the VM is stopping.
+//! Limits the number of running requests and records whether the VM is stopping.
 
 use std::sync;
 
-/// Requests that run; clones share one state.
+/// Counter of the running requests and the stop flag; clones share one state.
 #[derive(Debug, Clone)]
 pub struct Gate {
     state: sync::Arc<tokio::sync::watch::Sender<State>>,
-    most: u32,
+    max_running: u32,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -15,52 +15,53 @@
     stopping: bool,
 }
 
-/// A request that was let in; counts itself out when dropped.
+/// Permit of an admitted request. Dropping it ends the request in the count.
 #[derive(Debug)]
-pub struct Entered {
+pub struct Permit {
     gate: Gate,
 }
 
 impl Gate {
-    /// A gate that lets `most` requests run at once.
-    pub fn new(most: u32) -> Self {
+    /// Returns a gate that admits at most `max_running` requests at once.
+    pub fn new(max_running: u32) -> Self {
         let state = sync::Arc::new(tokio::sync::watch::Sender::new(State::default()));
-        Self { state, most }
+        Self { state, max_running }
     }
 
-    /// Lets a request in, where there is room.
-    pub fn enter(&self) -> Option<Entered> {
-        let entered = self.state.send_if_modified(|state| {
-            let room = state.running < self.most;
-            state.running += u32::from(room);
-            room
+    /// Admits a request, or returns `None` when the limit is reached.
+    pub fn enter(&self) -> Option<Permit> {
+        let admitted = self.state.send_if_modified(|state| {
+            let below_limit = state.running < self.max_running;
+            state.running += u32::from(below_limit);
+            below_limit
         });
-        entered.then(|| Entered { gate: self.clone() })
+        admitted.then(|| Permit { gate: self.clone() })
     }
 
-    /// From now on answers ask the caller to close its connection.
+    /// Marks the VM as stopping: from now on answers ask the caller to close its
+    /// connection.
     pub fn stop(&self) {
         self.state.send_modify(|state| state.stopping = true);
     }
 
-    /// Whether [`Self::stop`] was called.
+    /// Returns whether [`Self::stop`] was called.
     pub fn is_stopping(&self) -> bool {
         self.state.borrow().stopping
     }
 
-    /// Requests that run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.state.borrow().running
     }
 
-    /// Waits until none runs.
+    /// Waits until no request is running.
     pub async fn idle(&self) {
         let mut state = self.state.subscribe();
         let _ = state.wait_for(|state| state.running == 0).await;
     }
 }
 
-impl Drop for Entered {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.gate
             .state
--- a/crates/geraniumgauge/src/http/head.rs
+++ b/crates/geraniumgauge/src/http/head.rs
@@ -1,4 +1,4 @@
-//! A request's headers, checked.
+//! Parsing and validation of a caller's request headers.
 
 use std::time;
 
@@ -8,32 +8,36 @@
 use crate::ids;
 use crate::query;
 
-/// Header with the time the caller gives the answer, in milliseconds.
+/// Header with the time within which the caller needs the answer, in milliseconds.
 pub(super) const REQUEST_TIMEOUT_MS: &str = "Request-Timeout-Ms";
-/// Header that names a registration.
+/// Header with the key that identifies a registration.
 pub(super) const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// The caller's own id; it is logged beside ours.
+/// Header with the caller's own request id, which is logged in addition to ours.
 const REQUEST_ID: &str = "Request-Id";
-/// Longest `Request-Timeout-Ms`: a day. The service's own maximum is less.
+/// Largest `Request-Timeout-Ms`: a day. The maximum of a service is lower.
 const MAX_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
 
-/// The headers that matter, or what is wrong with them.
+/// Request guard: the request's id, its admission and its headers.
 #[derive(Debug)]
 pub(super) struct Head {
     pub(super) request: ids::Request,
-    pub(super) entered: Option<http::gate::Entered>,
+    /// `None` when the limit of concurrent requests was reached.
+    pub(super) permit: Option<http::gate::Permit>,
     pub(super) headers: Result<Headers, query::Refusal>,
 }
 
-/// Checked headers.
+/// Validated values of the headers; `None` for those that the caller did not send.
 #[derive(Debug, Clone)]
 pub(super) struct Headers {
+    /// Value of `Request-Timeout-Ms`.
     pub(super) time_left: Option<time::Duration>,
+    /// Value of `Idempotency-Key`.
     pub(super) key: Option<ids::Key>,
+    /// Value of `Request-Id`.
     pub(super) caller_id: Option<String>,
 }
 
-/// What every handler shares.
+/// State shared by all request handlers.
 pub(super) struct Context {
     pub(super) backend: http::Shared,
     pub(super) gate: http::Gate,
@@ -50,7 +54,7 @@
         };
         let head = Self {
             request: context.backend.request_id(),
-            entered: context.gate.enter(),
+            permit: context.gate.enter(),
             headers: read(request.headers(), &context.limits),
         };
         request::Outcome::Success(head)
@@ -58,10 +62,11 @@
 }
 
 impl Head {
-    /// The headers, once the request is let in.
+    /// Returns the headers, or the refusal if the request was not admitted or its
+    /// headers are invalid.
     pub(super) fn admit(&self) -> Result<&Headers, query::Refusal> {
-        if self.entered.is_none() {
-            let message = "this VM runs as many requests as it may; come back later";
+        if self.permit.is_none() {
+            let message = "this VM runs its maximum number of requests; retry later";
             let refusal = query::Refusal::not_run(query::Code::Overloaded, message);
             return Err(refusal.retry_after(time::Duration::from_secs(1)));
         }
@@ -86,9 +91,12 @@
     }
     let time_left = headers
         .get_one(REQUEST_TIMEOUT_MS)
-        .map(timeout)
+        .map(parse_timeout)
+        .transpose()?;
+    let key = headers
+        .get_one(IDEMPOTENCY_KEY)
+        .map(parse_key)
         .transpose()?;
-    let key = headers.get_one(IDEMPOTENCY_KEY).map(key).transpose()?;
     let caller_id = headers.get_one(REQUEST_ID).map(ToOwned::to_owned);
     Ok(Headers {
         time_left,
@@ -97,26 +105,26 @@
     })
 }
 
-fn timeout(text: &str) -> Result<time::Duration, query::Refusal> {
+fn parse_timeout(text: &str) -> Result<time::Duration, query::Refusal> {
     let millis = text
         .trim()
         .parse()
         .ok()
         .filter(|millis| (1..=MAX_TIMEOUT_MS).contains(millis));
-    let wrong = || {
+    let invalid = || {
         let message = format!(
-            "header {REQUEST_TIMEOUT_MS}: {text:?} is no time; \
+            "header {REQUEST_TIMEOUT_MS}: {text:?} is not a timeout; \
              give whole milliseconds from 1 to {MAX_TIMEOUT_MS}"
         );
         query::Refusal::not_run(query::Code::BadRequest, message)
     };
-    millis.map(time::Duration::from_millis).ok_or_else(wrong)
+    millis.map(time::Duration::from_millis).ok_or_else(invalid)
 }
 
-fn key(text: &str) -> Result<ids::Key, query::Refusal> {
-    let wrong = |error| {
+fn parse_key(text: &str) -> Result<ids::Key, query::Refusal> {
+    let invalid = |error| {
         let message = format!("header {IDEMPOTENCY_KEY}: {error}");
         query::Refusal::not_run(query::Code::BadRequest, message)
     };
-    text.parse().map_err(wrong)
+    text.parse().map_err(invalid)
 }
--- a/crates/geraniumgauge/src/http/mod.rs
+++ b/crates/geraniumgauge/src/http/mod.rs
@@ -1,9 +1,9 @@
-//! The HTTP side of a VM: callers' requests, and operators' paths apart.
+//! HTTP interface of a VM, with separate servers for callers and operators.
 //!
-//! Rocket serves both. Its own shutdown closes the listener and then idle
-//! keep-alive connections at once; a caller that writes on such a connection
-//! at that moment loses its request. So a stopping VM first answers for a while
-//! with `Connection: close` (see [`Gate`]) and shuts rocket down when idle.
+//! Both run on rocket, whose shutdown closes the listener and then immediately all
+//! idle keep-alive connections. A caller that writes to such a connection at that
+//! moment loses its request. So a stopping VM first sends `Connection: close` with
+//! its answers (see [`Gate`]) and shuts rocket down once no request is running.
 
 mod callers;
 mod gate;
@@ -23,18 +23,18 @@
 use crate::query;
 use crate::rate;
 
-/// Limits on what callers send.
+/// Limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Largest request body.
     pub body: rate::Bytes,
-    /// Largest `query` value within it.
+    /// Largest `query` value in a body.
     pub query: rate::Bytes,
-    /// All headers together.
+    /// Largest size of all headers together.
     pub headers: rate::Bytes,
-    /// Requests that run at once; more are refused.
+    /// Largest number of concurrent requests; further ones are refused.
     pub requests: u32,
-    /// Most hits a caller may ask for.
+    /// Largest number of hits that a caller may ask for.
     pub hits: u32,
 }
 
@@ -50,41 +50,41 @@
     }
 }
 
-/// What answers the requests.
+/// Handler of the requests that the servers receive.
 #[async_trait::async_trait]
 pub trait Backend: Send + Sync + 'static {
     /// Answers a search.
     ///
     /// # Errors
-    /// What the caller is told instead.
+    /// The refusal to send to the caller.
     async fn search(&self, search: query::Search) -> Result<query::Answer, query::Refusal>;
 
     /// Runs a registration.
     ///
     /// # Errors
-    /// What the caller is told instead.
+    /// The refusal to send to the caller.
     async fn register(
         &self,
         registration: ledger::Registration,
     ) -> Result<ledger::Done, query::Refusal>;
 
-    /// What the ledger holds of a key, as JSON.
+    /// Returns the ledger's record of a key, as JSON.
     ///
     /// # Errors
-    /// What the caller is told instead.
+    /// The refusal to send to the caller.
     async fn record(
         &self,
         service: ids::Service,
         key: ids::Key,
     ) -> Result<serde_json::Value, query::Refusal>;
 
-    /// Why this VM shouldn't get requests; `None` where it should.
-    fn unready(&self) -> Option<String>;
+    /// Returns the reason why this VM is not ready for requests; `None` if it is.
+    fn unready_reason(&self) -> Option<String>;
 
-    /// The figures for `/metrics`.
+    /// Returns the response body of `/metrics`.
     fn metrics(&self) -> Result<String, crate::metrics::Error>;
 
-    /// A request id that no other request has.
+    /// Returns a new, unique request id.
     fn request_id(&self) -> ids::Request;
 }
 
--- a/crates/geraniumgauge/src/http/operators.rs
+++ b/crates/geraniumgauge/src/http/operators.rs
@@ -1,14 +1,14 @@
-//! Operators' paths: is it alive, should it get requests, what are its figures.
+//! HTTP routes for operators: liveness, readiness and metrics.
 
 use crate::http::head;
 use crate::http::reply;
 
-/// The paths, for rocket.
+/// Returns the routes to mount.
 pub(super) fn routes() -> Vec<rocket::Route> {
     rocket::routes![healthz, readyz, metrics]
 }
 
-/// The catchers, for rocket.
+/// Returns the error catchers to register.
 pub(super) fn catchers() -> Vec<rocket::Catcher> {
     rocket::catchers![caught]
 }
@@ -20,7 +20,7 @@
 
 #[rocket::get("/readyz")]
 fn readyz(context: &rocket::State<head::Context>) -> reply::Reply {
-    match context.backend.unready() {
+    match context.backend.unready_reason() {
         None => reply::Reply::text(200, "ready\n"),
         Some(reason) => reply::Reply::text(503, format!("not ready: {reason}\n")),
     }
--- a/crates/geraniumgauge/src/http/reply.rs
+++ b/crates/geraniumgauge/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals as HTTP.
+//! HTTP responses for answers and refusals.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 use crate::ids;
 use crate::query;
 
-/// One answer: a status, a JSON body, and when to come back.
+/// An HTTP response: status, body and the headers `Retry-After` and `Connection`.
 #[derive(Debug)]
 pub(super) struct Reply {
     status: u16,
@@ -34,12 +34,12 @@
 }
 
 impl Reply {
-    /// A JSON body with status 200.
+    /// Returns a response with a JSON body and status 200.
     pub(super) fn json(body: &impl serde::Serialize, request: &ids::Request) -> Self {
         match serde_json::to_vec(body) {
             Ok(body) => Self::new(200, body, http::ContentType::JSON),
             Err(error) => {
-                let message = format!("the answer can't be written as JSON: {error}");
+                let message = format!("cannot serialize the answer: {error}");
                 Self::refusal(
                     &query::Refusal::unknown(query::Code::Internal, message),
                     request,
@@ -48,9 +48,9 @@
         }
     }
 
-    /// What a caller is told instead of an answer.
+    /// Returns a response that reports a refusal.
     pub(super) fn refusal(refusal: &query::Refusal, request: &ids::Request) -> Self {
-        let millis = refusal.retry_after.map(|span| span.as_millis());
+        let millis = refusal.retry_after.map(|delay| delay.as_millis());
         let error = Error {
             code: refusal.code,
             message: &refusal.message,
@@ -68,16 +68,16 @@
         );
         reply.retry_after_s = refusal
             .retry_after
-            .map(|span| span.as_secs_f64().ceil() as u64);
+            .map(|delay| delay.as_secs_f64().ceil() as u64);
         reply
     }
 
-    /// A text body.
+    /// Returns a response with a plain-text body.
     pub(super) fn text(status: u16, body: impl Into<String>) -> Self {
         Self::new(status, body.into().into_bytes(), http::ContentType::Plain)
     }
 
-    /// Asks the caller to close its connection, where `close`.
+    /// Sets whether the response asks the caller to close its connection.
     pub(super) fn closing(self, close: bool) -> Self {
         Self { close, ..self }
     }
--- a/crates/geraniumgauge/src/http/server.rs
+++ b/crates/geraniumgauge/src/http/server.rs
@@ -1,7 +1,6 @@
-//! Runs rocket, one instance for callers and one for operators.
+//! HTTP servers built on rocket, one instance for callers and one for operators.
 
 use std::net;
-use std::time;
 
 use rocket::fairing;
 
@@ -10,24 +9,27 @@
 use crate::http::head;
 use crate::http::operators;
 
-/// Time rocket gives running requests after it stopped listening, in seconds.
-/// Requests are over before (see [`http::Gate::idle`]); this is for the last
-/// bytes of their answers.
-const GRACE_S: u32 = 1;
-const MERCY_S: u32 = 1;
+/// Time in which rocket lets running requests finish after it stopped listening, in
+/// seconds. The requests have ended by then (see [`http::Gate::idle`]), but the last
+/// bytes of their answers may still have to be sent.
+const SHUTDOWN_GRACE_S: u32 = 1;
+/// Further time after which rocket closes the remaining connections, in seconds.
+const SHUTDOWN_MERCY_S: u32 = 1;
+/// Time for which rocket keeps an idle connection open, in seconds.
+const KEEP_ALIVE_S: u32 = 75;
 
-/// Why a server can't run.
+/// Failure to start a server.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("can't serve on {address}: {reason}; is another process using it?")]
 pub struct Error {
-    /// Where it was to listen.
+    /// Address on which it should listen.
     address: net::SocketAddr,
-    /// What rocket said.
+    /// Error text of rocket.
     reason: String,
 }
 
-/// One rocket instance that listens.
+/// A running HTTP server.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -36,10 +38,10 @@
 }
 
 impl Server {
-    /// Serves callers.
+    /// Starts the server for callers.
     ///
     /// # Errors
-    /// Where the address can't be had.
+    /// When the server can't listen on the address.
     pub async fn callers(
         address: net::SocketAddr,
         backend: http::Shared,
@@ -57,10 +59,10 @@
         Self::launch(address, rocket).await
     }
 
-    /// Serves operators.
+    /// Starts the server for operators.
     ///
     /// # Errors
-    /// Where the address can't be had.
+    /// When the server can't listen on the address.
     pub async fn operators(
         address: net::SocketAddr,
         backend: http::Shared,
@@ -78,7 +80,7 @@
         Self::launch(address, rocket).await
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
@@ -94,15 +96,15 @@
         address: net::SocketAddr,
         rocket: rocket::Rocket<rocket::Build>,
     ) -> Result<Self, Error> {
-        let (told, listening) = tokio::sync::oneshot::channel();
-        let told = std::sync::Mutex::new(Some(told));
+        let (sender, listening) = tokio::sync::oneshot::channel();
+        let sender = std::sync::Mutex::new(Some(sender));
         let liftoff = fairing::AdHoc::on_liftoff("address", move |rocket| {
             let address = net::SocketAddr::new(rocket.config().address, rocket.config().port);
             let shutdown = rocket.shutdown();
-            let told = told.lock().ok().and_then(|mut told| told.take());
+            let sender = sender.lock().ok().and_then(|mut sender| sender.take());
             Box::pin(async move {
-                if let Some(told) = told {
-                    let _ = told.send((address, shutdown));
+                if let Some(sender) = sender {
+                    let _ = sender.send((address, shutdown));
                 }
             })
         });
@@ -114,14 +116,14 @@
             Ok((address, shutdown)) = listening => {
                 let task = tokio::spawn(async move {
                     if let Ok(Err(error)) = launched.await {
-                        log::warn!(target: "http", "server on {address} ended: {error}");
+                        log::warn!(target: "http", "server on {address} failed: {error}");
                     }
                 });
                 Ok(Self { address, shutdown, task })
             }
             ended = &mut launched => match ended {
                 Ok(Err(error)) => Err(failed(error.to_string())),
-                _ => Err(failed("it ended at once".to_owned())),
+                _ => Err(failed("the server stopped right after its start".to_owned())),
             },
         }
     }
@@ -134,10 +136,10 @@
     config.log_level = rocket::config::LogLevel::Off;
     config.cli_colors = false;
     config.ident = rocket::config::Ident::none();
-    config.keep_alive = u32::try_from(time::Duration::from_secs(75).as_secs()).unwrap_or(75);
+    config.keep_alive = KEEP_ALIVE_S;
     config.shutdown.ctrlc = false;
     config.shutdown.signals.clear();
-    config.shutdown.grace = GRACE_S;
-    config.shutdown.mercy = MERCY_S;
+    config.shutdown.grace = SHUTDOWN_GRACE_S;
+    config.shutdown.mercy = SHUTDOWN_MERCY_S;
     config
 }
--- a/crates/geraniumgauge/src/http/tests.rs
+++ b/crates/geraniumgauge/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests over sockets, with a backend that answers by the query.
+//! Requests over sockets to a fake backend whose answer depends on the query.
 
 use std::net;
 use std::sync;
@@ -8,13 +8,15 @@
 
 use super::*;
 
+/// Fake backend: panics on a query that contains "panic" and refuses one that
+/// contains "busy".
 struct Fake;
 
 #[async_trait::async_trait]
 impl Backend for Fake {
     async fn search(&self, search: query::Search) -> Result<query::Answer, query::Refusal> {
         if search.query.get().contains("panic") {
-            panic!("a fault of ours");
+            panic!("panic in a handler");
         }
         if search.query.get().contains("busy") {
             let refusal = query::Refusal::not_run(query::Code::Overloaded, "busy");
@@ -58,7 +60,7 @@
         Ok(serde_json::json!({ "key": key }))
     }
 
-    fn unready(&self) -> Option<String> {
+    fn unready_reason(&self) -> Option<String> {
         Some("starting".to_owned())
     }
 
@@ -121,10 +123,10 @@
 
 const SEARCH: &str = "/v1/services/desk/search";
 
-/// Story: a caller's form has a typing error. It must read what is wrong and
-/// where, and be sure that nothing ran, whichever part of the request it is.
+/// A malformed request is refused with a message that says what is wrong and
+/// where, and with the assurance that nothing ran.
 #[tokio::test]
-async fn malformed_requests_are_refused_with_their_place() {
+async fn malformed_requests_are_refused_with_the_error_position() {
     let site = site(Limits::default()).await;
     let cases = [
         (SEARCH, "{", "line 1"),
@@ -136,19 +138,19 @@
         ("/v1/services/a%20b/search", "{\"query\": 1}", "byte 1"),
         ("/v1/services/desk/records", "{}", "Idempotency-Key"),
     ];
-    for (path, body, place) in cases {
+    for (path, body, position) in cases {
         let reply = site.post(path, body).await;
         assert_eq!(refusal(&reply), (400, "bad_request", "no"), "{path} {body}");
         let message = reply.1["error"]["message"].as_str().unwrap();
         assert!(
-            message.contains(place),
-            "{message:?} doesn't name {place:?}"
+            message.contains(position),
+            "{message:?} doesn't name {position:?}"
         );
     }
 }
 
 #[tokio::test]
-async fn headers_that_are_no_times_or_keys_are_named() {
+async fn invalid_timeout_and_key_headers_are_named() {
     let site = site(Limits::default()).await;
     for (name, value) in [("Request-Timeout-Ms", "soon"), ("Idempotency-Key", "a b")] {
         let request = site.client.post(site.url(SEARCH)).header(name, value);
@@ -158,10 +160,10 @@
     }
 }
 
-/// Story: a batch job sends a body, a query or headers far over the limits. Each
-/// gets an answer that names the limit; the connection isn't just closed.
+/// A body, a query or headers far over the limits get an answer that names the
+/// limit; the connection isn't just closed.
 #[tokio::test]
-async fn what_is_too_large_is_told_its_limit() {
+async fn requests_that_are_too_large_are_refused_with_the_limit() {
     let bytes = rate::Bytes;
     let limits = Limits {
         body: bytes(2000),
@@ -194,10 +196,10 @@
     );
 }
 
-/// Story: a query makes our own code panic. Its caller gets an error, and the
-/// next request on the same connection is answered as ever.
+/// When a query makes a handler panic, its caller gets an error, and the next
+/// request is answered as usual.
 #[tokio::test]
-async fn a_panic_takes_nothing_else_along() {
+async fn a_panic_does_not_affect_other_requests() {
     let site = site(Limits::default()).await;
     let reply = site.post(SEARCH, "{\"query\": \"panic\"}").await;
     assert_eq!(refusal(&reply), (500, "internal", "unknown"));
@@ -217,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_tells_when_to_come_back() {
+async fn a_refusal_says_when_to_retry() {
     let site = site(Limits::default()).await;
     let request = site
         .client
@@ -228,9 +230,9 @@
     assert_eq!(response.headers()["Retry-After"], "2");
 }
 
-/// Story: a VM is stopped while the balancer's keep-alive connections are open.
-/// If rocket closed them at once, a request written at that moment would be
-/// lost. While stopping, each answer asks to close its connection instead.
+/// A VM is stopped while the balancer's keep-alive connections are open. If rocket
+/// closed them immediately, a request written at that moment would be lost. Instead,
+/// each answer of a stopping VM asks to close its connection.
 #[tokio::test]
 async fn a_stopping_vm_answers_and_asks_to_close() {
     let site = site(Limits::default()).await;
@@ -271,7 +273,7 @@
 }
 
 #[tokio::test]
-async fn operators_paths_are_apart_from_callers() {
+async fn operators_server_does_not_serve_callers_paths() {
     let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let operators = Server::operators(any, sync::Arc::new(Fake), Gate::new(9))
         .await
@@ -293,9 +295,8 @@
     assert_eq!(get(SEARCH).await.unwrap().status(), 404);
 }
 
-/// An address in use is said with its number.
 #[tokio::test]
-async fn a_port_in_use_is_named() {
+async fn the_error_for_an_address_in_use_names_it() {
     let held = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = held.local_addr().unwrap();
     let gate = Gate::new(1);
@@ -308,10 +309,9 @@
     );
 }
 
-/// Story: a caller's line breaks while it sends its body, and nothing closes the
-/// connection. The request must not be held for ever: it takes the place of
-/// another, and a planned stop waits for it. (Rocket itself waits for the first
-/// 14 bytes, before the request counts as one.)
+/// A caller disappears while it sends its body, and nothing closes the connection.
+/// The request must not run forever: it counts towards the limit, and a planned stop
+/// waits for it. (Rocket counts a request only after its first 14 bytes.)
 #[tokio::test(start_paused = true)]
 async fn a_body_that_never_ends_is_refused() {
     let site = site(Limits::default()).await;
--- a/crates/geraniumgauge/src/vm/backend.rs
+++ b/crates/geraniumgauge/src/vm/backend.rs
@@ -65,7 +65,7 @@
         serde_json::to_value(state).map_err(unwritten)
     }
 
-    fn unready(&self) -> Option<String> {
+    fn unready_reason(&self) -> Option<String> {
         if self.gate.is_stopping() {
             return Some("stopping".to_owned());
         }
