--- a/crates/geraniumgauge/src/vm/backend.rs
+++ b/crates/geraniumgauge/src/vm/backend.rs
@@ -1,4 +1,4 @@
-//! Answers HTTP requests from the duties.
+//! Backend of the HTTP servers on top of the VM's components.
 
 use std::sync;
 use std::sync::atomic;
@@ -13,29 +13,31 @@
 use crate::time::Clock;
 use crate::vm;
 
-/// Joins the duties for [`http::Server`].
+/// Implementation of [`http::Backend`] that calls the VM's components.
 pub(super) struct Backend {
-    duties: sync::Arc<vm::Duties>,
+    components: sync::Arc<vm::Components>,
     gate: http::Gate,
     ready: watch::Receiver<bool>,
-    prefix: String,
-    next: atomic::AtomicU64,
+    /// First part of the request ids.
+    id_prefix: String,
+    /// Number of the next request id.
+    next_id: atomic::AtomicU64,
 }
 
 impl Backend {
     pub(super) fn new(
         config: &vm::Config,
-        duties: &sync::Arc<vm::Duties>,
+        components: &sync::Arc<vm::Components>,
         gate: http::Gate,
         clock: Clock,
     ) -> Self {
         Self {
-            duties: sync::Arc::clone(duties),
+            components: sync::Arc::clone(components),
             gate,
-            ready: duties.document.ready(),
-            // The start's time keeps ids apart over restarts under one name.
-            prefix: format!("{}-{:x}", config.vm, clock.wall().0),
-            next: atomic::AtomicU64::new(0),
+            ready: components.document.ready(),
+            // The start time keeps ids unique when a VM of the same name restarts.
+            id_prefix: format!("{}-{:x}", config.vm, clock.wall().0),
+            next_id: atomic::AtomicU64::new(0),
         }
     }
 }
@@ -43,14 +45,14 @@
 #[async_trait::async_trait]
 impl http::Backend for Backend {
     async fn search(&self, search: query::Search) -> Result<query::Answer, query::Refusal> {
-        self.duties.query.search(search).await
+        self.components.query.search(search).await
     }
 
     async fn register(
         &self,
         registration: ledger::Registration,
     ) -> Result<ledger::Done, query::Refusal> {
-        self.duties.ledger.register(registration).await
+        self.components.ledger.register(registration).await
     }
 
     async fn record(
@@ -58,11 +60,11 @@
         service: ids::Service,
         key: ids::Key,
     ) -> Result<serde_json::Value, query::Refusal> {
-        let state = self.duties.ledger.state(&service, &key).await?;
-        let unwritten = |error: serde_json::Error| {
+        let state = self.components.ledger.state(&service, &key).await?;
+        let unserializable = |error: serde_json::Error| {
             query::Refusal::unknown(query::Code::Internal, error.to_string())
         };
-        serde_json::to_value(state).map_err(unwritten)
+        serde_json::to_value(state).map_err(unserializable)
     }
 
     fn unready_reason(&self) -> Option<String> {
@@ -70,22 +72,23 @@
             return Some("stopping".to_owned());
         }
         let ready = *self.ready.borrow();
-        (!ready).then(|| "starting: the accepted documents aren't here yet".to_owned())
+        (!ready).then(|| "starting: the accepted documents aren't loaded yet".to_owned())
     }
 
     fn metrics(&self) -> Result<String, metrics::Error> {
-        self.duties.metrics.text()
+        self.components.metrics.text()
     }
 
     fn request_id(&self) -> ids::Request {
-        let number = self.next.fetch_add(1, atomic::Ordering::Relaxed);
-        let text = format!("{}-{number:x}", self.prefix);
-        text.parse().unwrap_or_else(|_| fallback(number))
+        let number = self.next_id.fetch_add(1, atomic::Ordering::Relaxed);
+        let text = format!("{}-{number:x}", self.id_prefix);
+        text.parse().unwrap_or_else(|_| id_without_name(number))
     }
 }
 
-/// An id without the VM's name, for names so long that the id exceeds its limit.
-fn fallback(number: u64) -> ids::Request {
+/// Returns a request id without the VM's name, for names so long that the id would
+/// exceed its limit.
+fn id_without_name(number: u64) -> ids::Request {
     let text = format!("r-{:x}-{number:x}", rand::random::<u64>());
     #[expect(
         clippy::expect_used,
--- a/crates/geraniumgauge/src/vm/config.rs
+++ b/crates/geraniumgauge/src/vm/config.rs
@@ -1,4 +1,4 @@
-//! What a VM is given at its start.
+//! Settings of a VM.
 
 use std::net;
 use std::time;
@@ -9,40 +9,42 @@
 use crate::rate;
 use crate::vm;
 
-/// A VM's settings, checked.
+/// Validated settings of a VM.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// The VM's name.
     pub vm: ids::Vm,
-    /// Where it runs.
+    /// Data centre in which the VM runs.
     pub data_centre: ids::DataCentre,
-    /// Address for callers, HTTP; port 0 picks a free one.
+    /// HTTP address for callers; port 0 picks a free one.
     pub callers: net::SocketAddr,
-    /// Address for operators, HTTP.
+    /// HTTP address for operators.
     pub operators: net::SocketAddr,
     /// Address for other VMs, TCP and UDP.
     pub mesh: net::SocketAddr,
     /// Base URL of the platform's object API.
     pub store: String,
-    /// Mesh addresses to join by while the platform's list can't be had.
+    /// Mesh addresses of VMs to join through while the platform's list of VMs is
+    /// unavailable.
     pub seeds: Vec<net::SocketAddr>,
-    /// How fan-outs are run.
+    /// Policy for running fan-outs.
     pub policy: query::Policy,
-    /// Limits on what callers send.
+    /// Limits on callers' requests.
     pub limits: http::Limits,
     /// Largest frame between VMs.
     pub frame: rate::Bytes,
-    /// From turning readiness off until nothing new is let in.
+    /// Time for which a stopping VM still admits requests after it reported that it is
+    /// not ready, so that the balancer can stop sending them.
     pub balancer_wait: time::Duration,
-    /// Longest wait for requests under way after that.
+    /// Longest wait for running requests after that.
     pub grace: time::Duration,
 }
 
-/// Largest frame between VMs, where the settings name none.
-const FRAME: rate::Bytes = rate::Bytes(8 << 20);
+/// Default of the largest frame between VMs.
+const DEFAULT_FRAME: rate::Bytes = rate::Bytes(8 << 20);
 
 impl Config {
-    /// Settings with the defaults, on free loopback ports.
+    /// Returns the default settings, with free loopback ports.
     pub fn new(vm: ids::Vm, data_centre: ids::DataCentre, store: String) -> Self {
         let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
@@ -55,7 +57,7 @@
             seeds: Vec::new(),
             policy: query::Policy::Full,
             limits: http::Limits::default(),
-            frame: FRAME,
+            frame: DEFAULT_FRAME,
             balancer_wait: vm::BALANCER_WAIT,
             grace: vm::GRACE,
         }
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands frames and rumours to the duties they belong to.
+//! Routes mesh frames and gossip updates to the components that handle them.
 
 use std::sync;
 
@@ -15,26 +15,26 @@
 use crate::quarantine;
 use crate::query;
 
-/// The duties that take frames.
+/// Components that handle frames.
 pub(super) struct Targets {
     pub(super) home: home::Service,
     pub(super) query: query::Service,
     pub(super) ledger: ledger::Service,
     pub(super) document: document::Service,
-    pub(super) book: quarantine::Service,
-    pub(super) direct: sync::Arc<quarantine::Broadcast>,
+    pub(super) quarantine: quarantine::Service,
+    pub(super) broadcast: sync::Arc<quarantine::Broadcast>,
 }
 
-/// Takes frames from the mesh. The mesh is there before the duties, which send
-/// through it; frames that come before [`Self::set`] are dropped, as if the VM
-/// had started a moment later.
+/// Receiver of the mesh's frames. The mesh starts before the components, which send
+/// through it. Frames that arrive before [`Self::set`] are dropped, as if the VM had
+/// started a moment later.
 #[derive(Default)]
 pub(super) struct Dispatch {
     targets: sync::OnceLock<Targets>,
 }
 
 impl Dispatch {
-    /// Names the duties, once.
+    /// Sets the components that handle frames. Only the first call has an effect.
     pub(super) fn set(&self, targets: Targets) {
         let _ = self.targets.set(targets);
     }
@@ -56,8 +56,8 @@
             message::Body::Pull(pull) => targets.document.pull(from, pull),
             message::Body::Pulled(pulled) => targets.document.pulled(from, pulled),
             message::Body::Mark(mark) => {
-                targets.direct.relay(&mark);
-                targets.book.receive_mark(&mark);
+                targets.broadcast.relay(&mark);
+                targets.quarantine.receive_mark(&mark);
             }
             message::Body::Bye(_)
             | message::Body::Hello(_)
@@ -76,19 +76,22 @@
     }
 }
 
-/// Hands marks of suspect requests to the quarantine until `stop`.
-pub(super) async fn marks(
-    mut rumours: broadcast::Receiver<member::Update>,
-    book: quarantine::Service,
+/// Passes gossip updates about marks of suspect requests to the quarantine until
+/// `stop` is cancelled.
+pub(super) async fn forward_marks(
+    mut updates: broadcast::Receiver<member::Update>,
+    quarantine: quarantine::Service,
     stop: CancellationToken,
 ) {
     loop {
-        let heard = tokio::select! {
-            heard = rumours.recv() => heard,
+        let received = tokio::select! {
+            received = updates.recv() => received,
             () = stop.cancelled() => return,
         };
-        match heard {
-            Ok(rumour) if rumour.topic == member::Topic::Mark => book.receive_update(&rumour),
+        match received {
+            Ok(update) if update.topic == member::Topic::Mark => {
+                quarantine.receive_update(&update);
+            }
             Ok(_) | Err(broadcast::error::RecvError::Lagged(_)) => {}
             Err(broadcast::error::RecvError::Closed) => return,
         }
@@ -96,14 +99,14 @@
 }
 
 impl quarantine::Publisher for member::Service {
-    fn publish(&self, rumour: member::Update) {
-        self.publish(rumour);
+    fn publish(&self, update: member::Update) {
+        self.publish(update);
     }
 }
 
 impl document::Gossip for member::Service {
-    fn publish(&self, rumour: member::Update) {
-        self.publish(rumour);
+    fn publish(&self, update: member::Update) {
+        self.publish(update);
     }
 
     fn rumours(&self) -> broadcast::Receiver<member::Update> {
--- a/crates/geraniumgauge/src/vm/mod.rs
+++ b/crates/geraniumgauge/src/vm/mod.rs
@@ -1,5 +1,5 @@
-//! One VM: every duty, wired. The daemon runs one; tests and the stand-ins run
-//! several in one process, each on a runtime of its own.
+//! A VM with all of its components. The daemon runs one; tests and the stand-ins run
+//! several in one process, each on its own runtime.
 
 mod backend;
 mod config;
@@ -27,24 +27,25 @@
 use crate::slo;
 use crate::store;
 
-/// Tries for a port that is free for both TCP and UDP, where any will do.
-const PORT_TRIES: u32 = 20;
+/// Attempts to find a port that is free for both TCP and UDP when the address has
+/// port 0.
+const MAX_BIND_ATTEMPTS: u32 = 20;
 
-/// Why a VM can't start.
+/// Failure to start a VM.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
-    /// The mesh address can't be had.
+    /// The VM can't listen on the mesh address.
     #[from(ignore)]
     #[display("can't listen for other VMs on {address}: {error}; is another process using it?")]
     #[error(ignore)]
     Mesh {
         /// The address.
         address: net::SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A server for callers or operators can't start.
+    /// The HTTP server for callers or the one for operators can't start.
     #[display("{_0}")]
     Http(http::Error),
     /// Metrics can't be set up.
@@ -55,14 +56,14 @@
     Store(store::Error),
 }
 
-/// Where a VM listens.
+/// Addresses on which a VM listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers, HTTP.
+    /// HTTP address for callers.
     pub callers: net::SocketAddr,
-    /// For operators, HTTP.
+    /// HTTP address for operators.
     pub operators: net::SocketAddr,
-    /// For other VMs, TCP and UDP.
+    /// TCP and UDP address for other VMs.
     pub mesh: net::SocketAddr,
 }
 
@@ -74,11 +75,11 @@
     callers: http::Server,
     operators: http::Server,
     mesh_address: net::SocketAddr,
-    duties: sync::Arc<Duties>,
+    components: sync::Arc<Components>,
 }
 
-/// Every duty's handle.
-pub(crate) struct Duties {
+/// Handles of a VM's components.
+pub(crate) struct Components {
     pub(crate) mesh: sync::Arc<mesh::Mesh>,
     pub(crate) member: member::Service,
     pub(crate) home: home::Service,
@@ -90,11 +91,11 @@
 }
 
 impl Vm {
-    /// Binds the addresses and starts every duty. The VM listens at once, and
-    /// `/readyz` says when it should get requests.
+    /// Binds the addresses and starts all components. The VM listens immediately;
+    /// `/readyz` reports when it is ready for requests.
     ///
     /// # Errors
-    /// Where an address can't be had or a part can't be set up.
+    /// When the VM can't listen on an address or a component can't be set up.
     pub async fn start(config: Config) -> Result<Self, Error> {
         let (listener, socket) = bind(config.mesh).await?;
         let mesh_address = listener
@@ -102,9 +103,9 @@
             .map_err(|e| mesh_error(config.mesh, e))?;
         let stop = CancellationToken::new();
         let wiring = wiring::Wiring::new(&config, stop.clone())?;
-        let duties = sync::Arc::new(wiring.start(listener, socket, mesh_address));
+        let components = sync::Arc::new(wiring.start(listener, socket, mesh_address));
         let gate = http::Gate::new(config.limits.requests);
-        let backend = backend::Backend::new(&config, &duties, gate.clone(), wiring.clock());
+        let backend = backend::Backend::new(&config, &components, gate.clone(), wiring.clock());
         let backend: http::Shared = sync::Arc::new(backend);
         let callers = http::Server::callers(
             config.callers,
@@ -121,11 +122,11 @@
             callers,
             operators,
             mesh_address,
-            duties,
+            components,
         })
     }
 
-    /// Where it listens.
+    /// Returns the addresses on which the VM listens.
     pub fn addresses(&self) -> Addresses {
         Addresses {
             callers: self.callers.address(),
@@ -134,24 +135,24 @@
         }
     }
 
-    /// Stops gracefully: whatever has begun is finished.
+    /// Stops gracefully: running requests are finished.
     ///
-    /// The order matters. Readiness goes off and other VMs are told first, while
-    /// everything still works: the balancer needs its time, and requests that it
-    /// sends meanwhile are answered. Only then is nothing new let in. Homes and
-    /// claims finish what they have after the last request of ours, since other
-    /// entries may still wait for them. The mesh closes last.
+    /// The order matters. First `/readyz` reports that the VM is not ready and other
+    /// VMs are notified, while everything still works: the balancer needs time to
+    /// notice, and requests that it sends meanwhile are answered. Only then
+    /// does the VM wait for its own requests to end. Homes and claims finish after
+    /// them, since other coordinators may still wait for them. The mesh closes last.
     pub async fn stop(self) {
-        log::info!(target: "vm", "stopping: readiness is off");
+        log::info!(target: "vm", "stopping: the VM is no longer ready");
         self.gate.stop();
-        self.duties.member.leave().await;
-        self.duties.home.leave();
-        self.duties.ledger.leave();
+        self.components.member.leave().await;
+        self.components.home.leave();
+        self.components.ledger.leave();
         tokio::time::sleep(self.config.balancer_wait).await;
         let finish = async {
             self.gate.idle().await;
-            self.duties.ledger.drained().await;
-            self.duties.home.drained().await;
+            self.components.ledger.drained().await;
+            self.components.home.drained().await;
         };
         if tokio::time::timeout(self.config.grace, finish)
             .await
@@ -160,39 +161,43 @@
             log::warn!(target: "vm", "requests were still running after the grace period");
         }
         self.callers.stop().await;
-        self.duties.slo.flush().await;
-        self.duties.mesh.close().await;
+        self.components.slo.flush().await;
+        self.components.mesh.close().await;
         self.operators.stop().await;
         drop(self.stop);
         log::info!(target: "vm", "stopped");
     }
 }
 
-/// Binds TCP and UDP on the same port.
+/// Binds a TCP listener and a UDP socket on the same port.
 async fn bind(
     address: net::SocketAddr,
 ) -> Result<(tokio::net::TcpListener, tokio::net::UdpSocket), Error> {
-    let tries = if address.port() == 0 { PORT_TRIES } else { 1 };
-    let mut failed = io::Error::other("no try was made");
-    for _ in 0..tries {
+    let attempts = if address.port() == 0 {
+        MAX_BIND_ATTEMPTS
+    } else {
+        1
+    };
+    let mut last_error = io::Error::other("no attempt to bind was made");
+    for _ in 0..attempts {
         let listener = tokio::net::TcpListener::bind(address).await;
         let listener = listener.map_err(|error| mesh_error(address, error))?;
-        let taken = listener
+        let bound = listener
             .local_addr()
             .map_err(|error| mesh_error(address, error))?;
-        match tokio::net::UdpSocket::bind(taken).await {
+        match tokio::net::UdpSocket::bind(bound).await {
             Ok(socket) => return Ok((listener, socket)),
-            Err(error) => failed = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(mesh_error(address, failed))
+    Err(mesh_error(address, last_error))
 }
 
 fn mesh_error(address: net::SocketAddr, error: io::Error) -> Error {
     Error::Mesh { address, error }
 }
 
-/// Time a stopping VM gives the balancer, where the settings name none.
+/// Default of [`Config::balancer_wait`].
 pub const BALANCER_WAIT: time::Duration = time::Duration::from_secs(5);
-/// Longest wait for requests under way after that.
+/// Default of [`Config::grace`].
 pub const GRACE: time::Duration = time::Duration::from_secs(30);
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -1,9 +1,9 @@
-//! Starts the duties in the order in which they need each other.
+//! Construction of a VM's components in the order of their dependencies.
 
 use std::net;
 use std::sync;
 
-use opentelemetry::metrics as figures;
+use opentelemetry::metrics as otel;
 use tokio_util::sync::CancellationToken;
 
 use crate::document;
@@ -22,7 +22,7 @@
 use crate::vm;
 use crate::vm::dispatch;
 
-/// What every duty is made from.
+/// Dependencies that a VM's components share.
 pub(super) struct Wiring<'a> {
     config: &'a vm::Config,
     incarnation: ids::Incarnation,
@@ -30,7 +30,7 @@
     clock: Clock,
     timer: timer::Service,
     metrics: metrics::Metrics,
-    meter: figures::Meter,
+    meter: otel::Meter,
     client: store::Client,
     store: sync::Arc<dyn store::Api>,
     catalog: document::Catalog,
@@ -65,35 +65,36 @@
         listener: tokio::net::TcpListener,
         socket: tokio::net::UdpSocket,
         address: net::SocketAddr,
-    ) -> vm::Duties {
+    ) -> vm::Components {
         let member = self.member(socket, address);
         tokio::spawn(self.client.clone().follow(member.view()));
         let dispatch = sync::Arc::new(dispatch::Dispatch::default());
         let mesh = self.mesh(listener, &member, sync::Arc::clone(&dispatch) as _);
-        let post: sync::Arc<dyn mesh::Sender> = sync::Arc::clone(&mesh) as _;
+        let sender: sync::Arc<dyn mesh::Sender> = sync::Arc::clone(&mesh) as _;
         let slo = self.slo();
         let record: sync::Arc<dyn slo::Record> = sync::Arc::new(slo.clone());
-        let direct = sync::Arc::new(quarantine::Broadcast {
+        let broadcast = sync::Arc::new(quarantine::Broadcast {
             gossip: sync::Arc::new(member.clone()),
-            sender: sync::Arc::clone(&post),
+            sender: sync::Arc::clone(&sender),
             view: member.view(),
         });
-        let book = self.quarantine(sync::Arc::clone(&direct));
-        let home = self.home(&member, &post);
-        let query = self.query(&member, &post, &book, &record);
-        let ledger = self.ledger(&member, &post, &book, &record);
-        let document = self.document(&member, &post);
+        let quarantine = self.quarantine(sync::Arc::clone(&broadcast));
+        let home = self.home(&member, &sender);
+        let query = self.query(&member, &sender, &quarantine, &record);
+        let ledger = self.ledger(&member, &sender, &quarantine, &record);
+        let document = self.document(&member, &sender);
         dispatch.set(dispatch::Targets {
             home: home.clone(),
             query: query.clone(),
             ledger: ledger.clone(),
             document: document.clone(),
-            book: book.clone(),
-            direct,
+            quarantine: quarantine.clone(),
+            broadcast,
         });
-        tokio::spawn(dispatch::marks(member.updates(), book, self.stop.clone()));
+        let marks = dispatch::forward_marks(member.updates(), quarantine, self.stop.clone());
+        tokio::spawn(marks);
         let metrics = self.metrics.clone();
-        vm::Duties {
+        vm::Components {
             mesh,
             member,
             home,
@@ -106,8 +107,8 @@
     }
 
     fn member(&self, socket: tokio::net::UdpSocket, address: net::SocketAddr) -> member::Service {
-        let (name, centre) = (self.config.vm.clone(), self.config.data_centre.clone());
-        let mut config = member::Config::new(name, self.incarnation, centre, address, socket);
+        let (name, data_centre) = (self.config.vm.clone(), self.config.data_centre.clone());
+        let mut config = member::Config::new(name, self.incarnation, data_centre, address, socket);
         config.seeds.clone_from(&self.config.seeds);
         member::Service::start(
             config,
@@ -122,14 +123,14 @@
         &self,
         listener: tokio::net::TcpListener,
         member: &member::Service,
-        receive: sync::Arc<dyn mesh::Receiver>,
+        receiver: sync::Arc<dyn mesh::Receiver>,
     ) -> sync::Arc<mesh::Mesh> {
         let mut config = mesh::Config::new(self.config.vm.clone(), self.incarnation, listener);
         config.frame_bytes = usize::try_from(self.config.frame.0).unwrap_or(usize::MAX);
         mesh::Mesh::start(
             config,
             member.view(),
-            receive,
+            receiver,
             self.timer.clone(),
             &self.meter,
         )
@@ -149,20 +150,24 @@
         )
     }
 
-    fn quarantine(&self, spread: sync::Arc<quarantine::Broadcast>) -> quarantine::Service {
+    fn quarantine(&self, broadcast: sync::Arc<quarantine::Broadcast>) -> quarantine::Service {
         quarantine::Service::start(
             quarantine::Config {
                 vm: self.config.vm.clone(),
             },
             sync::Arc::clone(&self.store),
-            spread,
+            broadcast,
             self.clock,
             self.timer.clone(),
             &self.meter,
         )
     }
 
-    fn home(&self, member: &member::Service, post: &sync::Arc<dyn mesh::Sender>) -> home::Service {
+    fn home(
+        &self,
+        member: &member::Service,
+        sender: &sync::Arc<dyn mesh::Sender>,
+    ) -> home::Service {
         let (vm, data_centre) = (self.config.vm.clone(), self.config.data_centre.clone());
         home::Service::start(
             home::Config {
@@ -172,7 +177,7 @@
             },
             self.catalog.clone(),
             member.view(),
-            sync::Arc::clone(post),
+            sync::Arc::clone(sender),
             self.clock,
             self.timer.clone(),
             &self.meter,
@@ -182,8 +187,8 @@
     fn query(
         &self,
         member: &member::Service,
-        post: &sync::Arc<dyn mesh::Sender>,
-        book: &quarantine::Service,
+        sender: &sync::Arc<dyn mesh::Sender>,
+        quarantine: &quarantine::Service,
         record: &sync::Arc<dyn slo::Record>,
     ) -> query::Service {
         let config = query::Config {
@@ -195,8 +200,8 @@
             config,
             self.catalog.clone(),
             member.view(),
-            sync::Arc::clone(post),
-            book.clone(),
+            sync::Arc::clone(sender),
+            quarantine.clone(),
             sync::Arc::clone(record),
             self.clock,
             self.timer.clone(),
@@ -207,8 +212,8 @@
     fn ledger(
         &self,
         member: &member::Service,
-        post: &sync::Arc<dyn mesh::Sender>,
-        book: &quarantine::Service,
+        sender: &sync::Arc<dyn mesh::Sender>,
+        quarantine: &quarantine::Service,
         record: &sync::Arc<dyn slo::Record>,
     ) -> ledger::Service {
         let config = ledger::Config {
@@ -220,9 +225,9 @@
             config,
             self.catalog.clone(),
             member.view(),
-            sync::Arc::clone(post),
+            sync::Arc::clone(sender),
             sync::Arc::clone(&self.store),
-            sync::Arc::new(book.clone()),
+            sync::Arc::new(quarantine.clone()),
             sync::Arc::clone(record),
             self.clock,
             self.timer.clone(),
@@ -233,13 +238,13 @@
     fn document(
         &self,
         member: &member::Service,
-        post: &sync::Arc<dyn mesh::Sender>,
+        sender: &sync::Arc<dyn mesh::Sender>,
     ) -> document::Service {
         let (vm, data_centre) = (self.config.vm.clone(), self.config.data_centre.clone());
         let parts = document::Parts {
             catalog: self.catalog.clone(),
             view: member.view(),
-            post: sync::Arc::clone(post),
+            post: sync::Arc::clone(sender),
             gossip: sync::Arc::new(member.clone()),
             store: sync::Arc::clone(&self.store),
             clock: self.clock,
