--- a/crates/geraniumgauge/src/jsonc/field.rs
+++ b/crates/geraniumgauge/src/jsonc/field.rs
@@ -1,28 +1,28 @@
-//! The table of a format's fields.
+//! Table of the fields of a JSON format.
 
 use std::fmt;
 use std::str;
 
-/// One field of a format whose values are kept in a `T`.
+/// One field of a format whose values are stored in a `T`.
 #[derive(Debug)]
 pub struct Field<T> {
-    /// Its keys from the root, joined by dots, such as `limits.body_bytes`.
+    /// Keys from the root to the field, joined by dots, such as `limits.body_bytes`.
     pub path: &'static str,
-    /// Whether a text without it is refused.
+    /// Whether a text without the field is refused.
     pub required: bool,
-    /// What it means, in one or two sentences.
+    /// Description of the field in one or two sentences.
     pub doc: &'static str,
-    /// Its type, its range and where its value is kept.
+    /// Type, allowed values and accessors of the field.
     pub kind: Kind<T>,
 }
 
-/// Setter of a text; an error reads `problem; remedy`.
+/// Parses a string and stores the value. An error has the form `problem; remedy`.
 type SetText<T> = fn(&mut T, &str) -> Result<(), String>;
 
-/// A field's type, its range and where its value is kept.
+/// Type, allowed values and accessors of a field.
 #[derive(Debug)]
 pub enum Kind<T> {
-    /// A whole number.
+    /// An integer.
     Whole {
         /// Lowest value allowed.
         min: u64,
@@ -30,9 +30,9 @@
         max: u64,
         /// Unit, such as `ms`.
         unit: &'static str,
-        /// Reads the value.
+        /// Returns the value.
         get: fn(&T) -> u64,
-        /// Keeps the value.
+        /// Stores the value.
         set: fn(&mut T, u64),
     },
     /// A number that may have a fraction.
@@ -41,51 +41,51 @@
         min: f64,
         /// Highest value allowed.
         max: f64,
-        /// Reads the value.
+        /// Returns the value.
         get: fn(&T) -> f64,
-        /// Keeps the value.
+        /// Stores the value.
         set: fn(&mut T, f64),
     },
     /// `true` or `false`.
     Flag {
-        /// Reads the value.
+        /// Returns the value.
         get: fn(&T) -> bool,
-        /// Keeps the value.
+        /// Stores the value.
         set: fn(&mut T, bool),
     },
-    /// A text of some form.
+    /// A string of a given form.
     Text {
         /// The form, such as `ip:port`.
         form: &'static str,
-        /// Reads the value; `None` where it is not set.
+        /// Returns the value; `None` if it is not set.
         get: fn(&T) -> Option<String>,
-        /// Checks and keeps the value.
+        /// Parses and stores the value.
         set: SetText<T>,
     },
-    /// A list of whole numbers.
+    /// A list of integers.
     Wholes {
         /// Lowest value allowed.
         min: u64,
         /// Highest value allowed.
         max: u64,
-        /// Reads the values.
+        /// Returns the values.
         get: fn(&T) -> Vec<u64>,
-        /// Keeps the values; an error reads `problem; remedy`.
+        /// Checks and stores the values. An error has the form `problem; remedy`.
         set: fn(&mut T, &[u64]) -> Result<(), String>,
     },
-    /// A list of texts of some form.
+    /// A list of strings of a given form.
     Texts {
-        /// The form of each.
+        /// The form of each string.
         form: &'static str,
-        /// Reads the values.
+        /// Returns the values.
         get: fn(&T) -> Vec<String>,
-        /// Checks one value and adds it.
+        /// Parses one value and adds it.
         push: SetText<T>,
     },
 }
 
 impl<T> Kind<T> {
-    /// The type and range, as a reader would say it.
+    /// Describes the type and the allowed values for help texts and findings.
     pub fn form(&self) -> String {
         match self {
             Self::Whole { min, max, unit, .. } => {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The value kept in `values`, as JSON; `None` where it is not set.
+    /// Returns the field's value in `values` as JSON; `None` if it is not set.
     pub fn show(&self, values: &T) -> Option<String> {
         match self {
             Self::Whole { get, .. } => Some(get(values).to_string()),
@@ -112,25 +112,29 @@
     }
 }
 
-/// Reads `text` into `kept`, for setters of texts: errors of newtypes read
-/// `problem; remedy` already.
+/// Parses `text` into `value`, for use in setters of [`Kind::Text`]. The errors of
+/// the newtypes already have the form `problem; remedy`.
 ///
 /// # Errors
-/// What the type says of a text that is no value.
+/// The error text of the type when `text` is not a valid value.
 pub fn parse_into<V: str::FromStr<Err: fmt::Display>>(
-    kept: &mut V,
+    value: &mut V,
     text: &str,
 ) -> Result<(), String> {
-    *kept = text.parse().map_err(|error: V::Err| error.to_string())?;
+    *value = text.parse().map_err(|error: V::Err| error.to_string())?;
     Ok(())
 }
 
-/// A page that names each field with its type, range, default and meaning.
+/// Returns a help text that lists each field with its type, range, default and
+/// description.
 pub fn help<T>(fields: &[Field<T>], defaults: &T) -> String {
-    fields.iter().map(|field| line(field, defaults)).collect()
+    fields
+        .iter()
+        .map(|field| help_entry(field, defaults))
+        .collect()
 }
 
-fn line<T>(field: &Field<T>, defaults: &T) -> String {
+fn help_entry<T>(field: &Field<T>, defaults: &T) -> String {
     let default = if field.required {
         "required".to_owned()
     } else {
--- a/crates/geraniumgauge/src/jsonc/mod.rs
+++ b/crates/geraniumgauge/src/jsonc/mod.rs
@@ -1,9 +1,8 @@
-//! JSON with comments, read into typed fields by a table.
+//! Parser for JSON with comments that fills typed fields described by a table.
 //!
-//! A table of [`Field`]s is the one place that holds a field's name, range,
-//! unit and meaning; reading, `--check` and the help texts all go by it.
-//! Reading collects findings and never stops at the first, so that an editor
-//! mends a file once.
+//! The table of [`Field`]s is the single source of each field's name, range, unit and
+//! description; parsing, `--check` and the help texts all use it. Parsing doesn't stop
+//! at the first finding, so that all faults of a file can be corrected at once.
 
 mod field;
 mod read;
--- a/crates/geraniumgauge/src/jsonc/read.rs
+++ b/crates/geraniumgauge/src/jsonc/read.rs
@@ -1,4 +1,4 @@
-//! Reads a text by a table of fields.
+//! Reads a text with a table of fields.
 
 use std::collections;
 
@@ -8,27 +8,29 @@
 use crate::finding;
 use crate::jsonc;
 
-/// What was found in a text.
+/// Result of reading a text: its findings and the positions of its fields.
 #[derive(Debug)]
 pub struct Reading {
-    /// Everything wrong, in the order of the text.
+    /// All findings, in the order of the text; missing fields come last.
     pub findings: Vec<finding::Finding>,
     root: finding::Place,
     places: collections::BTreeMap<String, finding::Place>,
 }
 
 impl Reading {
-    /// Where the field at `path` stands; the start of the text where it doesn't.
+    /// Returns the position of the field at `path`, or the start of the text if the
+    /// text doesn't contain the field.
     pub fn place(&self, path: &str) -> finding::Place {
         self.places.get(path).unwrap_or(&self.root).clone()
     }
 
-    /// Whether the text holds the field at `path`.
+    /// Returns whether the text contains the field at `path`.
     pub fn has(&self, path: &str) -> bool {
         self.places.contains_key(path)
     }
 
-    /// Adds a finding at the place of `path`, for rules between fields.
+    /// Adds a finding at the position of `path`. Callers use it for rules that concern
+    /// several fields.
     pub fn add(&mut self, path: &str, problem: impl Into<String>, remedy: impl Into<String>) {
         self.findings.push(finding::Finding {
             place: self.place(path),
@@ -39,7 +41,7 @@
     }
 }
 
-/// Parts `problem; remedy` as the errors of newtypes read.
+/// Splits an error text of the form `problem; remedy`, as newtypes have it.
 pub fn split(message: &str) -> (String, String) {
     let (problem, remedy) = message
         .split_once("; ")
@@ -47,17 +49,17 @@
     (problem.to_owned(), remedy.to_owned())
 }
 
-/// What a key that no field names means.
+/// Handling of keys that are not in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unknown {
-    /// A slip of the pen: a finding.
+    /// Reports a finding, as the key is probably misspelled.
     Finding,
-    /// A field of a later version of the format, which isn't ours to judge.
+    /// Skips the key, which may belong to a later version of the format.
     Ignored,
 }
 
-/// Reads `text` into `values`, which hold the defaults before. `file` names the
-/// text in the findings.
+/// Reads `text` into `values`, which must contain the defaults. `file` is the name of
+/// the text in the findings.
 pub fn read<T>(
     file: &str,
     text: &str,
@@ -67,7 +69,7 @@
     read_with(file, text, fields, values, Unknown::Finding)
 }
 
-/// As [`read`], with a choice of what unknown keys mean.
+/// Like [`read`], with a given handling of unknown keys.
 pub fn read_with<T>(
     file: &str,
     text: &str,
@@ -89,8 +91,8 @@
         reading,
         unknown,
     };
-    reader.text();
-    reader.missing();
+    reader.read_text();
+    reader.report_missing();
     reader.reading
 }
 
@@ -103,8 +105,8 @@
     unknown: Unknown,
 }
 
-/// Comments and trailing commas are allowed; other liberties would let a slip
-/// of the pen pass for a value.
+/// Allows comments and trailing commas. Other extensions of the syntax could let a
+/// typing error pass as a value.
 const OPTIONS: jsonc_parser::ParseOptions = jsonc_parser::ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -119,25 +121,25 @@
 };
 
 impl<T> Reader<'_, T> {
-    fn text(&mut self) {
+    fn read_text(&mut self) {
         let collect = jsonc_parser::CollectOptions::default();
         match jsonc_parser::parse_to_ast(self.text, &collect, &OPTIONS) {
             Err(error) => {
                 let problem = error.kind().to_string();
-                let remedy = "mend the JSON here; what follows was not read";
-                self.find(error.range().start, "", problem, remedy);
+                let remedy = "correct the JSON here; the text after it was not read";
+                self.report(error.range().start, "", problem, remedy);
             }
             Ok(parsed) => match parsed.value {
                 Some(ast::Value::Object(object)) => self.object("", &object),
-                Some(other) => self.wrong(&other, "", "an object in { }"),
-                None => self.find(0, "", "the text is empty", "write an object in { }"),
+                Some(other) => self.report_type(&other, "", "an object in { }"),
+                None => self.report(0, "", "the text is empty", "write an object in { }"),
             },
         }
     }
 
-    /// A text that can't be parsed has its own finding; fields it may hold
-    /// aren't called missing then.
-    fn missing(&mut self) {
+    /// Reports required fields that are missing, unless the text could not be parsed:
+    /// it may contain them.
+    fn report_missing(&mut self) {
         if self
             .reading
             .findings
@@ -149,7 +151,7 @@
         for field in self.fields {
             if field.required && !self.reading.places.contains_key(field.path) {
                 let remedy = format!("add it: {}; {}", field.kind.form(), field.doc);
-                self.find(0, field.path, "missing", remedy);
+                self.report(0, field.path, "missing", remedy);
             }
         }
     }
@@ -162,8 +164,8 @@
             let at = property.range.start;
             if let Some(first) = seen.insert(name.to_owned(), at) {
                 let place = finding::Place::of(self.file, self.text, first);
-                let problem = format!("written twice, first at line {}", place.line);
-                self.find(at, &path, problem, "keep one of them");
+                let problem = format!("duplicate key, first at line {}", place.line);
+                self.report(at, &path, problem, "keep one of them");
                 continue;
             }
             self.property(&path, prefix, at, &property.value);
@@ -181,14 +183,14 @@
         if fields.iter().any(|field| field.path.starts_with(&below)) {
             return match value {
                 ast::Value::Object(object) => self.object(path, object),
-                other => self.wrong(other, path, "an object in { }"),
+                other => self.report_type(other, path, "an object in { }"),
             };
         }
         if self.unknown == Unknown::Ignored {
             return;
         }
-        let remedy = self.nearest(path, prefix);
-        self.find(at, path, "unknown key", remedy);
+        let remedy = self.unknown_key_remedy(path, prefix);
+        self.report(at, path, "unknown key", remedy);
     }
 
     fn field(&mut self, field: &jsonc::Field<T>, value: &ast::Value<'_>) {
@@ -197,55 +199,55 @@
         match (&field.kind, value) {
             (Kind::Whole { min, max, set, .. }, ast::Value::NumberLit(number)) => {
                 match number.value.parse() {
-                    Ok(whole) if (*min..=*max).contains(&whole) => set(self.values, whole),
-                    _ => self.range(value, field.path, number.value, &form),
+                    Ok(integer) if (*min..=*max).contains(&integer) => set(self.values, integer),
+                    _ => self.report_range(value, field.path, number.value, &form),
                 }
             }
             (Kind::Number { min, max, set, .. }, ast::Value::NumberLit(number)) => {
                 match number.value.parse() {
                     Ok(real) if (*min..=*max).contains(&real) => set(self.values, real),
-                    _ => self.range(value, field.path, number.value, &form),
+                    _ => self.report_range(value, field.path, number.value, &form),
                 }
             }
             (Kind::Flag { set, .. }, ast::Value::BooleanLit(flag)) => set(self.values, flag.value),
             (Kind::Text { set, .. }, ast::Value::StringLit(text)) => {
-                let kept = set(self.values, &text.value);
-                self.kept(value, field.path, kept);
+                let result = set(self.values, &text.value);
+                self.report_error(value, field.path, result);
             }
             (Kind::Wholes { min, max, set, .. }, ast::Value::Array(list)) => {
-                if let Some(wholes) = self.wholes(field.path, &form, (*min, *max), list) {
-                    let kept = set(self.values, &wholes);
-                    self.kept(value, field.path, kept);
+                if let Some(integers) = self.integers(field.path, &form, (*min, *max), list) {
+                    let result = set(self.values, &integers);
+                    self.report_error(value, field.path, result);
                 }
             }
             (Kind::Texts { push, form, .. }, ast::Value::Array(list)) => {
                 self.list(field.path, form, *push, list);
             }
-            _ => self.wrong(value, field.path, &form),
+            _ => self.report_type(value, field.path, &form),
         }
     }
 
-    /// The numbers of a list; `None` where one of them is a finding.
-    fn wholes(
+    /// Returns the numbers of a list; `None` if one of them caused a finding.
+    fn integers(
         &mut self,
         path: &str,
         form: &str,
         (min, max): (u64, u64),
         list: &ast::Array<'_>,
     ) -> Option<Vec<u64>> {
-        let mut wholes = Vec::new();
+        let mut integers = Vec::new();
         for (index, element) in list.elements.iter().enumerate() {
             let path = format!("{path}[{index}]");
             let ast::Value::NumberLit(number) = element else {
-                self.wrong(element, &path, form);
+                self.report_type(element, &path, form);
                 continue;
             };
             match number.value.parse() {
-                Ok(whole) if (min..=max).contains(&whole) => wholes.push(whole),
-                _ => self.range(element, &path, number.value, form),
+                Ok(integer) if (min..=max).contains(&integer) => integers.push(integer),
+                _ => self.report_range(element, &path, number.value, form),
             }
         }
-        (wholes.len() == list.elements.len()).then_some(wholes)
+        (integers.len() == list.elements.len()).then_some(integers)
     }
 
     fn list(
@@ -258,40 +260,40 @@
         for (index, element) in list.elements.iter().enumerate() {
             let path = format!("{path}[{index}]");
             let ast::Value::StringLit(text) = element else {
-                self.wrong(element, &path, form);
+                self.report_type(element, &path, form);
                 continue;
             };
-            let kept = push(self.values, &text.value);
-            self.kept(element, &path, kept);
+            let result = push(self.values, &text.value);
+            self.report_error(element, &path, result);
         }
     }
 
-    fn kept(&mut self, value: &ast::Value<'_>, path: &str, kept: Result<(), String>) {
-        if let Err(message) = kept {
+    fn report_error(&mut self, value: &ast::Value<'_>, path: &str, result: Result<(), String>) {
+        if let Err(message) = result {
             let (problem, remedy) = split(&message);
-            self.find(value.start(), path, problem, remedy);
+            self.report(value.start(), path, problem, remedy);
         }
     }
 
-    fn range(&mut self, value: &ast::Value<'_>, path: &str, text: &str, form: &str) {
+    fn report_range(&mut self, value: &ast::Value<'_>, path: &str, text: &str, form: &str) {
         let problem = format!("{text} is out of range");
-        self.find(value.start(), path, problem, format!("give {form}"));
+        self.report(value.start(), path, problem, format!("give {form}"));
     }
 
-    fn wrong(&mut self, value: &ast::Value<'_>, path: &str, form: &str) {
+    fn report_type(&mut self, value: &ast::Value<'_>, path: &str, form: &str) {
         let found = match value {
-            ast::Value::StringLit(_) => "a text",
+            ast::Value::StringLit(_) => "a string",
             ast::Value::NumberLit(_) => "a number",
             ast::Value::BooleanLit(_) => "true or false",
             ast::Value::Object(_) => "an object",
             ast::Value::Array(_) => "a list",
             ast::Value::NullKeyword(_) => "null",
         };
-        let problem = format!("{found} stands here");
-        self.find(value.start(), path, problem, format!("give {form}"));
+        let problem = format!("found {found}");
+        self.report(value.start(), path, problem, format!("give {form}"));
     }
 
-    fn find(
+    fn report(
         &mut self,
         at: usize,
         path: &str,
@@ -306,20 +308,20 @@
         });
     }
 
-    fn nearest(&self, path: &str, prefix: &str) -> String {
+    fn unknown_key_remedy(&self, path: &str, prefix: &str) -> String {
         let siblings: collections::BTreeSet<_> = self
             .fields
             .iter()
             .filter_map(|field| sibling(field.path, prefix))
             .collect();
-        let close = siblings.iter().map(|known| (distance(path, known), known));
-        match close.min() {
+        let candidates = siblings.iter().map(|known| (distance(path, known), known));
+        match candidates.min() {
             Some((edits, known)) if edits <= 1 + path.len() / 4 => {
                 format!("did you mean {known:?}? Otherwise remove it")
             }
             _ => {
                 let names: Vec<_> = siblings.iter().map(String::as_str).collect();
-                format!("remove it; known here: {}", names.join(", "))
+                format!("remove it; known keys here: {}", names.join(", "))
             }
         }
     }
@@ -333,7 +335,8 @@
     }
 }
 
-/// The part of `path` that stands directly below `prefix`.
+/// Returns `prefix` and the next key of `path` after it; `None` if `path` doesn't
+/// start with `prefix`.
 fn sibling(path: &str, prefix: &str) -> Option<String> {
     let rest = if prefix.is_empty() {
         path
@@ -344,7 +347,7 @@
     Some(join(prefix, name))
 }
 
-/// Levenshtein distance, in characters.
+/// Returns the Levenshtein distance in characters.
 fn distance(a: &str, b: &str) -> usize {
     let b: Vec<_> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/geraniumgauge/src/jsonc/tests.rs
+++ b/crates/geraniumgauge/src/jsonc/tests.rs
@@ -90,11 +90,10 @@
     assert_eq!(reading.place("share").line, 2);
 }
 
-/// Story: an operator mends the one finding shown, applies again, and is shown
-/// the next, five times over. All findings must come at once, each with its
-/// place and what to do.
+/// All findings must be reported in one run, each with its position and a remedy.
+/// Otherwise an operator with five faults would correct one and apply five times.
 #[test]
-fn every_finding_is_reported_at_once_with_its_place() {
+fn every_finding_is_reported_at_once_with_its_position() {
     let text = "{\"name\": \"a b\",\n\"stop\": {\"wiat_ms\": 5},\n\"share\": 2,\n\"on\": \"yes\",\n\"seeds\": [1], \"on\": true}";
     assert_eq!(
         findings(text),
@@ -102,15 +101,15 @@
             "a.jsonc:1:10: name: it holds a space; remove it",
             "a.jsonc:2:10: stop.wiat_ms: unknown key; did you mean \"stop.wait_ms\"? Otherwise remove it",
             "a.jsonc:3:10: share: 2 is out of range; give a number from 0 to 1",
-            "a.jsonc:4:7: on: a text stands here; give true or false",
-            "a.jsonc:5:11: seeds[0]: a number stands here; give a seed",
-            "a.jsonc:5:15: on: written twice, first at line 4; keep one of them",
+            "a.jsonc:4:7: on: found a string; give true or false",
+            "a.jsonc:5:11: seeds[0]: found a number; give a seed",
+            "a.jsonc:5:15: on: duplicate key, first at line 4; keep one of them",
         ]
     );
 }
 
 #[test]
-fn broken_json_is_one_finding_and_nothing_is_called_missing() {
+fn invalid_json_is_one_finding_and_no_field_is_reported_missing() {
     let found = findings("{\"name\": \"x\",\n \"share\" 0.5}");
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].starts_with("a.jsonc:2:"), "{found:?}");
