--- a/crates/geraniumgauge/src/logs/bounded.rs
+++ b/crates/geraniumgauge/src/logs/bounded.rs
@@ -1,22 +1,25 @@
-//! Writes log lines without ever holding up the thread that logs.
+//! Log writer that never blocks the thread that logs.
 
 use std::io;
 use std::sync;
 use std::thread;
 use std::time;
 
-/// Bytes that wait for the writer at most. A reader of our output that stops
-/// reading would otherwise fill the memory.
-const MAX_WAITING: usize = 256 * 1024;
-/// Lines a second at most; a storm of failures would otherwise cost the time
-/// that is needed to get out of it. Several times what a busy VM writes.
-const MAX_LINES: u32 = 400;
-/// How long lines gather before they are written together: one wake-up of the
-/// writer for all of them.
-const GATHER: time::Duration = time::Duration::from_millis(200);
+/// Largest number of bytes queued for the writer. Without the limit, a stalled reader
+/// of the output would let the queue fill the memory.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// Largest number of lines per second, several times what a busy VM writes. Without
+/// the limit, logging many failures would take the processor time that is needed to
+/// recover from them.
+const MAX_LINES_PER_SECOND: u32 = 400;
+/// Delay between the first queued line and the write, so that the writer wakes up
+/// once for many lines.
+const WRITE_DELAY: time::Duration = time::Duration::from_millis(200);
+/// Interval at which [`Bounded::flush`] checks the queue.
+const FLUSH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// A sink of lines with bounds on size and rate. What doesn't fit is dropped,
-/// counted, and said in a line of its own.
+/// Log sink with limits on queue size and rate. Lines over the limits are dropped and
+/// counted; a separate log line reports their number.
 #[derive(Debug, Clone)]
 pub struct Bounded {
     shared: sync::Arc<Shared>,
@@ -32,16 +35,16 @@
 struct Queue {
     text: Vec<u8>,
     dropped: u64,
-    second: Option<time::Instant>,
-    lines: u32,
+    second_start: Option<time::Instant>,
+    lines_in_second: u32,
     writing: bool,
 }
 
 impl Bounded {
-    /// A sink that writes to `output` from a thread of its own.
+    /// Returns a sink that writes to `output` from its own thread.
     ///
     /// # Errors
-    /// Where the thread can't be started.
+    /// When the thread can't be started.
     pub fn start(output: impl io::Write + Send + 'static) -> io::Result<Self> {
         let shared = sync::Arc::new(Shared::default());
         let sink = Self {
@@ -52,7 +55,8 @@
         Ok(sink)
     }
 
-    /// Takes one line, without its end; drops it where there is no room.
+    /// Queues one line, given without its line break, or drops it if a limit is
+    /// reached.
     pub fn push(&self, line: &str, now: time::Instant) {
         let mut queue = lock(&self.shared.queue);
         if !queue.admits(line.len(), now) {
@@ -65,31 +69,32 @@
         self.shared.filled.notify_one();
     }
 
-    /// Waits until everything was written, for `wait` at most.
-    pub fn flush(&self, wait: time::Duration) {
-        let until = time::Instant::now() + wait;
-        while time::Instant::now() < until {
+    /// Waits until all queued lines are written, but no longer than `timeout`.
+    pub fn flush(&self, timeout: time::Duration) {
+        let deadline = time::Instant::now() + timeout;
+        while time::Instant::now() < deadline {
             let queue = lock(&self.shared.queue);
             if queue.text.is_empty() && !queue.writing {
                 return;
             }
             drop(queue);
-            thread::sleep(time::Duration::from_millis(5));
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
 
 impl Queue {
     fn admits(&mut self, len: usize, now: time::Instant) -> bool {
-        let second = *self.second.get_or_insert(now);
-        if now.saturating_duration_since(second) >= time::Duration::from_secs(1) {
-            self.second = Some(now);
-            self.lines = 0;
+        let start = *self.second_start.get_or_insert(now);
+        if now.saturating_duration_since(start) >= time::Duration::from_secs(1) {
+            self.second_start = Some(now);
+            self.lines_in_second = 0;
         }
-        if self.lines >= MAX_LINES || self.text.len() + len >= MAX_WAITING {
+        if self.lines_in_second >= MAX_LINES_PER_SECOND || self.text.len() + len >= MAX_QUEUED_BYTES
+        {
             return false;
         }
-        self.lines += 1;
+        self.lines_in_second += 1;
         true
     }
 
@@ -121,9 +126,9 @@
                 .unwrap_or_else(sync::PoisonError::into_inner);
         }
         drop(queue);
-        thread::sleep(GATHER);
+        thread::sleep(WRITE_DELAY);
         let text = lock(&shared.queue).take();
-        // There is nowhere left to report a failing output to.
+        // A failure of the log output can't be reported anywhere.
         let _ = output.write_all(&text);
         let _ = output.flush();
     }
--- a/crates/geraniumgauge/src/logs/mod.rs
+++ b/crates/geraniumgauge/src/logs/mod.rs
@@ -1,10 +1,10 @@
 //! Logs as JSON lines.
 //!
-//! One line a record: `time` (RFC 3339, UTC, milliseconds), `level`, `vm`,
-//! `target`, `message`, and the record's key-values beside them. A request's id
-//! goes in by log's key-value syntax, under the key `request`:
-//! `log::warn!(request = id.as_str(); "shard call lost")`. A key-value with
-//! the name of a fixed field is written as `kv.{name}`.
+//! Each record is one line with the fields `time` (RFC 3339, UTC, milliseconds),
+//! `level`, `vm`, `target` and `message`, and one field for each of the record's
+//! key-values. The id of a request is the key-value `request`, as in
+//! `log::warn!(request = id.as_str(); "shard call lost")`. A key-value with the name
+//! of a fixed field is written as `kv.{name}`.
 
 mod bounded;
 
@@ -26,12 +26,13 @@
     rest: collections::BTreeMap<String, String>,
 }
 
-const FIXED: [&str; 5] = ["time", "level", "vm", "target", "message"];
+/// Names of the fields that every line has.
+const FIXED_FIELDS: [&str; 5] = ["time", "level", "vm", "target", "message"];
 
-/// The line of `record`, whose text is `message`, as VM `vm` writes it.
+/// Returns the log line of VM `vm` for `record`, whose formatted text is `message`.
 pub fn format(vm: &str, now: time::SystemTime, message: &str, record: &log::Record<'_>) -> String {
     let mut pairs = Pairs::default();
-    // Visiting a record's own pairs can't fail; `Pairs` returns no error.
+    // The visit can't fail, since `Pairs` returns no error.
     let _ = record.key_values().visit(&mut pairs);
     let line = Line {
         time: humantime::format_rfc3339_millis(now).to_string(),
@@ -49,8 +50,8 @@
 
 impl<'kvs> kv::VisitSource<'kvs> for Pairs {
     fn visit_pair(&mut self, key: kv::Key<'kvs>, value: kv::Value<'kvs>) -> Result<(), kv::Error> {
-        let taken = FIXED.contains(&key.as_str());
-        let key = if taken {
+        let is_fixed = FIXED_FIELDS.contains(&key.as_str());
+        let key = if is_fixed {
             format!("kv.{key}")
         } else {
             key.to_string()
--- a/crates/geraniumgauge/src/logs/tests.rs
+++ b/crates/geraniumgauge/src/logs/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_line_is_json_with_the_request_beside_the_message() {
+fn a_line_is_json_with_the_message_and_the_request() {
     let pairs = [("request", "r-1"), ("level", "mine")];
     let arguments = format_args!("lost \"a\"\nshard");
     let record = log::Record::builder()
@@ -21,16 +21,16 @@
     assert_eq!(json["message"], "lost \"a\"\nshard");
 }
 
-/// An output that takes nothing until it is told to.
-struct Stuck(
-    std::sync::mpsc::Receiver<()>,
-    std::sync::mpsc::Sender<Vec<u8>>,
-);
+/// An output that blocks each write until it is allowed to proceed.
+struct Stalled {
+    allowed: std::sync::mpsc::Receiver<()>,
+    written: std::sync::mpsc::Sender<Vec<u8>>,
+}
 
-impl std::io::Write for Stuck {
+impl std::io::Write for Stalled {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.0.recv().unwrap();
-        self.1.send(bytes.to_vec()).unwrap();
+        self.allowed.recv().unwrap();
+        self.written.send(bytes.to_vec()).unwrap();
         Ok(bytes.len())
     }
 
@@ -39,23 +39,27 @@
     }
 }
 
-/// Story: whoever collects the logs stops reading. Requests must go on as if
-/// nothing were, the memory must not fill, and the gap must be seen later.
+/// The reader of the logs stops reading. Logging must not block, the queue must not
+/// fill the memory, and the log must report the dropped lines later.
 #[test]
-fn a_stuck_output_holds_nobody_up_and_drops_are_said() {
-    let (go, gate) = std::sync::mpsc::channel();
-    let (seen, written) = std::sync::mpsc::channel();
-    let sink = Bounded::start(Stuck(gate, seen)).unwrap();
+fn a_stalled_output_blocks_no_logging_and_dropped_lines_are_reported() {
+    let (allow, allowed) = std::sync::mpsc::channel();
+    let (write, written) = std::sync::mpsc::channel();
+    let output = Stalled {
+        allowed,
+        written: write,
+    };
+    let sink = Bounded::start(output).unwrap();
     let start = time::Instant::now();
     for second in 0..10 {
         for _ in 0..400 {
             sink.push(&"x".repeat(1000), start + time::Duration::from_secs(second));
         }
     }
-    go.send(()).unwrap();
+    allow.send(()).unwrap();
     let first = written.recv().unwrap();
     sink.push("one more", start + time::Duration::from_secs(20));
-    go.send(()).unwrap();
+    allow.send(()).unwrap();
     let second = written.recv().unwrap();
     assert!(first.len() + second.len() < 1 << 20);
     let text = String::from_utf8([first, second].concat()).unwrap();
