--- a/crates/geraniumgauge/src/finding.rs
+++ b/crates/geraniumgauge/src/finding.rs
@@ -1,16 +1,16 @@
-//! Findings: everything wrong with a text, each with its place and a remedy.
+//! Findings: the errors of a text, each with its position and a remedy.
 //!
-//! Checks collect findings instead of stopping at the first, so that an editor
-//! mends a file once.
+//! Checks don't stop at the first finding, so that all errors of a file can be
+//! corrected at once.
 
 use std::fmt;
 
-/// Where in a text something stands; line and column count from 1.
+/// Position in a text.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[display("{file}:{line}:{column}")]
 pub struct Place {
-    /// The file's name as it was given, or the store key.
+    /// Name of the file as it was given, or the store key.
     pub file: String,
     /// Line, from 1.
     pub line: u32,
@@ -19,7 +19,7 @@
 }
 
 impl Place {
-    /// The place of byte `offset` in `text`.
+    /// Returns the position of byte `offset` in `text`.
     pub fn of(file: &str, text: &str, offset: usize) -> Self {
         let offset = text.floor_char_boundary(offset);
         let before = &text[..offset];
@@ -35,17 +35,18 @@
     }
 }
 
-/// One thing wrong, and what to do.
+/// One error in a text and its remedy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Finding {
-    /// Where it stands.
+    /// Position of the error.
     pub place: Place,
-    /// The path of keys to the value, such as `budgets.hedge`; empty for the whole text.
+    /// Keys from the root to the value, joined by dots, such as `budgets.hedge`; empty if
+    /// the finding concerns the whole text.
     pub path: String,
-    /// What is wrong.
+    /// Description of the error.
     pub problem: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
--- a/crates/geraniumgauge/src/layout.rs
+++ b/crates/geraniumgauge/src/layout.rs
@@ -1,7 +1,7 @@
-//! A service's layout: its shards, and the upstreams that hold their replicas.
+//! Layout of a service: its shards and the upstreams that hold their replicas.
 //!
-//! Stored as `layouts/{service}` by the service's team. A repartition is a new
-//! layout with a higher version; queries under way keep the one they pinned.
+//! The service's team stores it as `layouts/{service}`. A repartition is a new layout
+//! with a higher version; running queries keep the one that they pinned.
 
 use std::collections;
 use std::net;
@@ -9,7 +9,7 @@
 
 use crate::ids;
 
-/// Store key of a service's layout.
+/// Returns the store key of a service's layout.
 pub fn key(service: &ids::Service) -> String {
     format!("layouts/{service}")
 }
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Layout {
-    /// Grows with each repartition or move of a replica.
+    /// Increases with each repartition or move of a replica.
     pub version: ids::LayoutVersion,
     /// The upstreams, each named once.
     pub upstreams: Vec<Upstream>,
@@ -26,90 +26,92 @@
     pub shards: Vec<Shard>,
 }
 
-/// An upstream server and its means.
+/// An upstream server and its capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Upstream {
-    /// Its name, unique over all services.
+    /// Name, unique among all services.
     pub id: ids::Upstream,
-    /// Where it listens for HTTP, by IP number.
+    /// IP address and port on which it listens for HTTP.
     pub address: net::SocketAddr,
     /// The data centre it runs in.
     pub data_centre: ids::DataCentre,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Connections it accepts at once, from all VMs together.
+    /// Number of concurrent connections that it accepts from all VMs together.
     pub connections: u32,
-    /// What a new connection costs, in milliseconds.
+    /// Time to open a new connection, in milliseconds.
     pub connect_ms: u32,
 }
 
-/// One shard and where its replicas are.
+/// One shard and the upstreams that hold its replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Shard {
-    /// Its name, unique within the layout.
+    /// Name, unique within the layout.
     pub id: ids::Shard,
-    /// The upstreams that hold a replica of it.
+    /// Upstreams that hold a replica of the shard.
     pub replicas: Vec<ids::Upstream>,
 }
 
-/// Why a layout can't be used.
+/// Error that makes a layout unusable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Error {
     /// A shard names an upstream that the layout doesn't list.
     #[display("shard {shard} names upstream {upstream}, which \"upstreams\" doesn't list")]
-    Unknown {
+    UnknownUpstream {
         /// The shard.
         shard: ids::Shard,
-        /// The name without an entry.
+        /// The name that is not listed.
         upstream: ids::Upstream,
     },
-    /// A shard without a replica.
+    /// A shard has no replica.
     #[display("shard {shard} has no replica; list at least one upstream")]
-    Bare {
+    NoReplica {
         /// The shard.
         shard: ids::Shard,
     },
-    /// A name that stands twice.
+    /// A shard or an upstream is listed twice.
     #[display("{name} is listed twice; list it once")]
-    Twice {
+    Duplicate {
         /// The shard or upstream.
         name: String,
     },
-    /// An upstream without slots or connections.
+    /// An upstream has no slots or no connections.
     #[display("upstream {upstream} has no slots or no connections; give 1 or more of each")]
-    Useless {
+    NoCapacity {
         /// The upstream.
         upstream: ids::Upstream,
     },
 }
 
 impl Error {
-    /// The shard or upstream that is wrong.
+    /// Returns the name of the faulty shard or upstream.
     pub fn name(&self) -> &str {
         match self {
-            Self::Unknown { upstream, .. } | Self::Useless { upstream } => upstream.as_str(),
-            Self::Bare { shard } => shard.as_str(),
-            Self::Twice { name } => name,
+            Self::UnknownUpstream { upstream, .. } | Self::NoCapacity { upstream } => {
+                upstream.as_str()
+            }
+            Self::NoReplica { shard } => shard.as_str(),
+            Self::Duplicate { name } => name,
         }
     }
 }
 
 impl Layout {
-    /// Everything wrong with the layout; empty where it can be used.
+    /// Returns all errors of the layout; empty if it is valid.
     pub fn check(&self) -> Vec<Error> {
         let mut errors = Vec::new();
         let mut known = collections::BTreeSet::new();
         for upstream in &self.upstreams {
             if !known.insert(&upstream.id) {
-                errors.push(Error::Twice {
+                errors.push(Error::Duplicate {
                     name: upstream.id.to_string(),
                 });
             }
             if upstream.slots == 0 || upstream.connections == 0 {
-                errors.push(Error::Useless {
+                errors.push(Error::NoCapacity {
                     upstream: upstream.id.clone(),
                 });
             }
@@ -117,17 +119,17 @@
         let mut shards = collections::BTreeSet::new();
         for shard in &self.shards {
             if !shards.insert(&shard.id) {
-                errors.push(Error::Twice {
+                errors.push(Error::Duplicate {
                     name: shard.id.to_string(),
                 });
             }
             if shard.replicas.is_empty() {
-                errors.push(Error::Bare {
+                errors.push(Error::NoReplica {
                     shard: shard.id.clone(),
                 });
             }
             let unknown = shard.replicas.iter().filter(|id| !known.contains(id));
-            errors.extend(unknown.map(|id| Error::Unknown {
+            errors.extend(unknown.map(|id| Error::UnknownUpstream {
                 shard: shard.id.clone(),
                 upstream: id.clone(),
             }));
@@ -135,12 +137,12 @@
         errors
     }
 
-    /// The upstream named `id`.
+    /// Returns the upstream with the name `id`.
     pub fn upstream(&self, id: &ids::Upstream) -> Option<&Upstream> {
         self.upstreams.iter().find(|upstream| upstream.id == *id)
     }
 
-    /// The shard named `id`.
+    /// Returns the shard with the name `id`.
     pub fn shard(&self, id: &ids::Shard) -> Option<&Shard> {
         self.shards.iter().find(|shard| shard.id == *id)
     }
--- a/crates/geraniumgauge/src/metrics.rs
+++ b/crates/geraniumgauge/src/metrics.rs
@@ -1,14 +1,14 @@
-//! Metrics of one VM: an OpenTelemetry meter whose figures `/metrics` shows.
+//! Metrics of a VM: an OpenTelemetry meter whose values `/metrics` exports.
 //!
-//! Labels must come from small fixed sets (service, reason, kind), never from
-//! requests, keys or fingerprints: each label value costs memory for ever.
+//! Label values must come from small fixed sets (service, reason, kind), never from
+//! requests, keys or fingerprints: each one occupies memory until the VM stops.
 
 use opentelemetry::metrics;
 use opentelemetry::metrics::MeterProvider as _;
 use opentelemetry_sdk::metrics as sdk;
 use prometheus::Encoder as _;
 
-/// Why metrics can't be set up or shown.
+/// Failure to set up or export metrics.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("metrics: {reason}")]
@@ -16,8 +16,7 @@
     reason: String,
 }
 
-/// One VM's meter and the registry behind `/metrics`. Several VMs in one
-/// process each have their own.
+/// Meter of a VM and the registry behind `/metrics`. Each VM in a process has its own.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: prometheus::Registry,
@@ -25,10 +24,10 @@
 }
 
 impl Metrics {
-    /// An empty registry with its meter.
+    /// Returns an empty registry with its meter.
     ///
     /// # Errors
-    /// Where the exporter can't be set up.
+    /// When the exporter can't be set up.
     pub fn new() -> Result<Self, Error> {
         let registry = prometheus::Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone());
@@ -39,15 +38,15 @@
         Ok(Self { registry, provider })
     }
 
-    /// The meter from which each duty makes its own instruments.
+    /// Returns the meter from which each component creates its instruments.
     pub fn meter(&self) -> metrics::Meter {
         self.provider.meter("geraniumgauge")
     }
 
-    /// The figures in the Prometheus text format.
+    /// Returns the metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// Where the figures can't be encoded.
+    /// When the metrics can't be encoded.
     pub fn text(&self) -> Result<String, Error> {
         let mut text = Vec::new();
         let encoded = prometheus::TextEncoder::new().encode(&self.registry.gather(), &mut text);
