--- a/crates/geraniumgauge/src/finding.rs
+++ b/crates/geraniumgauge/src/finding.rs
@@ -5,7 +5,7 @@
 
 use std::fmt;
 
-/// Position in a text.
+/// Position in a text. Lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(serde::Serialize, serde::Deserialize, derive_more::Display)]
 #[display("{file}:{line}:{column}")]
