--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -26,7 +26,9 @@
 const OWN_SHARE: f64 = 0.5;
 
 /// Shares of the fleet's allowance that a VM spends.
-#[derive(Debug, Clone, Copy, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
+#[derive(derive_more::Debug)]
+#[debug("Parts {{ own: {own:?}, lent: {lent:?}, may_ask: {may_ask:?} }}")]
 pub struct Shares {
     /// Share for this VM's own calls.
     own: budget::Share,
--- a/crates/geraniumgauge/src/forward/budget.rs
+++ b/crates/geraniumgauge/src/forward/budget.rs
@@ -17,7 +17,9 @@
 const USABLE_SHARE: f64 = 0.97;
 
 /// Share of the fleet's allowance that one budget may spend.
-#[derive(Debug, Clone, Copy, PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
+#[derive(derive_more::Debug)]
+#[debug("Part {{ fixed: {fixed:?}, share: {share:?} }}")]
 pub struct Share {
     /// Share of the calls that are allowed at any load.
     pub fixed: f64,
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -71,8 +71,7 @@
         }
     }
 
-    /// A small VM receives a request. `relay` makes its first call, if it is
-    /// told.
+    /// A small VM receives a request. `relay`, if given, makes its first call.
     fn request(&mut self, vm: usize, relay: Option<usize>) {
         let policy = policy();
         let now = self.now;
@@ -242,3 +241,40 @@
         !fleet.overspent()
     }
 }
+
+/// Readers of the logs know shares under the type names `Parts` and `Part`.
+#[test]
+fn shares_are_logged_under_their_former_names() {
+    #[derive(Debug)]
+    struct Part {
+        #[expect(dead_code, reason = "only printed")]
+        fixed: f64,
+        #[expect(dead_code, reason = "only printed")]
+        share: f64,
+    }
+    #[derive(Debug)]
+    struct Parts {
+        #[expect(dead_code, reason = "only printed")]
+        own: Part,
+        #[expect(dead_code, reason = "only printed")]
+        lent: Option<Part>,
+        #[expect(dead_code, reason = "only printed")]
+        may_ask: bool,
+    }
+    let part = |fixed, share| Part { fixed, share };
+    let cases = [
+        (forward::Rank::Equal, part(0.5, 1.0), None, false),
+        (
+            forward::Rank::Large,
+            part(0.25, 0.5),
+            Some(part(0.5, 0.5)),
+            false,
+        ),
+        (forward::Rank::Small, part(0.25, 0.5), None, true),
+    ];
+    for (rank, own, lent, may_ask) in cases {
+        let shares = forward::Shares::new(rank, 2, 1);
+        let expected = Parts { own, lent, may_ask };
+        assert_eq!(format!("{shares:?}"), format!("{expected:?}"));
+    }
+}
