--- a/crates/geraniumgauge/src/edge/frame.rs
+++ b/crates/geraniumgauge/src/edge/frame.rs
@@ -145,7 +145,7 @@
     }
 }
 
-/// Tells a relay that the results of calls are no longer wanted.
+/// Notifies a relay that the results of calls are no longer wanted.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(super) struct Abandon {
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -193,7 +193,7 @@
         Vec::new()
     }
 
-    /// Removes calls and tells their relays that they are abandoned.
+    /// Removes calls and notifies their relays that they are abandoned.
     pub(super) fn abandon_relayed(&mut self, calls: &[ids::Attempt], now: clock::Moment) {
         let mut by_relay: collections::BTreeMap<net::SocketAddr, Vec<u64>> = Default::default();
         for id in calls {
--- a/crates/geraniumgauge/src/edge/state/report.rs
+++ b/crates/geraniumgauge/src/edge/state/report.rs
@@ -84,7 +84,7 @@
         self.instruments.frame_late(late);
     }
 
-    /// Tells the job that the relay has no reply to these calls yet.
+    /// Notifies the job that the relay has no reply to these calls yet.
     fn calls_still_pending(&mut self, calls: &[ids::Attempt], now: clock::Moment) {
         let owner = calls.iter().find_map(|id| match self.calls.get(id)?.owner {
             call::Owner::Job { job, .. } => Some(job),
