--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -121,7 +121,7 @@
         path: "stop.balancer_wait_ms",
         required: false,
         doc: "How long requests are still taken after readiness is turned off, for the balancer to notice.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 0,
             max: 60_000,
             unit: "ms",
@@ -133,7 +133,7 @@
         path: "stop.grace_ms",
         required: false,
         doc: "How long requests under way may still take after that; above the longest deadline.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 100,
             max: 600_000,
             unit: "ms",
@@ -145,7 +145,7 @@
         path: "limits.body_bytes",
         required: false,
         doc: "Largest body of a request.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1 << 10,
             max: 16 << 20,
             unit: "bytes",
@@ -157,7 +157,7 @@
         path: "limits.query_bytes",
         required: false,
         doc: "Largest query within the body of a search.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 256,
             max: 16 << 20,
             unit: "bytes",
@@ -169,7 +169,7 @@
         path: "limits.header_bytes",
         required: false,
         doc: "Largest set of headers of a request.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1 << 10,
             max: 1 << 20,
             unit: "bytes",
@@ -181,7 +181,7 @@
         path: "limits.frame_bytes",
         required: false,
         doc: "Largest frame between VMs; a body must fit in it.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 128 << 10,
             max: 64 << 20,
             unit: "bytes",
@@ -193,7 +193,7 @@
         path: "limits.requests",
         required: false,
         doc: "Requests that run at once, of all services together; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "requests",
--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -118,7 +118,7 @@
         path: "deadline_ms",
         required: false,
         doc: "Deadline of a request that names none.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -130,7 +130,7 @@
         path: "max_deadline_ms",
         required: false,
         doc: "Longest deadline a caller may ask for.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -142,7 +142,7 @@
         path: "latency_target_ms",
         required: false,
         doc: "When the latency objective answers with what it has.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -198,7 +198,7 @@
         path: "limits.searches",
         required: false,
         doc: "Searches that run at once at one VM; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "searches",
@@ -210,7 +210,7 @@
         path: "limits.registrations",
         required: false,
         doc: "Registrations that run at once at one VM; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "registrations",
@@ -222,7 +222,7 @@
         path: "limits.canary_width",
         required: false,
         doc: "Fan-outs of at least this many shards start with one shard alone, so that a query that crashes upstreams takes down one and not all.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 2,
             max: 100_000,
             unit: "shards",
@@ -278,7 +278,7 @@
         path: "ledger_window_s",
         required: false,
         doc: "How long a registration's claim and outcome are kept, and so how long a repeat is recognised.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 60,
             max: 7 * 24 * 3600,
             unit: "s",
--- a/crates/geraniumgauge/src/jsonc/field.rs
+++ b/crates/geraniumgauge/src/jsonc/field.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub enum Kind<T> {
     /// An integer.
-    Whole {
+    Integer {
         /// Lowest value allowed.
         min: u64,
         /// Highest value allowed.
@@ -63,7 +63,7 @@
         set: SetText<T>,
     },
     /// A list of integers.
-    Wholes {
+    Integers {
         /// Lowest value allowed.
         min: u64,
         /// Highest value allowed.
@@ -88,13 +88,15 @@
     /// Describes the type and the allowed values for help texts and findings.
     pub fn form(&self) -> String {
         match self {
-            Self::Whole { min, max, unit, .. } => {
+            Self::Integer { min, max, unit, .. } => {
                 format!("a whole number from {min} to {max} {unit}")
             }
             Self::Number { min, max, .. } => format!("a number from {min} to {max}"),
             Self::Flag { .. } => "true or false".to_owned(),
             Self::Text { form, .. } => (*form).to_owned(),
-            Self::Wholes { min, max, .. } => format!("a list of whole numbers from {min} to {max}"),
+            Self::Integers { min, max, .. } => {
+                format!("a list of whole numbers from {min} to {max}")
+            }
             Self::Texts { form, .. } => format!("a list, each {form}"),
         }
     }
@@ -102,11 +104,11 @@
     /// Returns the field's value in `values` as JSON; `None` if it is not set.
     pub fn show(&self, values: &T) -> Option<String> {
         match self {
-            Self::Whole { get, .. } => Some(get(values).to_string()),
+            Self::Integer { get, .. } => Some(get(values).to_string()),
             Self::Number { get, .. } => Some(get(values).to_string()),
             Self::Flag { get, .. } => Some(get(values).to_string()),
             Self::Text { get, .. } => get(values).map(|text| format!("{text:?}")),
-            Self::Wholes { get, .. } => Some(format!("{:?}", get(values))),
+            Self::Integers { get, .. } => Some(format!("{:?}", get(values))),
             Self::Texts { get, .. } => Some(format!("{:?}", get(values))),
         }
     }
--- a/crates/geraniumgauge/src/jsonc/read.rs
+++ b/crates/geraniumgauge/src/jsonc/read.rs
@@ -197,7 +197,7 @@
         use jsonc::Kind;
         let form = field.kind.form();
         match (&field.kind, value) {
-            (Kind::Whole { min, max, set, .. }, ast::Value::NumberLit(number)) => {
+            (Kind::Integer { min, max, set, .. }, ast::Value::NumberLit(number)) => {
                 match number.value.parse() {
                     Ok(integer) if (*min..=*max).contains(&integer) => set(self.values, integer),
                     _ => self.report_range(value, field.path, number.value, &form),
@@ -214,7 +214,7 @@
                 let result = set(self.values, &text.value);
                 self.report_error(value, field.path, result);
             }
-            (Kind::Wholes { min, max, set, .. }, ast::Value::Array(list)) => {
+            (Kind::Integers { min, max, set, .. }, ast::Value::Array(list)) => {
                 if let Some(integers) = self.integers(field.path, &form, (*min, *max), list) {
                     let result = set(self.values, &integers);
                     self.report_error(value, field.path, result);
--- a/crates/geraniumgauge/src/jsonc/tests.rs
+++ b/crates/geraniumgauge/src/jsonc/tests.rs
@@ -30,7 +30,7 @@
         path: "stop.wait_ms",
         required: false,
         doc: "A wait.",
-        kind: Kind::Whole {
+        kind: Kind::Integer {
             min: 1,
             max: 100,
             unit: "ms",
