--- a/crates/geraniumgauge/src/vm/config.rs
+++ b/crates/geraniumgauge/src/vm/config.rs
@@ -58,8 +58,8 @@
             policy: query::Policy::Full,
             limits: http::Limits::default(),
             frame: DEFAULT_FRAME,
-            balancer_wait: vm::BALANCER_WAIT,
-            grace: vm::GRACE,
+            balancer_wait: vm::DEFAULT_BALANCER_WAIT,
+            grace: vm::DEFAULT_GRACE,
         }
     }
 }
--- a/crates/geraniumgauge/src/vm/mod.rs
+++ b/crates/geraniumgauge/src/vm/mod.rs
@@ -198,6 +198,6 @@
 }
 
 /// Default of [`Config::balancer_wait`].
-pub const BALANCER_WAIT: time::Duration = time::Duration::from_secs(5);
+pub const DEFAULT_BALANCER_WAIT: time::Duration = time::Duration::from_secs(5);
 /// Default of [`Config::grace`].
-pub const GRACE: time::Duration = time::Duration::from_secs(30);
+pub const DEFAULT_GRACE: time::Duration = time::Duration::from_secs(30);
