--- a/crates/geraniumgauge/src/http/callers.rs
+++ b/crates/geraniumgauge/src/http/callers.rs
@@ -33,7 +33,7 @@
 
 /// Returns the error catchers to register.
 pub(super) fn catchers() -> Vec<rocket::Catcher> {
-    rocket::catchers![caught]
+    rocket::catchers![handle_error]
 }
 
 #[rocket::post("/v1/services/<service>/search", data = "<data>")]
@@ -85,7 +85,7 @@
 /// and requests whose handler panicked. Rocket catches such a panic, so that other
 /// requests are not affected.
 #[rocket::catch(default)]
-fn caught(status: rocket::http::Status, request: &rocket::Request<'_>) -> reply::Reply {
+fn handle_error(status: rocket::http::Status, request: &rocket::Request<'_>) -> reply::Reply {
     let (code, ran) = match status.code {
         404 | 405 => (query::Code::NotFound, query::Ran::No),
         413 => (query::Code::TooLarge, query::Ran::No),
--- a/crates/geraniumgauge/src/http/operators.rs
+++ b/crates/geraniumgauge/src/http/operators.rs
@@ -10,7 +10,7 @@
 
 /// Returns the error catchers to register.
 pub(super) fn catchers() -> Vec<rocket::Catcher> {
-    rocket::catchers![caught]
+    rocket::catchers![handle_error]
 }
 
 #[rocket::get("/healthz")]
@@ -35,7 +35,7 @@
 }
 
 #[rocket::catch(default)]
-fn caught(status: rocket::http::Status, _: &rocket::Request<'_>) -> reply::Reply {
+fn handle_error(status: rocket::http::Status, _: &rocket::Request<'_>) -> reply::Reply {
     reply::Reply::text(
         status.code,
         "operators' paths: /healthz, /readyz, /metrics\n",
