--- a/crates/cli/src/tests/status.rs
+++ b/crates/cli/src/tests/status.rs
@@ -25,7 +25,7 @@
         "desk: generation 4",
         "in force at 7 of 8 VMs; not yet or not heard of at vm-3",
         "version 9: refused",
-        "documents/desk:1:10: team: a number stands here",
+        "documents/desk:1:10: team: found a number",
         "no layout",
         "written by vm-1 3 min ago",
         "nobody has refreshed this",
--- a/crates/geraniumgauge/src/jsonc/read.rs
+++ b/crates/geraniumgauge/src/jsonc/read.rs
@@ -164,7 +164,7 @@
             let at = property.range.start;
             if let Some(first) = seen.insert(name.to_owned(), at) {
                 let place = finding::Place::of(self.file, self.text, first);
-                let problem = format!("duplicate key, first at line {}", place.line);
+                let problem = format!("written twice, first at line {}", place.line);
                 self.report(at, &path, problem, "keep one of them");
                 continue;
             }
--- a/crates/geraniumgauge/src/jsonc/tests.rs
+++ b/crates/geraniumgauge/src/jsonc/tests.rs
@@ -103,7 +103,7 @@
             "a.jsonc:3:10: share: 2 is out of range; give a number from 0 to 1",
             "a.jsonc:4:7: on: found a string; give true or false",
             "a.jsonc:5:11: seeds[0]: found a number; give a seed",
-            "a.jsonc:5:15: on: duplicate key, first at line 4; keep one of them",
+            "a.jsonc:5:15: on: written twice, first at line 4; keep one of them",
         ]
     );
 }
