--- a/crates/geraniumgauge/src/vm/config.rs
+++ b/crates/geraniumgauge/src/vm/config.rs
@@ -33,8 +33,8 @@
     pub limits: http::Limits,
     /// Largest frame between VMs.
     pub frame: rate::Bytes,
-    /// Time for which a stopping VM still admits requests after it reported that it is
-    /// not ready, so that the balancer can stop sending them.
+    /// Delay between reporting that the VM is not ready and waiting for its requests to
+    /// end. It gives the balancer time to stop sending requests.
     pub balancer_wait: time::Duration,
     /// Longest wait for running requests after that.
     pub grace: time::Duration,
