--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -123,7 +123,7 @@
         required: false,
         doc: "Time for which requests are still accepted after /readyz reports not ready, for the \
               load balancer to notice.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 0,
             max: 60_000,
             unit: "ms",
@@ -135,7 +135,7 @@
         path: "stop.grace_ms",
         required: false,
         doc: "Time that running requests then have to finish; set it above the longest deadline.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 100,
             max: 600_000,
             unit: "ms",
@@ -147,7 +147,7 @@
         path: "limits.body_bytes",
         required: false,
         doc: "Maximum size of a request body.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1 << 10,
             max: 16 << 20,
             unit: "bytes",
@@ -159,7 +159,7 @@
         path: "limits.query_bytes",
         required: false,
         doc: "Maximum size of the query of a search, which is part of its body.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 256,
             max: 16 << 20,
             unit: "bytes",
@@ -171,7 +171,7 @@
         path: "limits.header_bytes",
         required: false,
         doc: "Maximum total size of the headers of a request.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1 << 10,
             max: 1 << 20,
             unit: "bytes",
@@ -183,7 +183,7 @@
         path: "limits.frame_bytes",
         required: false,
         doc: "Maximum size of a frame between VMs; a request body must fit in one.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 128 << 10,
             max: 64 << 20,
             unit: "bytes",
@@ -195,7 +195,7 @@
         path: "limits.requests",
         required: false,
         doc: "Maximum number of concurrent requests of all services; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "requests",
--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -119,7 +119,7 @@
         path: "deadline_ms",
         required: false,
         doc: "Deadline of a request that doesn't set one.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -131,7 +131,7 @@
         path: "max_deadline_ms",
         required: false,
         doc: "Longest deadline a caller may ask for.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -143,7 +143,7 @@
         path: "latency_target_ms",
         required: false,
         doc: "Time after which the latency objective answers with the shards received so far.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -199,7 +199,7 @@
         path: "limits.searches",
         required: false,
         doc: "Maximum concurrent searches at one VM; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "searches",
@@ -211,7 +211,7 @@
         path: "limits.registrations",
         required: false,
         doc: "Maximum concurrent registrations at one VM; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "registrations",
@@ -223,7 +223,7 @@
         path: "limits.canary_width",
         required: false,
         doc: "Fan-outs of at least this many shards start with one shard alone, so that a query that crashes upstreams takes down one and not all.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 2,
             max: 100_000,
             unit: "shards",
@@ -279,7 +279,7 @@
         path: "ledger_window_s",
         required: false,
         doc: "How long a registration's claim and outcome are kept, and so how long a repeat is recognised.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 60,
             max: 7 * 24 * 3600,
             unit: "s",
