--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -1,4 +1,4 @@
-//! The table of a document's fields: names, ranges, units and meanings.
+//! Table of a document's fields with their names, ranges, units and meanings.
 
 use std::time;
 
@@ -13,7 +13,7 @@
 /// Parses and checks the text of a document. `file` names it in the findings.
 ///
 /// # Errors
-/// Everything wrong with it, in the order of the text.
+/// Returns all findings in the order of the text.
 pub fn parse(file: &str, text: &str) -> Result<document::Document, Vec<finding::Finding>> {
     let mut document = document::Document::default();
     let mut reading = jsonc::read(file, text, FIELDS, &mut document);
@@ -25,7 +25,7 @@
     Err(reading.findings)
 }
 
-/// A page that names each field with its type, range, default and meaning.
+/// Returns a help page that lists each field's type, range, default and meaning.
 pub fn help() -> String {
     jsonc::help(FIELDS, &document::Document::default())
 }
@@ -35,7 +35,7 @@
 #[derive(derive_more::Display)]
 #[display("{path}: {was} -> {now}")]
 pub struct Difference {
-    /// The field.
+    /// Path of the field.
     pub path: &'static str,
     /// Its value in the first document, as JSON.
     pub was: String,
@@ -43,18 +43,18 @@
     pub now: String,
 }
 
-/// The fields whose values differ.
+/// Returns the fields whose values differ.
 pub fn differences(was: &document::Document, now: &document::Document) -> Vec<Difference> {
-    let shown = |field: &Field, of| field.kind.show(of).unwrap_or_else(|| "none".to_owned());
+    let show = |field: &Field, of| field.kind.show(of).unwrap_or_else(|| "none".to_owned());
     let all = FIELDS.iter().map(|field| Difference {
         path: field.path,
-        was: shown(field, was),
-        now: shown(field, now),
+        was: show(field, was),
+        now: show(field, now),
     });
     all.filter(|field| field.was != field.now).collect()
 }
 
-/// Rules between fields.
+/// Checks the rules that relate several fields.
 fn check(document: &document::Document, reading: &mut jsonc::Reading) {
     if document.deadline > document.max_deadline {
         let problem = format!(
@@ -64,9 +64,9 @@
         );
         reading.add("deadline_ms", problem, "lower it or raise max_deadline_ms");
     }
-    let target_counts =
+    let target_applies =
         document.objective == document::Objective::Latency || reading.has("latency_target_ms");
-    if target_counts && document.latency_target > document.deadline {
+    if target_applies && document.latency_target > document.deadline {
         let problem = format!(
             "{} ms exceed deadline_ms, {} ms",
             clock::millis(document.latency_target),
@@ -102,13 +102,14 @@
     Field {
         path: "objective",
         required: false,
-        doc: "What an answer gives up last: coverage waits for missing shards until the deadline; latency answers at latency_target_ms once min_coverage holds.",
+        doc: "Whether coverage or latency has priority: coverage waits for missing shards until the deadline; latency answers at latency_target_ms once min_coverage is reached.",
         kind: jsonc::Kind::Text {
             form: "one of coverage, latency",
             get: |kept| Some(kept.objective.to_string()),
             set: |kept, text| {
                 let choice = text.parse::<document::Objective>();
-                let wrong = |_| format!("{text:?} is no objective; give coverage or latency");
+                let wrong =
+                    |_| format!("{text:?} is not an objective; expected coverage or latency");
                 kept.objective = choice.map_err(wrong)?;
                 Ok(())
             },
@@ -117,8 +118,8 @@
     Field {
         path: "deadline_ms",
         required: false,
-        doc: "Deadline of a request that names none.",
-        kind: jsonc::Kind::Whole {
+        doc: "Deadline of a request that doesn't set one.",
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -130,7 +131,7 @@
         path: "max_deadline_ms",
         required: false,
         doc: "Longest deadline a caller may ask for.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -141,8 +142,8 @@
     Field {
         path: "latency_target_ms",
         required: false,
-        doc: "When the latency objective answers with what it has.",
-        kind: jsonc::Kind::Whole {
+        doc: "Time after which the latency objective answers with the shards received so far.",
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 60_000,
             unit: "ms",
@@ -153,7 +154,7 @@
     Field {
         path: "min_coverage",
         required: false,
-        doc: "Least share of shards for an answer at the latency target.",
+        doc: "Minimum share of covered shards for an answer at the latency target.",
         kind: jsonc::Kind::Number {
             min: 0.0,
             max: 1.0,
@@ -164,7 +165,7 @@
     Field {
         path: "budgets.hedge",
         required: false,
-        doc: "Hedges a first attempt: extra load on upstreams for a shorter tail.",
+        doc: "Maximum hedges per first attempt: extra load on upstreams for a shorter latency tail.",
         kind: jsonc::Kind::Number {
             min: 0.0,
             max: 0.5,
@@ -175,7 +176,7 @@
     Field {
         path: "budgets.retry",
         required: false,
-        doc: "Retries a first attempt.",
+        doc: "Maximum retries per first attempt.",
         kind: jsonc::Kind::Number {
             min: 0.0,
             max: 0.5,
@@ -197,8 +198,8 @@
     Field {
         path: "limits.searches",
         required: false,
-        doc: "Searches that run at once at one VM; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        doc: "Maximum concurrent searches at one VM; more are refused with 429.",
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "searches",
@@ -209,8 +210,8 @@
     Field {
         path: "limits.registrations",
         required: false,
-        doc: "Registrations that run at once at one VM; more are refused with 429.",
-        kind: jsonc::Kind::Whole {
+        doc: "Maximum concurrent registrations at one VM; more are refused with 429.",
+        kind: jsonc::Kind::Integer {
             min: 1,
             max: 100_000,
             unit: "registrations",
@@ -222,7 +223,7 @@
         path: "limits.canary_width",
         required: false,
         doc: "Fan-outs of at least this many shards start with one shard alone, so that a query that crashes upstreams takes down one and not all.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 2,
             max: 100_000,
             unit: "shards",
@@ -278,7 +279,7 @@
         path: "ledger_window_s",
         required: false,
         doc: "How long a registration's claim and outcome are kept, and so how long a repeat is recognised.",
-        kind: jsonc::Kind::Whole {
+        kind: jsonc::Kind::Integer {
             min: 60,
             max: 7 * 24 * 3600,
             unit: "s",
@@ -289,7 +290,7 @@
     Field {
         path: "retired",
         required: false,
-        doc: "true ends the service: requests are refused with 404. Deleting a document ends nothing.",
+        doc: "true ends the service: requests are refused with 404. Deleting the document doesn't end it.",
         kind: jsonc::Kind::Flag {
             get: |kept| kept.retired,
             set: |kept, value| kept.retired = value,
@@ -297,7 +298,8 @@
     },
 ];
 
-/// `value` is within the field's range, and so within 0 to 1.
+/// Converts a value that was checked against a field's range, which lies within
+/// 0 to 1.
 fn share(value: f64) -> rate::Share {
     rate::Share::new(value).unwrap_or_default()
 }
--- a/crates/geraniumgauge/src/http/operators.rs
+++ b/crates/geraniumgauge/src/http/operators.rs
@@ -1,16 +1,16 @@
-//! Operators' paths: is it alive, should it get requests, what are its figures.
+//! HTTP routes for operators: liveness, readiness and metrics.
 
 use crate::http::head;
 use crate::http::reply;
 
-/// The paths, for rocket.
+/// Returns the routes to mount.
 pub(super) fn routes() -> Vec<rocket::Route> {
     rocket::routes![healthz, readyz, metrics]
 }
 
-/// The catchers, for rocket.
+/// Returns the error catchers to register.
 pub(super) fn catchers() -> Vec<rocket::Catcher> {
-    rocket::catchers![caught]
+    rocket::catchers![handle_error]
 }
 
 #[rocket::get("/healthz")]
@@ -20,7 +20,7 @@
 
 #[rocket::get("/readyz")]
 fn readyz(context: &rocket::State<head::Context>) -> reply::Reply {
-    match context.backend.unready() {
+    match context.backend.unready_reason() {
         None => reply::Reply::text(200, "ready\n"),
         Some(reason) => reply::Reply::text(503, format!("not ready: {reason}\n")),
     }
@@ -35,7 +35,7 @@
 }
 
 #[rocket::catch(default)]
-fn caught(status: rocket::http::Status, _: &rocket::Request<'_>) -> reply::Reply {
+fn handle_error(status: rocket::http::Status, _: &rocket::Request<'_>) -> reply::Reply {
     reply::Reply::text(
         status.code,
         "operators' paths: /healthz, /readyz, /metrics\n",
--- a/crates/geraniumgauge/src/query/gather/homes.rs
+++ b/crates/geraniumgauge/src/query/gather/homes.rs
@@ -1,14 +1,15 @@
-//! The VMs that a search has called. They keep their numbers when the plan is
-//! replaced: replies and cancels of earlier calls still need them.
+//! Numbers the VMs that a search may call. A VM keeps its number when the plan
+//! is replaced, because replies and cancels of earlier calls still refer to it.
 
 use crate::ids;
 use crate::query::plan;
 
-/// VMs by number, and the numbers of a plan's VMs.
+/// Stable numbers for VMs across plans.
 #[derive(Debug)]
 pub(super) struct Homes {
+    /// Names of the VMs, indexed by number.
     names: Vec<ids::Vm>,
-    /// By the VM's number in the present plan.
+    /// Numbers, indexed by the VM's index in the present plan.
     numbers: Vec<u32>,
 }
 
@@ -20,8 +21,8 @@
         }
     }
 
-    /// Numbers the VMs of a new plan; known ones keep theirs.
-    pub(super) fn follow(&mut self, plan: &plan::Plan) {
+    /// Adopts the VMs of a new plan. Known VMs keep their numbers.
+    pub(super) fn adopt(&mut self, plan: &plan::Plan) {
         self.numbers.clear();
         for vm in &plan.vms {
             let known = self.names.iter().position(|name| *name == vm.id);
@@ -33,15 +34,17 @@
         }
     }
 
-    /// The number of the plan's VM `vm`.
+    /// Returns the number of the VM at index `vm` of the present plan.
     pub(super) fn number(&self, vm: u32) -> u32 {
         self.numbers[vm as usize]
     }
 
+    /// Returns the name of the VM with a number.
     pub(super) fn name(&self, number: u32) -> &ids::Vm {
         &self.names[number as usize]
     }
 
+    /// Returns the number of the VM with a name, if it has one.
     pub(super) fn find(&self, name: &ids::Vm) -> Option<u32> {
         let at = self.names.iter().position(|known| known == name);
         at.map(|at| at as u32)
--- a/crates/geraniumgauge/src/query/desk.rs
+++ b/crates/geraniumgauge/src/query/state.rs
@@ -1,4 +1,4 @@
-//! What this entry keeps for one service between searches.
+//! State of one service on this VM that persists between searches.
 
 use std::sync;
 
@@ -8,24 +8,24 @@
 use crate::layout;
 use crate::member;
 use crate::query::admission;
-use crate::query::fleet;
 use crate::query::links;
 use crate::query::plan;
 use crate::query::replica;
+use crate::query::upstreams;
 
-/// One service's state at this entry.
+/// The state of one service.
 #[derive(Debug)]
-pub(super) struct Desk {
+pub(super) struct State {
     pub(super) service: ids::Service,
-    pub(super) fleet: sync::Arc<fleet::Fleet>,
+    pub(super) upstreams: sync::Arc<upstreams::Upstreams>,
     pub(super) admission: sync::Mutex<admission::Limit>,
-    plan: sync::Mutex<Option<Ready>>,
+    plan: sync::Mutex<Option<CachedPlan>>,
 }
 
-/// The present plan and what it was made from; these are kept alive, so that
-/// their addresses name them only.
+/// A plan and the inputs that it was built from. The inputs are kept alive, so
+/// that comparing their addresses identifies them.
 #[derive(Debug)]
-struct Ready {
+struct CachedPlan {
     generation: ids::Generation,
     layout: layout::Shared,
     view: member::SharedView,
@@ -33,23 +33,24 @@
 }
 
 struct Source<'a> {
-    desk: &'a Desk,
+    state: &'a State,
     view: &'a member::SharedView,
     homes: &'a placement::Cache,
     links: &'a links::Links,
 }
 
-impl Desk {
+impl State {
     pub(super) fn new(service: ids::Service, budgets: &document::Budgets) -> Self {
         Self {
             service,
-            fleet: sync::Arc::new(fleet::Fleet::new(budgets)),
+            upstreams: sync::Arc::new(upstreams::Upstreams::new(budgets)),
             admission: sync::Mutex::default(),
             plan: sync::Mutex::default(),
         }
     }
 
-    /// The plan of what is in force, made anew where layout or view changed.
+    /// Returns the plan for the layout in force, rebuilt if the document, the layout
+    /// or the membership view has changed.
     pub(super) fn plan(
         &self,
         in_force: &document::InForce,
@@ -57,24 +58,27 @@
         homes: &placement::Cache,
         links: &links::Links,
     ) -> sync::Arc<plan::Plan> {
-        let mut ready = lock(&self.plan);
-        if let Some(held) = ready.as_ref().filter(|held| held.fits(in_force, view)) {
-            return held.plan.clone();
+        let mut cached_plan = lock(&self.plan);
+        if let Some(cached) = cached_plan
+            .as_ref()
+            .filter(|cached| cached.is_current(in_force, view))
+        {
+            return cached.plan.clone();
         }
-        let earlier = ready.as_ref().map(|held| held.generation);
+        let earlier = cached_plan.as_ref().map(|cached| cached.generation);
         if earlier != Some(in_force.generation) {
-            self.fleet.set(&in_force.document.budgets);
+            self.upstreams.set_budgets(&in_force.document.budgets);
         }
         let source = Source {
-            desk: self,
+            state: self,
             view,
             homes,
             links,
         };
         let plan = sync::Arc::new(plan::Plan::new(&in_force.layout, &mut { source }));
-        self.fleet
+        self.upstreams
             .retain(|upstream| in_force.layout.upstream(upstream).is_some());
-        *ready = Some(Ready {
+        *cached_plan = Some(CachedPlan {
             generation: in_force.generation,
             layout: in_force.layout.clone(),
             view: view.clone(),
@@ -84,8 +88,9 @@
     }
 }
 
-impl Ready {
-    fn fits(&self, in_force: &document::InForce, view: &member::SharedView) -> bool {
+impl CachedPlan {
+    /// Returns whether the plan was built from these inputs.
+    fn is_current(&self, in_force: &document::InForce, view: &member::SharedView) -> bool {
         self.generation == in_force.generation
             && sync::Arc::ptr_eq(&self.layout, &in_force.layout)
             && sync::Arc::ptr_eq(&self.view, view)
@@ -94,14 +99,14 @@
 
 impl plan::Source for Source<'_> {
     fn homes(&mut self, upstream: &layout::Upstream) -> Vec<ids::Vm> {
-        let homes = self.homes.of(self.view, upstream, &self.desk.service);
+        let homes = self.homes.of(self.view, upstream, &self.state.service);
         std::iter::once(homes.primary)
             .chain(homes.standby)
             .collect()
     }
 
     fn stats(&mut self, upstream: &ids::Upstream) -> sync::Arc<replica::Stats> {
-        self.desk.fleet.stats(upstream)
+        self.state.upstreams.stats(upstream)
     }
 
     fn link(&mut self, vm: &ids::Vm) -> sync::Arc<plan::Link> {
