--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -1,5 +1,5 @@
-//! What the data path costs: a search, a shard call, a frame; memory of a
-//! link, a service and a replica.
+//! Cost of the data path: processor time and bytes of a search, a shard call and a
+//! frame; memory of a link and a replica.
 
 use std::net;
 use std::sync;
@@ -29,62 +29,81 @@
 /// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "calls",
-    about: "processor time and bytes a search, a shard call and a frame; memory a link, a replica",
+    about: "processor time and bytes per search, shard call and frame; memory per link and replica",
     baseline: Some(query::Policy::Direct),
     run: |context| Box::pin(run(context)),
 };
 
 const SERVICE: &str = "wide";
-const WIDTHS: [usize; 3] = [20, 80, 240];
-const RATE: f64 = 20.0;
+/// Numbers of shards that a search asks.
+const SHARD_COUNTS: [usize; 3] = [20, 80, 240];
+const SEARCHES_PER_S: f64 = 20.0;
 const RUNS: usize = 3;
-/// How long tokio keeps idle threads, and a little more.
-const IDLE_THREADS: time::Duration = time::Duration::from_secs(11);
-const SPAN: time::Duration = time::Duration::from_secs(4);
+/// Longer than tokio keeps idle threads, which is 10 s.
+const IDLE_THREAD_TIMEOUT: time::Duration = time::Duration::from_secs(11);
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(4);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     let mut costs = Vec::new();
-    for width in WIDTHS {
-        let part = searches(context, width).await?;
-        let cost = part.figures.get("search_processor_us").copied();
+    for width in SHARD_COUNTS {
+        let outcome = search_costs(context, width).await?;
+        let cost = outcome.figures.get("search_processor_us").copied();
         costs.push((width as f64, cost.unwrap_or(0.0)));
-        out.absorb(&format!("shards_{width}_"), part);
+        out.absorb(&format!("shards_{width}_"), outcome);
     }
     let (first, last) = (costs[0], costs[costs.len() - 1]);
     let slope = (last.1 - first.1) / (last.0 - first.0);
     out.figure("shard_call_processor_us", slope);
     out.figure("search_alone_processor_us", first.1 - slope * first.0);
     if context.policy == query::Policy::Full {
-        // Idle threads of the sites end first: their time would go missing.
-        tokio::time::sleep(IDLE_THREADS).await;
-        out.absorb("frame_", frames().await?);
-        out.absorb("", links().await?);
-        memory(&mut out).await?;
+        // Idle threads of the sites end first: if they ended during a measurement, their
+        // processor time would be missing from it.
+        tokio::time::sleep(IDLE_THREAD_TIMEOUT).await;
+        out.absorb("frame_", frame_costs().await?);
+        out.absorb("", link_memory().await?);
+        replica_memory(&mut out).await?;
     }
     Ok(out)
 }
 
-async fn searches(
+async fn search_costs(
     context: measure::Context,
     width: usize,
 ) -> Result<outcome::Outcome, measure::Error> {
     let site = context.site(site::Spec::small(SERVICE, width)).await?;
-    straggler::searches(&site, SERVICE, RATE, SPAN, context.seed, DEADLINE).await?;
+    straggler::tally_searches(
+        &site,
+        SERVICE,
+        SEARCHES_PER_S,
+        LOAD_DURATION,
+        context.seed,
+        DEADLINE,
+    )
+    .await?;
     let (mut processor, mut frames, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
     let mut out = outcome::Outcome::default();
     for run in 0..RUNS as u64 {
-        let spent = usage::processor("vm-");
-        let sent = usage::sum(&site.nodes, "mesh_frames_sent").await;
-        let written = usage::sum(&site.nodes, "mesh_bytes_sent").await;
+        let processor_before = usage::processor_time("vm-");
+        let sent = usage::metric_sum(&site.nodes, "mesh_frames_sent").await;
+        let written = usage::metric_sum(&site.nodes, "mesh_bytes_sent").await;
         let seed = context.seed + 1 + run;
-        let tally = straggler::searches(&site, SERVICE, RATE, SPAN, seed, DEADLINE).await?;
+        let tally = straggler::tally_searches(
+            &site,
+            SERVICE,
+            SEARCHES_PER_S,
+            LOAD_DURATION,
+            seed,
+            DEADLINE,
+        )
+        .await?;
         let count = tally.sent() as f64;
         out.violations.extend(tally.outcome(0).violations);
-        processor.push(usage::processor_since("vm-", spent).as_secs_f64() * 1e6 / count);
-        frames.push((usage::sum(&site.nodes, "mesh_frames_sent").await - sent) / count);
-        bytes.push((usage::sum(&site.nodes, "mesh_bytes_sent").await - written) / count);
+        processor
+            .push(usage::processor_time_since("vm-", processor_before).as_secs_f64() * 1e6 / count);
+        frames.push((usage::metric_sum(&site.nodes, "mesh_frames_sent").await - sent) / count);
+        bytes.push((usage::metric_sum(&site.nodes, "mesh_bytes_sent").await - written) / count);
     }
     usage::Spread::of(processor).figure("search_processor_us", &mut out);
     usage::Spread::of(frames).figure("search_frames", &mut out);
@@ -92,11 +111,11 @@
     Ok(out)
 }
 
-/// Counts frames.
+/// Counts the frames that are received.
 #[derive(Default)]
-struct Sink(atomic::AtomicU64);
+struct FrameCounter(atomic::AtomicU64);
 
-impl mesh::Receiver for Sink {
+impl mesh::Receiver for FrameCounter {
     fn receive(&self, _: &ids::Vm, _: message::Body) {
         self.0.fetch_add(1, atomic::Ordering::Relaxed);
     }
@@ -104,9 +123,10 @@
     fn link_lost(&self, _: &ids::Vm) {}
 }
 
+/// One end of a link: a mesh without the rest of a VM.
 struct Peer {
     mesh: sync::Arc<mesh::Mesh>,
-    sink: sync::Arc<Sink>,
+    frames: sync::Arc<FrameCounter>,
     metrics: metrics::Metrics,
     member: member::Member,
     view: watch::Sender<member::SharedView>,
@@ -127,9 +147,9 @@
 }
 
 async fn peer(number: usize) -> Result<Peer, measure::Error> {
-    let other = |what: String| measure::Error::Other { what };
-    let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
-    let listen = tokio::net::TcpListener::bind(any).await;
+    let other = |message: String| measure::Error::Other { message };
+    let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
+    let listen = tokio::net::TcpListener::bind(loopback).await;
     let listen = listen.map_err(|error| other(error.to_string()))?;
     let member = member::Member {
         vm: format!("vm-{number}")
@@ -144,15 +164,18 @@
     };
     let empty = member::View::new(member.vm.clone(), Vec::new());
     let (view, seen) = watch::channel(sync::Arc::new(empty));
-    let (sink, stop) = (sync::Arc::new(Sink::default()), CancellationToken::new());
+    let (frames, stop) = (
+        sync::Arc::new(FrameCounter::default()),
+        CancellationToken::new(),
+    );
     let metrics = metrics::Metrics::new().map_err(|error| other(error.to_string()))?;
     let config = mesh::Config::new(member.vm.clone(), member.incarnation, listen);
     let timer = timer::Service::new(stop.clone());
-    let receive: sync::Arc<dyn mesh::Receiver> = sync::Arc::clone(&sink) as _;
+    let receive: sync::Arc<dyn mesh::Receiver> = sync::Arc::clone(&frames) as _;
     let mesh = mesh::Mesh::start(config, seen, receive, timer, &metrics.meter());
     Ok(Peer {
         mesh,
-        sink,
+        frames,
         metrics,
         member,
         view,
@@ -160,8 +183,8 @@
     })
 }
 
-/// A reply of about the size of one shard's hits.
-fn reply() -> message::Body {
+/// Returns a message of about the size of a reply with one shard's hits.
+fn sample_reply() -> message::Body {
     let reply = message::Reply {
         attempt: 1_000_000,
         upstream: "wide-100-1".to_owned(),
@@ -177,17 +200,20 @@
     })
 }
 
-/// Processor time of a frame at both ends together, in bursts, which share
-/// writes, and one at a time, which don't.
-async fn frames() -> Result<outcome::Outcome, measure::Error> {
+/// Measures the processor time of a frame at both ends together: in bursts, whose
+/// frames share writes, and one at a time.
+async fn frame_costs() -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     let pair = peers(2).await?;
     for (name, burst, count) in [("in_bursts", 100, 100_000), ("alone", 1, 20_000)] {
         let mut processor = Vec::new();
         for _ in 0..RUNS {
-            let spent = usage::processor("");
+            let processor_before = usage::processor_time("");
             send(&pair, burst, count).await;
-            processor.push(usage::processor_since("", spent).as_secs_f64() * 1e6 / count as f64);
+            processor.push(
+                usage::processor_time_since("", processor_before).as_secs_f64() * 1e6
+                    / count as f64,
+            );
         }
         usage::Spread::of(processor).figure(&format!("{name}_processor_us"), &mut out);
     }
@@ -196,19 +222,24 @@
         .lines()
         .find(|line| line.starts_with("mesh_bytes_sent"));
     let bytes = bytes.and_then(|line| line.rsplit_once(' ')?.1.parse::<f64>().ok());
-    let sent = pair[1].sink.0.load(atomic::Ordering::Relaxed) as f64;
+    let sent = pair[1].frames.0.load(atomic::Ordering::Relaxed) as f64;
     out.figure("bytes", bytes.unwrap_or(0.0) / sent);
     pair.iter().for_each(|peer| peer.stop.cancel());
     Ok(out)
 }
 
 async fn send(pair: &[Peer], burst: usize, count: usize) {
-    let received = || pair[1].sink.0.load(atomic::Ordering::Relaxed);
+    let received = || pair[1].frames.0.load(atomic::Ordering::Relaxed);
     let start = received();
     let mut sent = 0;
     while sent < count {
         for _ in 0..burst {
-            sent += usize::from(pair[0].mesh.send(&pair[1].member.vm, reply()).is_ok());
+            sent += usize::from(
+                pair[0]
+                    .mesh
+                    .send(&pair[1].member.vm, sample_reply())
+                    .is_ok(),
+            );
         }
         while received() < start + sent as u64 {
             tokio::task::yield_now().await;
@@ -216,55 +247,57 @@
     }
 }
 
-/// Memory of links, both ends, of a full mesh in this process.
-async fn links() -> Result<outcome::Outcome, measure::Error> {
+/// Measures the memory per link, including both ends, of a full mesh in this process.
+async fn link_memory() -> Result<outcome::Outcome, measure::Error> {
     const PEERS: usize = 48;
     let mut out = outcome::Outcome::default();
     let all = peers(PEERS).await?;
-    let before = usage::memory();
+    let before = usage::resident_bytes();
     for (a, b) in all.iter().flat_map(|a| all.iter().map(move |b| (a, b))) {
         if a.member.vm != b.member.vm {
-            let _ = a.mesh.send(&b.member.vm, reply());
+            let _ = a.mesh.send(&b.member.vm, sample_reply());
         }
     }
     let links = PEERS * (PEERS - 1);
     let arrived = || {
         all.iter()
-            .map(|peer| peer.sink.0.load(atomic::Ordering::Relaxed))
+            .map(|peer| peer.frames.0.load(atomic::Ordering::Relaxed))
     };
     while arrived().sum::<u64>() < links as u64 {
         tokio::time::sleep(time::Duration::from_millis(10)).await;
     }
     out.figure(
         "link_memory_kib",
-        (usage::memory() - before) / 1024.0 / links as f64,
+        (usage::resident_bytes() - before) / 1024.0 / links as f64,
     );
     all.iter().for_each(|peer| peer.stop.cancel());
     Ok(out)
 }
 
-/// Memory of a replica that a VM knows of, and of one it has a role for. Three
-/// VMs have a role for each replica: at 3 VMs all of them, at 12 a quarter.
-async fn memory(out: &mut outcome::Outcome) -> Result<(), measure::Error> {
-    // The larger first: memory that one run returns is used again by the next.
-    let (many, few) = (replicas(12).await?, replicas(3).await?);
-    let role = (few - many) / (1.0 - 3.0 / 12.0);
-    out.figure("replica_with_3_vms_memory_kib", few);
-    out.figure("replica_with_12_vms_memory_kib", many);
+/// Measures the memory of a replica that a VM only knows of, and of one that it has a
+/// role for. Three VMs have a role for each replica: with 3 VMs, every VM has one for
+/// all replicas, with 12 VMs for a quarter of them.
+async fn replica_memory(out: &mut outcome::Outcome) -> Result<(), measure::Error> {
+    // The larger first: the second run reuses memory that the first one freed, so a
+    // larger second run would seem to need too little.
+    let (with_12_vms, with_3_vms) = (memory_per_replica(12).await?, memory_per_replica(3).await?);
+    let role = (with_3_vms - with_12_vms) / (1.0 - 3.0 / 12.0);
+    out.figure("replica_with_3_vms_memory_kib", with_3_vms);
+    out.figure("replica_with_12_vms_memory_kib", with_12_vms);
     out.figure("replica_role_memory_kib", role);
-    out.figure("replica_known_memory_kib", few - role);
+    out.figure("replica_known_memory_kib", with_3_vms - role);
     Ok(())
 }
 
-/// Growth of memory a VM and replica, without traffic.
-async fn replicas(vms: usize) -> Result<f64, measure::Error> {
+/// Returns the growth of memory in KiB per VM and replica, without traffic.
+async fn memory_per_replica(vms: usize) -> Result<f64, measure::Error> {
     const SERVICES: usize = 50;
     const SHARDS: usize = 40;
     let mut config = site::Config::new(Vec::new());
     config.vms = vms;
     let site = site::Site::start(config).await?;
     tokio::time::sleep(time::Duration::from_secs(2)).await;
-    let before = usage::memory();
+    let before = usage::resident_bytes();
     for number in 0..SERVICES {
         let id = format!("service-{number}");
         let layout = serde_json::to_vec(&layout_of(number, SHARDS)?).unwrap_or_default();
@@ -276,16 +309,16 @@
         });
     }
     tokio::time::sleep(time::Duration::from_secs(15)).await;
-    let grown = (usage::memory() - before) / 1024.0;
-    Ok(grown / (vms * SERVICES * SHARDS * 2) as f64)
+    let growth = (usage::resident_bytes() - before) / 1024.0;
+    Ok(growth / (vms * SERVICES * SHARDS * 2) as f64)
 }
 
-/// A layout whose upstreams nobody runs.
+/// Returns a layout of upstreams that don't exist.
 fn layout_of(number: usize, shards: usize) -> Result<layout::Layout, measure::Error> {
-    let bad = |error: ids::Error| measure::Error::Other {
-        what: error.to_string(),
+    let invalid_id = |error: ids::Error| measure::Error::Other {
+        message: error.to_string(),
     };
-    let mut made = layout::Layout {
+    let mut layout = layout::Layout {
         version: ids::LayoutVersion(1),
         upstreams: Vec::new(),
         shards: Vec::new(),
@@ -295,9 +328,9 @@
         for replica in 0..2 {
             let id: ids::Upstream = format!("u-{number}-{shard}-{replica}")
                 .parse()
-                .map_err(bad)?;
+                .map_err(invalid_id)?;
             replicas.push(id.clone());
-            made.upstreams.push(layout::Upstream {
+            layout.upstreams.push(layout::Upstream {
                 id,
                 address: net::SocketAddr::from(([127, 0, 0, 1], 1)),
                 data_centre: site::data_centre(shard + replica, 3),
@@ -306,10 +339,10 @@
                 connect_ms: 6,
             });
         }
-        made.shards.push(layout::Shard {
-            id: format!("shard-{shard}").parse().map_err(bad)?,
+        layout.shards.push(layout::Shard {
+            id: format!("shard-{shard}").parse().map_err(invalid_id)?,
             replicas,
         });
     }
-    Ok(made)
+    Ok(layout)
 }
--- a/crates/standin/src/measure/cold_start.rs
+++ b/crates/standin/src/measure/cold_start.rs
@@ -1,4 +1,4 @@
-//! One replica of each shard restarts and is slow at first.
+//! One replica of each shard restarts and runs calls slowly at first.
 
 use std::time;
 
@@ -20,19 +20,21 @@
 const SERVICE: &str = "assessor-desk";
 const SHARDS: usize = 8;
 const WORK_MS: f64 = 10.0;
-const LOAD: f64 = 0.35;
-const SPAN: time::Duration = time::Duration::from_secs(9);
-const RESTART: time::Duration = time::Duration::from_secs(2);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.35;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(9);
+/// Time of the restart, from the start of the load.
+const RESTART_AT: time::Duration = time::Duration::from_secs(2);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let spec = site::Spec {
         work_ms: WORK_MS,
         ..site::Spec::small(SERVICE, SHARDS)
     };
-    let bench = searches::Bench::start(context, spec, LOAD, SPAN).await?;
+    let bench = searches::Bench::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
     let service = bench.service();
     let restart = async {
-        tokio::time::sleep(RESTART).await;
+        tokio::time::sleep(RESTART_AT).await;
         for shard in 0..SHARDS {
             let upstream = service.replica(shard, 0).state();
             upstream.set_faults(|faults| {
@@ -43,10 +45,13 @@
             upstream.crash();
         }
     };
-    let (found, ()) = tokio::join!(bench.send(), restart);
-    let found = found?;
-    let mut out = bench.sum(&found).await?;
-    let after = found.iter().filter(|search| search.at > RESTART);
-    out.figure("whole_after_restart_share", searches::whole(after));
+    let (results, ()) = tokio::join!(bench.send(), restart);
+    let results = results?;
+    let mut out = bench.summarize(&results).await?;
+    let after = results.iter().filter(|search| search.at > RESTART_AT);
+    out.figure(
+        "whole_after_restart_share",
+        searches::complete_in_time_share(after),
+    );
     Ok(out)
 }
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -1,5 +1,6 @@
-//! What control costs a VM as VMs grow in number: membership alone as tasks of
-//! one process, far up, and whole VMs with the store's calls, as far as threads go.
+//! Cost of the control plane per VM as the number of VMs grows. Membership alone runs
+//! as tasks of one process, so it is measured for many members; complete VMs, whose
+//! store calls are counted too, are limited in number by their threads.
 
 use std::net;
 use std::sync;
@@ -23,47 +24,51 @@
 /// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "control",
-    about: "processor time, memory, bytes and store calls of control a VM, by the number of VMs",
+    about: "processor time, memory, bytes and store calls of the control plane per VM, by number of VMs",
     baseline: None,
     run: |context| Box::pin(run(context)),
 };
 
-/// Everyone becomes a member.
+/// Promise that every VM becomes a member.
 const JOINED: &str = "every VM becomes a member";
-/// Accepted configuration is in force everywhere.
-const SPREAD: &str = "news reaches every VM";
+/// Promise that an update reaches every VM.
+const UPDATE_RECEIVED: &str = "news reaches every VM";
 
-const MEMBERS: [usize; 4] = [8, 32, 128, 512];
-/// The largest first: memory that one run returns is used again by the next.
-const WHOLE: [usize; 3] = [32, 16, 8];
-const WINDOW: time::Duration = time::Duration::from_secs(3);
+/// Numbers of members to measure.
+const MEMBER_COUNTS: [usize; 4] = [8, 32, 128, 512];
+/// Numbers of complete VMs to measure, the largest first: later runs reuse the memory
+/// that earlier ones freed, so a larger later run would seem to need too little.
+const VM_COUNTS: [usize; 3] = [32, 16, 8];
+/// Time over which each sample is taken.
+const SAMPLE_DURATION: time::Duration = time::Duration::from_secs(3);
 const RUNS: usize = 3;
-/// Longest wait; only what never comes is a violation.
-const PATIENCE: time::Duration = time::Duration::from_secs(90);
+/// Longest wait for a change to reach all members; only a change that never arrives is
+/// a violation.
+const CONVERGENCE_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 async fn run(_: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
-    for count in WHOLE {
-        out.absorb(&format!("vms_{count}_"), whole(count).await?);
+    for count in VM_COUNTS {
+        out.absorb(&format!("vms_{count}_"), complete_vms(count).await?);
     }
-    for count in MEMBERS {
+    for count in MEMBER_COUNTS {
         out.absorb(&format!("members_{count}_"), members(count).await?);
     }
     Ok(out)
 }
 
-/// One member without the other duties.
+/// A member that runs the membership protocol and nothing else.
 struct Member {
     service: member::Service,
     metrics: metrics::Metrics,
-    rumours: broadcast::Receiver<member::Update>,
+    updates: broadcast::Receiver<member::Update>,
     address: net::SocketAddr,
     stop: CancellationToken,
 }
 
 async fn members(count: usize) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
-    let before = usage::memory();
+    let before = usage::resident_bytes();
     let mut all = Vec::new();
     let start = tokio::time::Instant::now();
     for number in 0..count {
@@ -71,17 +76,24 @@
         all.push(member(number, seeds).await?);
     }
     if !joined(&all, count).await {
-        out.violate(JOINED, "-", format!("{count} members, after {PATIENCE:?}"));
+        out.violate(
+            JOINED,
+            "-",
+            format!("{count} members, after {CONVERGENCE_TIMEOUT:?}"),
+        );
     }
     out.figure("joined_ms", start.elapsed().as_secs_f64() * 1e3);
-    out.figure("settled_ms", settled(&all).await.as_secs_f64() * 1e3);
-    quiet(&all, &mut out).await;
+    out.figure(
+        "settled_ms",
+        wait_until_settled(&all).await.as_secs_f64() * 1e3,
+    );
+    measure_idle(&all, &mut out).await;
     out.figure(
         "memory_kib",
-        (usage::memory() - before) / 1024.0 / count as f64,
+        (usage::resident_bytes() - before) / 1024.0 / count as f64,
     );
-    change(&mut all, &mut out).await;
-    loss(&mut all, &mut out).await;
+    measure_update(&mut all, &mut out).await;
+    measure_loss(&mut all, &mut out).await;
     for member in all {
         member.stop.cancel();
     }
@@ -90,10 +102,10 @@
 }
 
 async fn member(number: usize, seed: Option<net::SocketAddr>) -> Result<Member, measure::Error> {
-    let other = |what: String| measure::Error::Other { what };
+    let other = |message: String| measure::Error::Other { message };
     let named = |text: String| text.parse().map_err(|e: ids::Error| other(e.to_string()));
-    let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
-    let socket = tokio::net::UdpSocket::bind(any).await;
+    let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
+    let socket = tokio::net::UdpSocket::bind(loopback).await;
     let socket = socket.map_err(|error| other(error.to_string()))?;
     let address = socket
         .local_addr()
@@ -112,7 +124,7 @@
         &metrics.meter(),
     );
     Ok(Member {
-        rumours: service.updates(),
+        updates: service.updates(),
         service,
         metrics,
         address,
@@ -130,24 +142,24 @@
         }
     });
     let waiting = futures_util::future::join_all(waiting);
-    let seen = tokio::time::timeout(PATIENCE, waiting).await;
+    let seen = tokio::time::timeout(CONVERGENCE_TIMEOUT, waiting).await;
     seen.is_ok_and(|seen| seen.iter().all(|seen| *seen))
 }
 
-/// Waits until no news of the joining is left to be told.
-async fn settled(all: &[Member]) -> time::Duration {
+/// Waits until no updates about the joining members are queued for sending.
+async fn wait_until_settled(all: &[Member]) -> time::Duration {
     let start = tokio::time::Instant::now();
-    while sum(all, "member_news_queued") > 0.0 && start.elapsed() < PATIENCE {
+    while metric_sum(all, "member_news_queued") > 0.0 && start.elapsed() < CONVERGENCE_TIMEOUT {
         tokio::time::sleep(time::Duration::from_millis(200)).await;
     }
     start.elapsed()
 }
 
-fn sent(all: &[Member]) -> f64 {
-    sum(all, "member_bytes_sent")
+fn bytes_sent(all: &[Member]) -> f64 {
+    metric_sum(all, "member_bytes_sent")
 }
 
-fn sum(all: &[Member], name: &str) -> f64 {
+fn metric_sum(all: &[Member], name: &str) -> f64 {
     let texts = all.iter().filter_map(|member| member.metrics.text().ok());
     let figures = texts.filter_map(|text| {
         let line = text.lines().find(|line| line.starts_with(name))?;
@@ -156,47 +168,57 @@
     figures.sum()
 }
 
-/// Nothing changes: probes and comparisons alone.
-async fn quiet(all: &[Member], out: &mut outcome::Outcome) {
+/// Measures members while nothing changes, when they only probe and compare views.
+async fn measure_idle(all: &[Member], out: &mut outcome::Outcome) {
     let (mut processor, mut bytes) = (Vec::new(), Vec::new());
     for _ in 0..RUNS {
-        let (spent, told) = (usage::processor(""), sent(all));
-        tokio::time::sleep(WINDOW).await;
-        let each = all.len() as f64 * WINDOW.as_secs_f64();
-        processor.push(usage::processor_since("", spent).as_secs_f64() * 100.0 / each);
-        bytes.push((sent(all) - told) / each);
+        let (processor_before, sent_before) = (usage::processor_time(""), bytes_sent(all));
+        tokio::time::sleep(SAMPLE_DURATION).await;
+        let each = all.len() as f64 * SAMPLE_DURATION.as_secs_f64();
+        processor
+            .push(usage::processor_time_since("", processor_before).as_secs_f64() * 100.0 / each);
+        bytes.push((bytes_sent(all) - sent_before) / each);
     }
     usage::Spread::of(processor).figure("quiet_core_percent", out);
     usage::Spread::of(bytes).figure("quiet_sent_bytes_per_s", out);
 }
 
-/// A document is accepted: one rumour to all.
-async fn change(all: &mut [Member], out: &mut outcome::Outcome) {
+/// Measures an update that is published by one member and received by all, as when a
+/// document is accepted.
+async fn measure_update(all: &mut [Member], out: &mut outcome::Outcome) {
     let (mut took, mut bytes, mut processor) = (Vec::new(), Vec::new(), Vec::new());
     for version in 1..=RUNS as u64 {
-        let (spent, told) = (usage::processor(""), sent(all));
+        let (processor_before, sent_before) = (usage::processor_time(""), bytes_sent(all));
         let start = tokio::time::Instant::now();
         all[0]
             .service
-            .publish(rumour(member::Topic::Catalog, "wide", version));
-        let heard = all.iter_mut().map(|member| heard(member, version));
-        let heard = futures_util::future::join_all(heard);
-        if tokio::time::timeout(PATIENCE, heard).await.is_err() {
-            out.violate(SPREAD, "-", format!("version {version} after {PATIENCE:?}"));
+            .publish(update(member::Topic::Catalog, "wide", version));
+        let received = all.iter_mut().map(|member| received(member, version));
+        let received = futures_util::future::join_all(received);
+        if tokio::time::timeout(CONVERGENCE_TIMEOUT, received)
+            .await
+            .is_err()
+        {
+            out.violate(
+                UPDATE_RECEIVED,
+                "-",
+                format!("version {version} after {CONVERGENCE_TIMEOUT:?}"),
+            );
         }
         took.push(start.elapsed().as_secs_f64() * 1e3);
-        tokio::time::sleep(WINDOW).await;
+        tokio::time::sleep(SAMPLE_DURATION).await;
         let each = all.len() as f64;
-        bytes.push((sent(all) - told) / each);
-        processor.push(usage::processor_since("", spent).as_secs_f64() * 1e3 / each);
+        bytes.push((bytes_sent(all) - sent_before) / each);
+        processor
+            .push(usage::processor_time_since("", processor_before).as_secs_f64() * 1e3 / each);
     }
     usage::Spread::of(took).figure("change_heard_ms", out);
-    // With what is sent in a quiet time of the same length.
+    // Includes what an idle member sends in the same time.
     usage::Spread::of(bytes).figure("change_sent_bytes", out);
     usage::Spread::of(processor).figure("change_processor_ms", out);
 }
 
-fn rumour(topic: member::Topic, key: &str, version: u64) -> member::Update {
+fn update(topic: member::Topic, key: &str, version: u64) -> member::Update {
     member::Update {
         topic,
         key: key.to_owned(),
@@ -205,50 +227,59 @@
     }
 }
 
-async fn heard(member: &mut Member, version: u64) {
+async fn received(member: &mut Member, version: u64) {
     loop {
-        match member.rumours.recv().await {
-            Ok(heard) if heard.topic == member::Topic::Catalog && heard.version == version => break,
+        match member.updates.recv().await {
+            Ok(update) if update.topic == member::Topic::Catalog && update.version == version => {
+                break;
+            }
             Ok(_) | Err(broadcast::error::RecvError::Lagged(_)) => {}
             Err(broadcast::error::RecvError::Closed) => return,
         }
     }
 }
 
-/// A quarter of the members die at once, as with a data centre.
-async fn loss(all: &mut Vec<Member>, out: &mut outcome::Outcome) {
+/// Measures the loss of a quarter of the members at once, as when a data centre fails.
+async fn measure_loss(all: &mut Vec<Member>, out: &mut outcome::Outcome) {
     for dead in all.split_off(all.len() * 3 / 4) {
         dead.stop.cancel();
     }
-    let told = sent(all);
+    let sent_before = bytes_sent(all);
     let start = tokio::time::Instant::now();
     if !joined(all, all.len()).await {
-        out.violate(vm_loss::REMOVED, "-", format!("after {PATIENCE:?}"));
+        out.violate(
+            vm_loss::REMOVED,
+            "-",
+            format!("after {CONVERGENCE_TIMEOUT:?}"),
+        );
     }
     let took = start.elapsed().as_secs_f64();
     out.figure("quarter_lost_ms", took * 1e3);
-    let each = (sent(all) - told) / all.len() as f64 / took;
+    let each = (bytes_sent(all) - sent_before) / all.len() as f64 / took;
     out.figure("quarter_lost_sent_bytes_per_s", each);
 }
 
-/// Whole VMs without load: what all duties spend, and the store's calls.
-async fn whole(count: usize) -> Result<outcome::Outcome, measure::Error> {
+/// Measures complete VMs without load: processor time, memory and store calls.
+async fn complete_vms(count: usize) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
-    let before = usage::memory();
+    let before = usage::resident_bytes();
     let mut config = site::Config::new(vec![site::Spec::small("wide", 8)]);
     config.vms = count;
     let site = site::Site::start(config).await?;
-    tokio::time::sleep(WINDOW).await;
+    tokio::time::sleep(SAMPLE_DURATION).await;
     out.figure(
         "memory_kib",
-        (usage::memory() - before) / 1024.0 / count as f64,
+        (usage::resident_bytes() - before) / 1024.0 / count as f64,
     );
     let (mut processor, mut calls) = (Vec::new(), vec![Vec::new(); 5]);
     for _ in 0..RUNS {
-        let (spent, counts) = (usage::processor("vm-"), site.platform.state().counts());
-        tokio::time::sleep(WINDOW).await;
-        let each = count as f64 * WINDOW.as_secs_f64();
-        processor.push(usage::processor_since("vm-", spent).as_secs_f64() * 100.0 / each);
+        let (processor_before, counts) =
+            (usage::processor_time("vm-"), site.platform.state().counts());
+        tokio::time::sleep(SAMPLE_DURATION).await;
+        let each = count as f64 * SAMPLE_DURATION.as_secs_f64();
+        processor.push(
+            usage::processor_time_since("vm-", processor_before).as_secs_f64() * 100.0 / each,
+        );
         let now = site.platform.state().counts();
         let kinds = [
             now.get - counts.get,
--- a/crates/standin/src/measure/crash_query.rs
+++ b/crates/standin/src/measure/crash_query.rs
@@ -1,5 +1,5 @@
-//! One query crashes each upstream that runs it, and its caller sends it again
-//! at every VM, while others search.
+//! One query crashes every upstream that runs it and is sent again and again to every
+//! VM, while other searches run.
 
 use std::collections;
 use std::time;
@@ -21,37 +21,39 @@
     run: |context| Box::pin(run(context)),
 };
 
-/// At most two upstreams are lost to one request.
-const TWO_LOST: &str = "at most two upstreams lost to one request";
-/// No shard loses all its replicas to it.
-const NONE_BARE: &str = "no shard without a replica";
+/// Promise that one request crashes at most two upstreams.
+const MAX_TWO_LOST: &str = "at most two upstreams lost to one request";
+/// Promise that no shard loses all its replicas to one request.
+const NO_SHARD_LOST: &str = "no shard without a replica";
 
 const SERVICE: &str = "port-inspection";
-/// Searches a second beside the one that crashes.
-const RATE: f64 = 20.0;
-const RATE_WIDE: f64 = 4.0;
-const SPAN: time::Duration = time::Duration::from_secs(8);
-/// When the crashing query is first sent.
-const BEGIN: time::Duration = time::Duration::from_secs(2);
-/// How often its caller sends it again, at every VM.
-const RESENDS: u32 = 16;
-const BETWEEN: time::Duration = time::Duration::from_millis(100);
-/// Searches of each kind that the canary's cost is taken from.
-const COST_SENDS: usize = 60;
+/// Mean rate of the other searches, for up to 100 shards.
+const SEARCHES_PER_S: f64 = 20.0;
+/// Mean rate of the other searches, for more than 100 shards.
+const SEARCHES_PER_S_WIDE: f64 = 4.0;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
+/// Time of the first crashing query, from the start of the load.
+const FIRST_SEND_AT: time::Duration = time::Duration::from_secs(2);
+/// Number of times that the query is sent to every VM.
+const SEND_ROUNDS: u32 = 16;
+/// Shortest time between two such rounds.
+const SEND_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Searches of each kind from which the cost of a canary is computed.
+const COST_SEARCHES: usize = 60;
 const RESTART_MS: u64 = 1500;
-/// When the lost upstreams are back and known to be.
-const BACK: time::Duration = time::Duration::from_millis(6500);
+/// Time by which the crashed upstreams are in use again, from the start of the load.
+const RECOVERED_AT: time::Duration = time::Duration::from_millis(6500);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     for (shards, replicas) in [(8, 2), (8, 4), (240, 2), (240, 4)] {
-        let one = case(context, shards, replicas).await?;
-        out.absorb(&format!("s{shards}_r{replicas}_"), one);
+        let outcome = run_case(context, shards, replicas).await?;
+        out.absorb(&format!("s{shards}_r{replicas}_"), outcome);
     }
     Ok(out)
 }
 
-async fn case(
+async fn run_case(
     context: measure::Context,
     shards: usize,
     replicas: usize,
@@ -63,39 +65,49 @@
     let site = context.site(spec).await?;
     let service = site.service(SERVICE);
     service.set_faults(|faults| faults.restart_ms = RESTART_MS);
-    let rate = if shards > 100 { RATE_WIDE } else { RATE };
+    let rate = if shards > 100 {
+        SEARCHES_PER_S_WIDE
+    } else {
+        SEARCHES_PER_S
+    };
     let load = searches::Load {
         rate,
-        span: searches::WARM_UP,
+        duration: searches::WARM_UP,
         seed: context.seed,
     };
     searches::send(&site, SERVICE, load).await?;
     let mut out = outcome::Outcome::default();
     canary_cost(&site, &mut out).await?;
     let load = searches::Load {
-        span: SPAN,
+        duration: LOAD_DURATION,
         seed: context.seed + 1,
         ..load
     };
-    let crashing = crash(&site);
-    let (found, answered) = tokio::join!(searches::send(&site, SERVICE, load), crashing);
-    let (found, answered) = (found?, answered?);
-    lost(service, &mut out);
+    let crashing = send_crashing_query(&site);
+    let (results, answered) = tokio::join!(searches::send(&site, SERVICE, load), crashing);
+    let (results, answered) = (results?, answered?);
+    check_losses(service, &mut out);
     out.figure("crash_query_answers", answered as f64);
-    out.figure("others_whole_share", searches::whole(&found));
-    let back = found.iter().filter(|search| search.at >= BACK);
-    out.figure("others_whole_once_back_share", searches::whole(back));
+    out.figure(
+        "others_whole_share",
+        searches::complete_in_time_share(&results),
+    );
+    let recovered = results.iter().filter(|search| search.at >= RECOVERED_AT);
+    out.figure(
+        "others_whole_once_back_share",
+        searches::complete_in_time_share(recovered),
+    );
     Ok(out)
 }
 
-/// What a canary costs: searches that are new to their VM beside ones that
-/// every VM knows, one after another on a quiet site.
+/// Adds the cost of canaries: compares searches that are new to their VM with a search
+/// that every VM knows, sent one after another on an idle site.
 async fn canary_cost(site: &site::Site, out: &mut outcome::Outcome) -> Result<(), measure::Error> {
     let service = site.service(SERVICE);
     let caller = load::Caller::new(site)?;
     let before = service.counts().arrived();
     let mut new = Vec::new();
-    for number in 0..COST_SENDS {
+    for number in 0..COST_SEARCHES {
         let query = serde_json::json!({ "text": format!("new {number}") });
         new.push(
             caller
@@ -105,11 +117,11 @@
         );
     }
     let calls = (service.counts().arrived() - before) as f64;
-    let due = (COST_SENDS * service.layout.shards.len()) as f64;
-    out.figure("canary_extra_load_share", calls / due - 1.0);
+    let expected = (COST_SEARCHES * service.layout.shards.len()) as f64;
+    out.figure("canary_extra_load_share", calls / expected - 1.0);
     let mut known = Vec::new();
     let query = serde_json::json!({ "text": "known" });
-    for _ in 0..COST_SENDS * 2 {
+    for _ in 0..COST_SEARCHES * 2 {
         known.push(
             caller
                 .search(service.id(), &query, searches::DEADLINE)
@@ -118,7 +130,7 @@
         );
     }
     out.figure("new_p50_ms", median(&mut new));
-    out.figure("known_p50_ms", median(&mut known.split_off(COST_SENDS)));
+    out.figure("known_p50_ms", median(&mut known.split_off(COST_SEARCHES)));
     Ok(())
 }
 
@@ -128,41 +140,42 @@
     middle.unwrap_or_default().as_secs_f64() * 1e3
 }
 
-/// Sends the query to every VM at once, time after time; how many answers came.
-async fn crash(site: &site::Site) -> Result<usize, measure::Error> {
-    tokio::time::sleep(BEGIN).await;
+/// Sends the crashing query to every VM at once, repeatedly; returns the number of
+/// answers.
+async fn send_crashing_query(site: &site::Site) -> Result<usize, measure::Error> {
+    tokio::time::sleep(FIRST_SEND_AT).await;
     let caller = load::Caller::new(site)?;
     let id = site.service(SERVICE).id().clone();
     let query = serde_json::json!({ "text": "crash-the-upstream" });
     let mut answered = 0;
-    for _ in 0..RESENDS {
+    for _ in 0..SEND_ROUNDS {
         let sends = (0..site::VMS).map(|_| caller.search(&id, &query, searches::DEADLINE));
         let round = future::join_all(sends);
-        let samples = tokio::join!(round, tokio::time::sleep(BETWEEN)).0;
+        let samples = tokio::join!(round, tokio::time::sleep(SEND_INTERVAL)).0;
         answered += samples.iter().filter(|sample| sample.answered()).count();
     }
     Ok(answered)
 }
 
-fn lost(service: &site::Service, out: &mut outcome::Outcome) {
-    let mut lives = 0;
+fn check_losses(service: &site::Service, out: &mut outcome::Outcome) {
+    let mut crashes = 0;
     let mut names = Vec::new();
     let mut by_shard = collections::BTreeMap::<usize, usize>::new();
     let replicas = service.spec().replicas;
     for (number, upstream) in service.upstreams.iter().enumerate() {
-        let crashes = upstream.state().counts().crashes;
-        if crashes > 0 {
-            lives += crashes;
+        let count = upstream.state().counts().crashes;
+        if count > 0 {
+            crashes += count;
             names.push(upstream.state().config().id.to_string());
             *by_shard.entry(number / replicas).or_default() += 1;
         }
     }
-    out.figure("crashes", lives as f64);
+    out.figure("crashes", crashes as f64);
     out.figure("upstreams_lost", names.len() as f64);
-    if lives > 2 {
-        out.violate(TWO_LOST, "-", format!("{lives} crashes of {names:?}"));
+    if crashes > 2 {
+        out.violate(MAX_TWO_LOST, "-", format!("{crashes} crashes of {names:?}"));
     }
     if by_shard.values().any(|lost| *lost == replicas) {
-        out.violate(NONE_BARE, "-", format!("{names:?}"));
+        out.violate(NO_SHARD_LOST, "-", format!("{names:?}"));
     }
 }
--- a/crates/standin/src/measure/crossed.rs
+++ b/crates/standin/src/measure/crossed.rs
@@ -1,4 +1,5 @@
-//! Replies that are for another request or shard, or of another index version.
+//! Upstreams send replies that belong to another request or shard, or to another index
+//! version.
 
 use std::time;
 
@@ -19,18 +20,24 @@
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.15;
-const SPAN: time::Duration = time::Duration::from_secs(8);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.15;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench =
-        searches::Bench::start(context, site::Spec::small(SERVICE, SHARDS), LOAD, SPAN).await?;
+    let bench = searches::Bench::start(
+        context,
+        site::Spec::small(SERVICE, SHARDS),
+        LOAD_SHARE,
+        LOAD_DURATION,
+    )
+    .await?;
     let service = bench.service();
     service.set_faults(|faults| {
         faults.crossed_share = 0.02;
         faults.wrong_version_share = 0.02;
         faults.straggler_share = 0.01;
     });
-    let found = bench.send().await?;
-    bench.sum(&found).await
+    let results = bench.send().await?;
+    bench.summarize(&results).await
 }
--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -1,5 +1,6 @@
-//! Edits of a service's document under races, bad texts, lost replies, deaf
-//! watches, an outage with a VM replaced, and a store that is set back.
+//! Edits a service's document with races between operators, invalid texts, watches
+//! that report nothing, lost replies, an outage during which a VM is replaced, and a
+//! store that returns to an earlier state.
 
 use std::time;
 
@@ -26,47 +27,48 @@
 };
 
 const SERVICE: &str = "foreman-search";
-/// Rounds in which two operators write over the same version.
+/// Number of times that two operators replace the same version at once.
 const RACES: u64 = 12;
 const BAD_EDITS: u64 = 3;
-const OUTAGE: time::Duration = time::Duration::from_secs(20);
-/// How long a state that must not change is watched.
-const QUIET: time::Duration = time::Duration::from_secs(4);
-/// An accepted edit that no record shows by then is lost.
-const LOST: time::Duration = time::Duration::from_secs(20);
-const FELL_BACK: &str = "an accepted configuration never reverts";
+const OUTAGE_DURATION: time::Duration = time::Duration::from_secs(20);
+/// Time given to a forbidden change to show before the state is checked.
+const CHECK_DELAY: time::Duration = time::Duration::from_secs(4);
+/// Longest wait for the accepted record to show an edit.
+const ACCEPT_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const NEVER_REVERTS: &str = "an accepted configuration never reverts";
 const IN_FORCE: &str = "an accepted configuration is in force everywhere";
-const RACED: &str = "racing operators get a conflict";
+const RACE_CONFLICT: &str = "racing operators get a conflict";
 const REFUSED: &str = "a refused edit changes nothing and is reported";
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let site = context.site(site::Spec::small(SERVICE, 4)).await?;
-    let mut trial = Trial::new(site, context.seed).await?;
-    trial.idle().await;
-    trial.races().await?;
-    trial.bad_edits().await?;
-    trial.deaf_watches().await?;
-    trial.lost_replies().await?;
-    trial.outage().await?;
-    trial.set_back().await?;
-    Ok(trial.end())
+    let mut editor = Editor::new(site, context.seed).await?;
+    editor.idle_store_calls().await;
+    editor.races().await?;
+    editor.bad_edits().await?;
+    editor.silent_watches().await?;
+    editor.lost_replies().await?;
+    editor.outage().await?;
+    editor.set_back().await?;
+    Ok(editor.end())
 }
 
-struct Trial {
+/// Edits the document of one service and checks how the site's VMs apply the edits.
+struct Editor {
     site: site::Site,
     store: store::Client,
     observer: generations::Observer,
     random: rand::rngs::StdRng,
     outcome: outcome::Outcome,
-    /// The deadline that the last edit set, so that each edit differs.
+    /// Deadline in ms that the last edit set; each edit sets another one.
     deadline: u64,
 }
 
-impl Trial {
+impl Editor {
     async fn new(site: site::Site, seed: u64) -> Result<Self, measure::Error> {
-        let store = site.store().map_err(other)?;
+        let store = site.store().map_err(store_error)?;
         let observer = generations::Observer::start(&site, SERVICE)?;
-        let mut trial = Self {
+        let mut editor = Self {
             site,
             store,
             observer,
@@ -74,21 +76,21 @@
             outcome: outcome::Outcome::default(),
             deadline: 2000,
         };
-        // The site's own document comes into force first.
-        let first = trial.accepted().map_or(1, |record| record.generation.0);
-        if trial.observer.everywhere(first.max(1)).await.is_none() {
-            trial.violate(IN_FORCE, "the first document is not in force at all VMs");
+        // Wait until the document that the site starts with is in force.
+        let first = editor.accepted().map_or(1, |record| record.generation.0);
+        if editor.observer.applied_by_all(first.max(1)).await.is_none() {
+            editor.violate(IN_FORCE, "the first document is not in force on all VMs");
         }
-        Ok(trial)
+        Ok(editor)
     }
 
-    /// Store calls of a site without requests.
-    async fn idle(&mut self) {
+    /// Measures the store calls of a site without requests.
+    async fn idle_store_calls(&mut self) {
         let before = self.site.platform.state().counts();
-        let span = time::Duration::from_secs(10);
-        clock::sleep(span).await;
+        let duration = time::Duration::from_secs(10);
+        clock::sleep(duration).await;
         let after = self.site.platform.state().counts();
-        let per_vm = |count: u64| count as f64 / span.as_secs_f64() / f64::from(site::VMS);
+        let per_vm = |count: u64| count as f64 / duration.as_secs_f64() / f64::from(site::VMS);
         let reads =
             |counts: &crate::platform::Counts| counts.get + counts.list + counts.watch + counts.vms;
         let (reads, writes) = (reads(&after) - reads(&before), after.put - before.put);
@@ -97,30 +99,31 @@
             .figure("idle_store_writes_per_s", per_vm(writes));
     }
 
-    /// Two operators read the same version and write over it.
+    /// Lets two operators replace the same version; one of them must get a conflict.
     async fn races(&mut self) -> Result<(), measure::Error> {
         for _ in 0..RACES {
             let base = self.version().await?;
-            let (mine, theirs) = (self.next_text(), self.next_text());
-            let (one, two) = tokio::join!(
-                self.put(&mine.1, store::Condition::Version(base)),
-                self.put(&theirs.1, store::Condition::Version(base)),
+            let (first_text, second_text) = (self.next_text(), self.next_text());
+            let (first, second) = tokio::join!(
+                self.put(&first_text.1, store::Condition::Version(base)),
+                self.put(&second_text.1, store::Condition::Version(base)),
             );
-            let won = match (&one, &two) {
-                (Ok(_), Err(store::Error::Conflict { .. })) => mine.0,
-                (Err(store::Error::Conflict { .. }), Ok(_)) => theirs.0,
+            let winner = match (&first, &second) {
+                (Ok(_), Err(store::Error::Conflict { .. })) => first_text.0,
+                (Err(store::Error::Conflict { .. }), Ok(_)) => second_text.0,
                 _ => {
-                    let seen = format!("over version {base}: {one:?} and {two:?}");
-                    self.violate(RACED, seen);
+                    let seen = format!("over version {base}: {first:?} and {second:?}");
+                    self.violate(RACE_CONFLICT, seen);
                     continue;
                 }
             };
-            self.in_force("race", won).await;
+            self.await_in_force("race", winner).await;
         }
         Ok(())
     }
 
-    /// Texts with findings: nothing changes, and the status says why.
+    /// Writes invalid texts; they must change nothing and the status must report the
+    /// findings.
     async fn bad_edits(&mut self) -> Result<(), measure::Error> {
         for number in 0..BAD_EDITS {
             let before = self.accepted();
@@ -129,75 +132,79 @@
                 1 => "{\"team\": \"a\", \"dedline_ms\": 10}",
                 _ => "{\"team\": \"a\",, }",
             };
-            let version = self.put(text, store::Condition::Any).await.map_err(other)?;
-            clock::sleep(QUIET).await;
+            let version = self
+                .put(text, store::Condition::Any)
+                .await
+                .map_err(store_error)?;
+            clock::sleep(CHECK_DELAY).await;
             if self.accepted() != before {
                 self.violate(REFUSED, format!("{text} changed the accepted record"));
             }
-            let told = self.status().map(|status| status.document);
-            let refused = matches!(&told, Some(document::Verdict::Refused { version: of, findings })
+            let verdict = self.status().map(|status| status.document);
+            let refused = matches!(&verdict, Some(document::Verdict::Refused { version: of, findings })
                 if *of == version && !findings.is_empty());
             if !refused {
-                self.violate(REFUSED, format!("the status tells {told:?} of {text}"));
+                self.violate(REFUSED, format!("status after {text}: {verdict:?}"));
             }
         }
         let (deadline, text) = self.next_text();
         self.put(&text, store::Condition::Any)
             .await
-            .map_err(other)?;
-        self.in_force("after_bad_edits", deadline).await;
+            .map_err(store_error)?;
+        self.await_in_force("after_bad_edits", deadline).await;
         Ok(())
     }
 
-    /// No watch reports a change any more; listing must find it.
-    async fn deaf_watches(&mut self) -> Result<(), measure::Error> {
+    /// Edits while watches report no changes; VMs must find the edits by listing.
+    async fn silent_watches(&mut self) -> Result<(), measure::Error> {
         let state = self.site.platform.state();
         state.set_faults(|faults| faults.deaf_watches = true);
         for _ in 0..3 {
             let (deadline, text) = self.next_text();
             self.put(&text, store::Condition::Any)
                 .await
-                .map_err(other)?;
-            self.in_force("deaf_watch", deadline).await;
+                .map_err(store_error)?;
+            self.await_in_force("deaf_watch", deadline).await;
         }
         let state = self.site.platform.state();
         state.set_faults(|faults| faults.deaf_watches = false);
         Ok(())
     }
 
-    /// Half of the replies to writes are lost after the writes took effect.
+    /// Edits while half of the replies to writes are lost after the write took effect;
+    /// each edit must be accepted exactly once.
     async fn lost_replies(&mut self) -> Result<(), measure::Error> {
         for _ in 0..4 {
             let before = self.accepted().map_or(0, |record| record.generation.0);
             let (deadline, text) = self.next_text();
             self.put(&text, store::Condition::Any)
                 .await
-                .map_err(other)?;
+                .map_err(store_error)?;
             let state = self.site.platform.state();
             state.set_faults(|faults| faults.lose_replies = 0.5);
-            self.in_force("lost_reply", deadline).await;
+            self.await_in_force("lost_reply", deadline).await;
             let state = self.site.platform.state();
             state.set_faults(|faults| faults.lose_replies = 0.0);
             let after = self.accepted().map_or(0, |record| record.generation.0);
             if after != before + 1 {
-                let seen = format!("one edit took generation {before} to {after}");
+                let seen = format!("one edit changed the generation from {before} to {after}");
                 self.violate("an edit is accepted once", seen);
             }
         }
         Ok(())
     }
 
-    /// The store is out, and a VM is replaced meanwhile.
+    /// Replaces a VM while the store is down.
     async fn outage(&mut self) -> Result<(), measure::Error> {
         let state = self.site.platform.state();
         state.set_faults(|faults| faults.down = true);
         clock::sleep(time::Duration::from_secs(2)).await;
         let generation = self.accepted().map_or(0, |record| record.generation.0);
-        let lost = self.random.random_range(0..self.site.nodes.len());
-        self.site.kill(lost);
+        let index = self.random.random_range(0..self.site.nodes.len());
+        self.site.kill(index);
         let started = clock::Instant::now();
         self.site.add().await?;
-        self.observer.follow(&self.site);
+        self.observer.set_targets(&self.site);
         match self.site.ready().await {
             Ok(()) => {
                 let took = started.elapsed().as_secs_f64() * 1000.0;
@@ -205,22 +212,23 @@
             }
             Err(error) => self.violate("a new VM starts while the store is out", error.to_string()),
         }
-        if self.observer.everywhere(generation).await.is_none() {
-            let seen = format!("the new VM doesn't apply generation {generation}");
-            self.violate(FELL_BACK, seen);
+        if self.observer.applied_by_all(generation).await.is_none() {
+            let seen = format!("the new VM does not apply generation {generation}");
+            self.violate(NEVER_REVERTS, seen);
         }
-        clock::sleep(OUTAGE.saturating_sub(started.elapsed())).await;
+        clock::sleep(OUTAGE_DURATION.saturating_sub(started.elapsed())).await;
         let state = self.site.platform.state();
         state.set_faults(|faults| faults.down = false);
         let (deadline, text) = self.next_text();
         self.put(&text, store::Condition::Any)
             .await
-            .map_err(other)?;
-        self.in_force("after_outage", deadline).await;
+            .map_err(store_error)?;
+        self.await_in_force("after_outage", deadline).await;
         Ok(())
     }
 
-    /// The store shows an earlier state, and a VM starts from it.
+    /// Returns the store to an earlier state and starts a VM from it; no VM may apply an
+    /// earlier generation.
     async fn set_back(&mut self) -> Result<(), measure::Error> {
         let old = self
             .site
@@ -231,66 +239,66 @@
             let (deadline, text) = self.next_text();
             self.put(&text, store::Condition::Any)
                 .await
-                .map_err(other)?;
-            self.in_force("before_set_back", deadline).await;
+                .map_err(store_error)?;
+            self.await_in_force("before_set_back", deadline).await;
         }
         let generation = self.accepted().map_or(0, |record| record.generation.0);
         self.site.platform.state().objects(|objects| *objects = old);
         self.site.add().await?;
         self.site.ready().await?;
-        self.observer.follow(&self.site);
-        clock::sleep(4 * QUIET).await;
+        self.observer.set_targets(&self.site);
+        clock::sleep(4 * CHECK_DELAY).await;
         let lowest = self.observer.lowest();
         if lowest < generation {
-            let seen = format!("generation {generation} was in force, a VM applies {lowest}");
-            self.violate(FELL_BACK, seen);
+            let seen = format!("generation {generation} was in force, but a VM applies {lowest}");
+            self.violate(NEVER_REVERTS, seen);
         }
         let (deadline, text) = self.next_text();
         self.put(&text, store::Condition::Any)
             .await
-            .map_err(other)?;
-        self.in_force("after_set_back", deadline).await;
+            .map_err(store_error)?;
+        self.await_in_force("after_set_back", deadline).await;
         Ok(())
     }
 
     fn end(mut self) -> outcome::Outcome {
-        for (vm, before, after) in self.observer.fallen() {
+        for (vm, before, after) in self.observer.regressions() {
             self.violate(
-                FELL_BACK,
+                NEVER_REVERTS,
                 format!("{vm} went from generation {before} to {after}"),
             );
         }
         self.outcome
     }
 
-    /// Waits until the edit is accepted and in force at all VMs; keeps the
-    /// longest times of each kind, counted from the write and from acceptance.
-    async fn in_force(&mut self, kind: &str, deadline: u64) {
+    /// Waits until the edit is accepted and then in force on all VMs. Adds the longest
+    /// time of each `kind` from write to acceptance and from acceptance to in force.
+    async fn await_in_force(&mut self, kind: &str, deadline: u64) {
         let written = clock::Instant::now();
         let Some(record) = self.await_accepted(deadline).await else {
-            let seen = format!("the edit to deadline {deadline} ms ({kind}) is in no record");
+            let seen = format!("the edit to deadline {deadline} ms ({kind}) was not accepted");
             return self.violate("no accepted edit is lost", seen);
         };
         let accepted = clock::Instant::now();
         let generation = record.generation.0;
-        let Some(at) = self.observer.everywhere(generation).await else {
-            let seen = format!("generation {generation} ({kind}) is not in force at all VMs");
+        let Some(at) = self.observer.applied_by_all(generation).await else {
+            let seen = format!("generation {generation} ({kind}) is not in force on all VMs");
             return self.violate(IN_FORCE, seen);
         };
         let took = at.saturating_duration_since(accepted);
-        self.longest(&format!("{kind}_accepted_max_ms"), accepted - written);
-        self.longest(&format!("{kind}_in_force_max_ms"), took);
-        self.longest("in_force_max_ms", took);
+        self.keep_max(&format!("{kind}_accepted_max_ms"), accepted - written);
+        self.keep_max(&format!("{kind}_in_force_max_ms"), took);
+        self.keep_max("in_force_max_ms", took);
     }
 
-    fn longest(&mut self, name: &str, took: time::Duration) {
+    fn keep_max(&mut self, name: &str, took: time::Duration) {
         let millis = took.as_secs_f64() * 1000.0;
         let before = self.outcome.figures.get(name).copied().unwrap_or(0.0);
         self.outcome.figure(name, millis.max(before));
     }
 
     async fn await_accepted(&self, deadline: u64) -> Option<keeper::Accepted> {
-        let until = clock::Instant::now() + LOST;
+        let until = clock::Instant::now() + ACCEPT_TIMEOUT;
         while clock::Instant::now() < until {
             let wanted = time::Duration::from_millis(deadline);
             let found = self
@@ -324,10 +332,10 @@
 
     async fn version(&self) -> Result<ids::ObjectVersion, measure::Error> {
         let text = self.store.get(&document::text_key(&service())).await;
-        text.map(|object| object.version).map_err(other)
+        text.map(|object| object.version).map_err(store_error)
     }
 
-    /// The accepted record as it is, whatever the store's faults.
+    /// Returns the accepted record as stored, unaffected by the store's faults.
     fn accepted(&self) -> Option<keeper::Accepted> {
         self.object(&document::accepted_key(&service()))
     }
@@ -356,8 +364,8 @@
     SERVICE.parse().expect("a valid name")
 }
 
-fn other(error: store::Error) -> measure::Error {
+fn store_error(error: store::Error) -> measure::Error {
     measure::Error::Other {
-        what: error.to_string(),
+        message: error.to_string(),
     }
 }
--- a/crates/standin/src/measure/drain.rs
+++ b/crates/standin/src/measure/drain.rs
@@ -1,5 +1,5 @@
-//! Upstreams drain under load: one whose health report lags, one whose report
-//! lies, and both come back.
+//! Two upstreams drain under load and return. The health report of one lags, that of
+//! the other keeps claiming that it is up.
 
 use std::time;
 
@@ -19,57 +19,70 @@
     run: |context| Box::pin(run(context)),
 };
 
-/// A leaving upstream gets no new work.
+/// Promise that a draining upstream gets no new calls.
 const NO_NEW_WORK: &str = "no new work at a leaving upstream after 2 s";
-/// Work that runs at a leaving upstream is finished.
-const NOT_CUT: &str = "no running call is cut at a leaving upstream";
+/// Promise that calls which run at a draining upstream are finished.
+const NOT_CANCELLED: &str = "no running call is cut at a leaving upstream";
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.15;
-const SPAN: time::Duration = time::Duration::from_secs(12);
-const START: time::Duration = time::Duration::from_secs(2);
-const GRACE: time::Duration = time::Duration::from_secs(2);
-const DRAIN: time::Duration = time::Duration::from_secs(4);
-const LAG_MS: u64 = 1500;
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.15;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(12);
+/// Time until the faults are set, from the start of the load.
+const FAULTS_AT: time::Duration = time::Duration::from_secs(2);
+/// Time after which a draining upstream must get no new calls.
+const DRAIN_GRACE_PERIOD: time::Duration = time::Duration::from_secs(2);
+/// Time for which new calls at a draining upstream are counted.
+const DRAIN_DURATION: time::Duration = time::Duration::from_secs(4);
+/// Delay of both upstreams' health reports.
+const HEALTH_LAG_MS: u64 = 1500;
 
-/// Calls that must run at upstreams when they begin to drain.
-const ENOUGH: usize = 4;
-/// How long these calls run, and how long one cut by the drain may take to show.
-const LONG: time::Duration = time::Duration::from_millis(200);
+/// Calls that must be running before the upstreams start to drain.
+const MIN_RUNNING_CALLS: usize = 4;
+/// Extra time that these calls take, and the time for which cancellations are counted.
+const LONG_CALL_DURATION: time::Duration = time::Duration::from_millis(200);
 
-/// What a leaving upstream was sent.
-struct Seen {
+/// Calls that an upstream got while it drained and afterwards.
+struct DrainedUpstream {
     upstream: String,
-    late: u64,
-    back: u64,
+    /// Calls that arrived later than `DRAIN_GRACE_PERIOD` after the drain began.
+    arrived_late: u64,
+    /// Calls started after the drain ended.
+    started_after: u64,
 }
 
-/// What became of calls that ran when their upstreams began to drain.
-struct Cut {
+/// Calls that ran when their upstreams started to drain.
+struct RunningCalls {
     running: usize,
     cancelled: u64,
 }
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench =
-        searches::Bench::start(context, site::Spec::small(SERVICE, SHARDS), LOAD, SPAN).await?;
+    let bench = searches::Bench::start(
+        context,
+        site::Spec::small(SERVICE, SHARDS),
+        LOAD_SHARE,
+        LOAD_DURATION,
+    )
+    .await?;
     let service = bench.service();
-    let (lags, lies) = (service.replica(0, 0), service.replica(1, 1));
-    let (found, lags, lies) = tokio::join!(bench.send(), drain(lags, false), drain(lies, true),);
-    let found = found?;
-    let mut out = bench.sum(&found).await?;
-    for (name, seen) in [("lagging", lags), ("lying", lies)] {
-        seen.into_outcome(name, &mut out);
+    let (lagging, lying) = (service.replica(0, 0), service.replica(1, 1));
+    let (results, lagging, lying) =
+        tokio::join!(bench.send(), drain(lagging, false), drain(lying, true),);
+    let results = results?;
+    let mut out = bench.summarize(&results).await?;
+    for (name, drained) in [("lagging", lagging), ("lying", lying)] {
+        drained.add_to(name, &mut out);
     }
     drop(bench);
-    long_calls(context).await?.into_outcome(&mut out);
+    long_calls(context).await?.add_to(&mut out);
     Ok(out)
 }
 
-/// Drains one upstream of each shard while long calls run there. Without
-/// hedges, no call has a reason to be cancelled.
-async fn long_calls(context: measure::Context) -> Result<Cut, measure::Error> {
+/// Drains one upstream of each shard while long calls run there. Hedging is off, as
+/// a hedge that wins would cancel the other call.
+async fn long_calls(context: measure::Context) -> Result<RunningCalls, measure::Error> {
     let mut config = site::Config::new(vec![site::Spec::small(SERVICE, 4)]);
     config.policy = match context.policy {
         query::Policy::Full => query::Policy::NoHedge,
@@ -78,75 +91,78 @@
     config.seed = context.seed;
     let site = site::Site::start(config).await?;
     let service = site.service(SERVICE);
-    let leaving = || (0..4).map(|shard| service.replica(shard, 0).state());
-    let delay = u64::try_from(LONG.as_millis()).unwrap_or_default();
-    leaving().for_each(|state| state.set_faults(|faults| faults.delay_ms = delay));
-    let drains = async {
-        let running = || leaving().map(upstream::State::running).sum::<usize>();
-        while running() < ENOUGH {
+    let drained = || (0..4).map(|shard| service.replica(shard, 0).state());
+    let delay = u64::try_from(LONG_CALL_DURATION.as_millis()).unwrap_or_default();
+    drained().for_each(|state| state.set_faults(|faults| faults.delay_ms = delay));
+    let draining = async {
+        let running = || drained().map(upstream::State::running).sum::<usize>();
+        while running() < MIN_RUNNING_CALLS {
             tokio::time::sleep(time::Duration::from_millis(1)).await;
         }
         let running = running();
         let before = service.counts().cancelled;
-        leaving().for_each(|state| state.set_faults(|faults| faults.draining = true));
-        tokio::time::sleep(LONG).await;
+        drained().for_each(|state| state.set_faults(|faults| faults.draining = true));
+        tokio::time::sleep(LONG_CALL_DURATION).await;
         let cancelled = service.counts().cancelled - before;
-        Cut { running, cancelled }
+        RunningCalls { running, cancelled }
     };
-    let span = time::Duration::from_secs(3);
+    let duration = time::Duration::from_secs(3);
     let load = searches::Load {
         rate: 60.0,
-        span,
+        duration,
         seed: context.seed,
     };
-    let (found, cut) = tokio::join!(searches::send(&site, SERVICE, load), drains);
-    found?;
-    Ok(cut)
+    let (results, calls) = tokio::join!(searches::send(&site, SERVICE, load), draining);
+    results?;
+    Ok(calls)
 }
 
-async fn drain(server: &upstream::Server, lies: bool) -> Seen {
+async fn drain(server: &upstream::Server, lies: bool) -> DrainedUpstream {
     let state = server.state();
-    tokio::time::sleep(START).await;
+    tokio::time::sleep(FAULTS_AT).await;
     state.set_faults(|faults| {
-        faults.health_lag_ms = LAG_MS;
+        faults.health_lag_ms = HEALTH_LAG_MS;
         faults.health_lie = lies.then(|| "up".to_owned());
     });
-    tokio::time::sleep(time::Duration::from_millis(LAG_MS)).await;
+    tokio::time::sleep(time::Duration::from_millis(HEALTH_LAG_MS)).await;
     state.set_faults(|faults| faults.draining = true);
-    tokio::time::sleep(GRACE).await;
+    tokio::time::sleep(DRAIN_GRACE_PERIOD).await;
     let early = state.counts();
-    tokio::time::sleep(DRAIN).await;
-    let late = state.counts();
+    tokio::time::sleep(DRAIN_DURATION).await;
+    let drained = state.counts();
     state.set_faults(|faults| {
         faults.draining = false;
         faults.health_lie = None;
     });
-    tokio::time::sleep(time::Duration::from_millis(LAG_MS) + GRACE).await;
-    Seen {
+    tokio::time::sleep(time::Duration::from_millis(HEALTH_LAG_MS) + DRAIN_GRACE_PERIOD).await;
+    DrainedUpstream {
         upstream: state.config().id.to_string(),
-        late: late.arrived_draining - early.arrived_draining,
-        back: state.counts().started - late.started,
+        arrived_late: drained.arrived_draining - early.arrived_draining,
+        started_after: state.counts().started - drained.started,
     }
 }
 
-impl Seen {
-    fn into_outcome(self, name: &str, out: &mut outcome::Outcome) {
-        out.figure(format!("{name}_arrived_after_2s"), self.late as f64);
-        out.figure(format!("{name}_started_once_back"), self.back as f64);
-        if self.late > 0 {
-            let seen = format!("{}: {} calls arrived", self.upstream, self.late);
+impl DrainedUpstream {
+    fn add_to(self, name: &str, out: &mut outcome::Outcome) {
+        out.figure(format!("{name}_arrived_after_2s"), self.arrived_late as f64);
+        out.figure(
+            format!("{name}_started_once_back"),
+            self.started_after as f64,
+        );
+        if self.arrived_late > 0 {
+            let seen = format!("{}: {} calls arrived", self.upstream, self.arrived_late);
             out.violate(NO_NEW_WORK, "-", seen);
         }
     }
 }
 
-impl Cut {
-    fn into_outcome(self, out: &mut outcome::Outcome) {
+impl RunningCalls {
+    fn add_to(self, out: &mut outcome::Outcome) {
         out.figure("running_at_drain", self.running as f64);
         out.figure("cancelled_at_drain", self.cancelled as f64);
         if self.cancelled > 0 {
             let seen = format!("{} of {} calls", self.cancelled, self.running);
-            out.violate(NOT_CUT, "-", seen);
+            out.violate(NOT_CANCELLED, "-", seen);
         }
     }
 }
--- a/crates/standin/src/measure/fanout.rs
+++ b/crates/standin/src/measure/fanout.rs
@@ -1,4 +1,4 @@
-//! The same with 240 shards a query.
+//! Like `straggler`, but each query asks 240 shards.
 
 use std::time;
 
@@ -18,11 +18,12 @@
 
 const SERVICE: &str = "wide";
 const SHARDS: usize = 240;
-const RATE: f64 = 10.0;
-/// Long enough that the stand-ins' own work on one machine doesn't blur it.
+const SEARCHES_PER_S: f64 = 10.0;
+/// Long enough that the stand-ins' own processing on the same machine doesn't distort
+/// the latencies.
 const WORK_MS: f64 = 10.0;
-const SPAN: time::Duration = time::Duration::from_secs(15);
-const WARM_UP: time::Duration = time::Duration::from_secs(3);
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(15);
+const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(3);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<measure::outcome::Outcome, measure::Error> {
@@ -31,9 +32,25 @@
     let site = context.site(spec).await?;
     let service = site.service(SERVICE);
     service.set_faults(|faults| faults.straggler_share = 0.01);
-    straggler::searches(&site, SERVICE, RATE, WARM_UP, context.seed, DEADLINE).await?;
+    straggler::tally_searches(
+        &site,
+        SERVICE,
+        SEARCHES_PER_S,
+        WARM_UP_DURATION,
+        context.seed,
+        DEADLINE,
+    )
+    .await?;
     let before = service.counts().arrived();
     let seed = context.seed + 1;
-    let tally = straggler::searches(&site, SERVICE, RATE, SPAN, seed, DEADLINE).await?;
+    let tally = straggler::tally_searches(
+        &site,
+        SERVICE,
+        SEARCHES_PER_S,
+        LOAD_DURATION,
+        seed,
+        DEADLINE,
+    )
+    .await?;
     Ok(tally.outcome(service.counts().arrived() - before))
 }
--- a/crates/standin/src/measure/generations.rs
+++ b/crates/standin/src/measure/generations.rs
@@ -1,4 +1,5 @@
-//! Which generation of a service each VM applies, as its `/metrics` tell.
+//! Observes in each VM's `/metrics` which generation of a service's document the VM
+//! applies.
 
 use std::collections;
 use std::net;
@@ -11,14 +12,14 @@
 use crate::measure;
 use crate::site;
 
-/// Time between two readings of a VM.
-const ROUND: time::Duration = time::Duration::from_millis(25);
-/// Longest wait for a VM's answer.
-const PATIENCE: time::Duration = time::Duration::from_secs(2);
-/// A generation that isn't everywhere by then counts as lost.
-const LOST: time::Duration = time::Duration::from_secs(30);
+/// Delay between two reads of the VMs' metrics.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(25);
+/// Timeout of a request for a VM's metrics.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Longest wait for a generation to be applied by all VMs.
+const ROLLOUT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Reads all VMs of a site round by round until it is dropped.
+/// Polls the metrics of a site's VMs until it is dropped.
 pub(super) struct Observer {
     shared: sync::Arc<sync::Mutex<Shared>>,
     task: tokio::task::JoinHandle<()>,
@@ -26,28 +27,35 @@
 
 #[derive(Default)]
 struct Shared {
+    /// VMs to poll.
     targets: Vec<(ids::Vm, net::SocketAddr)>,
-    /// When each VM was first seen at each generation.
-    first: collections::BTreeMap<(ids::Vm, u64), clock::Instant>,
-    now: collections::BTreeMap<ids::Vm, u64>,
-    fallen: Vec<(ids::Vm, u64, u64)>,
+    /// Time at which each VM was first seen to apply each generation.
+    first_seen: collections::BTreeMap<(ids::Vm, u64), clock::Instant>,
+    /// Generation that each VM applied when it was last polled.
+    current: collections::BTreeMap<ids::Vm, u64>,
+    /// VMs that went back to a lower generation, with both generations.
+    regressions: Vec<(ids::Vm, u64, u64)>,
 }
 
 impl Shared {
-    fn note(&mut self, vm: ids::Vm, generation: u64) {
-        let before = self.now.insert(vm.clone(), generation).unwrap_or(0);
+    fn record(&mut self, vm: ids::Vm, generation: u64) {
+        let before = self.current.insert(vm.clone(), generation).unwrap_or(0);
         if generation < before {
-            self.fallen.push((vm.clone(), before, generation));
+            self.regressions.push((vm.clone(), before, generation));
         }
         let at = clock::Instant::now();
-        self.first.entry((vm, generation)).or_insert(at);
+        self.first_seen.entry((vm, generation)).or_insert(at);
     }
 
-    /// When the last VM was first seen at `generation` or above.
-    fn everywhere(&self, generation: u64) -> Option<clock::Instant> {
+    /// Returns when the last VM reached `generation` or a higher one; `None` while
+    /// some VM hasn't.
+    fn applied_by_all(&self, generation: u64) -> Option<clock::Instant> {
         let reached = |vm: &ids::Vm| {
             let from = (vm.clone(), generation);
-            let seen = self.first.range(from..).take_while(|((of, _), _)| of == vm);
+            let seen = self
+                .first_seen
+                .range(from..)
+                .take_while(|((of, _), _)| of == vm);
             seen.map(|(_, at)| *at).min()
         };
         let all = self.targets.iter().map(|(vm, _)| reached(vm));
@@ -56,43 +64,48 @@
 }
 
 impl Observer {
-    /// Observes `service` at the VMs that `site` has now.
+    /// Starts to observe `service` on the VMs that `site` has now.
     pub(super) fn start(site: &site::Site, service: &str) -> Result<Self, measure::Error> {
-        let client = reqwest::Client::builder().timeout(PATIENCE).build()?;
+        let client = reqwest::Client::builder()
+            .timeout(REQUEST_TIMEOUT)
+            .build()?;
         let shared = sync::Arc::new(sync::Mutex::new(Shared::default()));
-        let task = tokio::spawn(rounds(client, shared.clone(), service.to_owned()));
+        let task = tokio::spawn(poll(client, shared.clone(), service.to_owned()));
         let observer = Self { shared, task };
-        observer.follow(site);
+        observer.set_targets(site);
         Ok(observer)
     }
 
-    /// Follows the VMs that `site` has now.
-    pub(super) fn follow(&self, site: &site::Site) {
+    /// Replaces the observed VMs by those that `site` has now.
+    pub(super) fn set_targets(&self, site: &site::Site) {
         let target = |node: &site::Node| (node.vm().clone(), node.operators());
         lock(&self.shared).targets = site.nodes.iter().map(target).collect();
     }
 
-    /// Waits until every VM applies `generation`; `None` where that doesn't come.
-    pub(super) async fn everywhere(&self, generation: u64) -> Option<clock::Instant> {
-        let until = clock::Instant::now() + LOST;
+    /// Waits until every VM has applied `generation` or a higher one and returns when
+    /// the last did; `None` after `ROLLOUT_TIMEOUT`.
+    pub(super) async fn applied_by_all(&self, generation: u64) -> Option<clock::Instant> {
+        let until = clock::Instant::now() + ROLLOUT_TIMEOUT;
         while clock::Instant::now() < until {
-            if let Some(at) = lock(&self.shared).everywhere(generation) {
+            if let Some(at) = lock(&self.shared).applied_by_all(generation) {
                 return Some(at);
             }
-            clock::sleep(ROUND).await;
+            clock::sleep(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// VMs that were seen to apply a lower generation than before.
-    pub(super) fn fallen(&self) -> Vec<(ids::Vm, u64, u64)> {
-        lock(&self.shared).fallen.clone()
+    /// Returns the VMs that went back to a lower generation, with the generations
+    /// before and after.
+    pub(super) fn regressions(&self) -> Vec<(ids::Vm, u64, u64)> {
+        lock(&self.shared).regressions.clone()
     }
 
-    /// The lowest generation that a VM applies now.
+    /// Returns the lowest generation that an observed VM applies now.
     pub(super) fn lowest(&self) -> u64 {
         let shared = lock(&self.shared);
-        let of = |(vm, _): &(ids::Vm, net::SocketAddr)| shared.now.get(vm).copied().unwrap_or(0);
+        let of =
+            |(vm, _): &(ids::Vm, net::SocketAddr)| shared.current.get(vm).copied().unwrap_or(0);
         shared.targets.iter().map(of).min().unwrap_or(0)
     }
 }
@@ -103,7 +116,7 @@
     }
 }
 
-async fn rounds(client: reqwest::Client, shared: sync::Arc<sync::Mutex<Shared>>, service: String) {
+async fn poll(client: reqwest::Client, shared: sync::Arc<sync::Mutex<Shared>>, service: String) {
     loop {
         let targets = lock(&shared).targets.clone();
         let read = targets.into_iter().map(|(vm, address)| {
@@ -112,10 +125,10 @@
         });
         for (vm, generation) in futures_util::future::join_all(read).await {
             if let Some(generation) = generation {
-                lock(&shared).note(vm, generation);
+                lock(&shared).record(vm, generation);
             }
         }
-        clock::sleep(ROUND).await;
+        clock::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/standin/src/measure/load.rs
+++ b/crates/standin/src/measure/load.rs
@@ -1,4 +1,4 @@
-//! A caller: sends searches and registrations through the balancer.
+//! Load generator: sends searches and registrations through the balancer.
 
 use std::sync;
 use std::time;
@@ -10,82 +10,83 @@
 use crate::measure::check;
 use crate::site;
 
-/// Added to the deadline before a caller gives up on an answer.
-const PATIENCE: time::Duration = time::Duration::from_secs(5);
+/// Time after a request's deadline at which the caller stops waiting for the reply.
+const REPLY_GRACE_PERIOD: time::Duration = time::Duration::from_secs(5);
 
-/// Sends requests. Cheap to clone.
+/// Client that sends requests to the VMs that the balancer picks. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: reqwest::Client,
     balancer: sync::Arc<site::Balancer>,
 }
 
-/// What came back for one request.
+/// Result of one request.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// The VM asked; `None` where the balancer had none.
+    /// VM that the request was sent to; `None` if no VM was ready.
     pub vm: Option<ids::Vm>,
-    /// From sending to the whole answer.
+    /// Time from sending the request to the end of the reply.
     pub took: time::Duration,
-    /// The deadline sent.
+    /// Deadline that was sent with the request.
     pub deadline: time::Duration,
-    /// Status and body, or why there is none.
+    /// Status and body, or why there was no reply.
     pub reply: Result<Reply, Lost>,
 }
 
-/// An answer over HTTP.
+/// HTTP reply.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body, `null` where it is no JSON.
+    /// Body; `null` if it isn't JSON.
     pub body: serde_json::Value,
 }
 
-/// No answer came.
+/// Reason why a request got no reply.
 #[derive(Debug, Clone)]
 pub enum Lost {
-    /// Nothing was sent: no VM was ready or it took no connection.
+    /// Nothing was sent: no VM was ready, or the connection could not be opened.
     Unsent(String),
-    /// The connection broke or stayed silent after it was sent.
+    /// The request was sent, but the connection broke or no reply came in time.
     Sent(String),
 }
 
 impl Sample {
-    /// The request's id as the caller was told, `-` where it was told none.
+    /// Returns the request id in the reply, or `-` if there is none.
     pub fn request_id(&self) -> String {
-        let told = self
+        let id = self
             .reply
             .as_ref()
             .ok()
             .and_then(|reply| reply.body["request_id"].as_str());
-        told.unwrap_or("-").to_owned()
+        id.unwrap_or("-").to_owned()
     }
 
-    /// Whether it is an answer with status 200.
+    /// Returns whether the reply has status 200.
     pub fn answered(&self) -> bool {
         self.reply.as_ref().is_ok_and(|reply| reply.status == 200)
     }
 
-    /// `no` or `unknown` of a refusal.
+    /// Returns whether a refused request ran, `no` or `unknown`; `None` if it wasn't
+    /// refused.
     pub fn ran(&self) -> Option<&str> {
         self.reply.as_ref().ok()?.body["error"]["ran"].as_str()
     }
 }
 
 impl Caller {
-    /// A caller of `site`.
+    /// Creates a caller that uses the balancer of `site`.
     ///
     /// # Errors
-    /// Where the HTTP client can't be set up.
+    /// Returns an error if the HTTP client can't be built.
     pub fn new(site: &site::Site) -> Result<Self, reqwest::Error> {
         Self::through(sync::Arc::clone(&site.balancer))
     }
 
-    /// A caller through a balancer.
+    /// Creates a caller that uses `balancer`.
     ///
     /// # Errors
-    /// Where the HTTP client can't be set up.
+    /// Returns an error if the HTTP client can't be built.
     pub fn through(balancer: sync::Arc<site::Balancer>) -> Result<Self, reqwest::Error> {
         let client = reqwest::Client::builder()
             .tcp_nodelay(true)
@@ -107,16 +108,16 @@
             .await
     }
 
-    /// Sends a registration, to another VM than `but`.
+    /// Sends a registration to a VM other than `exclude`.
     pub async fn register(
         &self,
         service: &ids::Service,
         key: &str,
         record: &serde_json::Value,
         deadline: time::Duration,
-        but: Option<&ids::Vm>,
+        exclude: Option<&ids::Vm>,
     ) -> Sample {
-        self.send(service, "records", Some(key), record, deadline, but)
+        self.send(service, "records", Some(key), record, deadline, exclude)
             .await
     }
 
@@ -127,10 +128,10 @@
         key: Option<&str>,
         body: &serde_json::Value,
         deadline: time::Duration,
-        but: Option<&ids::Vm>,
+        exclude: Option<&ids::Vm>,
     ) -> Sample {
         let start = tokio::time::Instant::now();
-        let Some((vm, address)) = self.balancer.pick(but) else {
+        let Some((vm, address)) = self.balancer.pick(exclude) else {
             let reply = Err(Lost::Unsent("no VM is ready".to_owned()));
             return Sample {
                 vm: None,
@@ -149,7 +150,7 @@
         if let Some(key) = key {
             request = request.header("Idempotency-Key", key);
         }
-        let reply = receive(request.timeout(deadline + PATIENCE)).await;
+        let reply = receive(request.timeout(deadline + REPLY_GRACE_PERIOD)).await;
         Sample {
             vm: Some(vm),
             took: start.elapsed(),
@@ -178,11 +179,11 @@
     })
 }
 
-/// Starts `send` at random times, `rate` a second on average, for `span`,
-/// whether earlier ones are done or not, and waits for all.
+/// Calls `send` at random times for `duration`, on average `rate` times a second,
+/// without waiting for earlier calls, then waits for all of them.
 pub async fn open_loop<F, T>(
     rate: f64,
-    span: time::Duration,
+    duration: time::Duration,
     seed: u64,
     mut send: impl FnMut(u64) -> F,
 ) -> Vec<T>
@@ -194,7 +195,7 @@
     let start = tokio::time::Instant::now();
     let mut due = start;
     let mut tasks = Vec::new();
-    while due < start + span {
+    while due < start + duration {
         tokio::time::sleep_until(due).await;
         tasks.push(tokio::spawn(send(tasks.len() as u64)));
         let gap = -(1.0 - random.random::<f64>()).ln() / rate;
@@ -204,23 +205,23 @@
     done.into_iter().filter_map(Result::ok).collect()
 }
 
-/// Searches to be sent at random times.
+/// Open-loop load of searches.
 #[derive(Debug, Clone, Copy)]
 pub struct Searches {
-    /// Starts the text of each query; fifty different ones follow from the seed.
+    /// Start of each query's text; the seed and a number complete fifty texts.
     pub text: &'static str,
-    /// Searches a second on average.
+    /// Mean number of searches a second.
     pub rate: f64,
-    /// For how long.
-    pub span: time::Duration,
-    /// Seeds the arrivals.
+    /// Time for which searches are sent.
+    pub duration: time::Duration,
+    /// Seed of the arrival times.
     pub seed: u64,
-    /// Deadline of each.
+    /// Deadline of each search.
     pub deadline: time::Duration,
 }
 
 impl Searches {
-    /// Sends them and waits for all; each with its query.
+    /// Sends the searches, waits for all and returns each query with its sample.
     pub async fn send(
         self,
         caller: Caller,
@@ -229,11 +230,11 @@
         let Self {
             text,
             rate,
-            span,
+            duration,
             seed,
             deadline,
         } = self;
-        open_loop(rate, span, seed, move |number| {
+        open_loop(rate, duration, seed, move |number| {
             let (caller, service) = (caller.clone(), service.clone());
             let query = serde_json::json!({ "text": format!("{text} {seed} {}", number % 50) });
             async move {
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios that measure the product against its baseline and check its
-//! promises. Times are figures, never verdicts: only a broken promise fails.
+//! Scenarios that compare the query tier with a baseline and check its promises.
+//! Times are reported but never fail a run; only a broken promise does.
 
 pub mod check;
 pub mod load;
@@ -38,40 +38,41 @@
 
 use crate::site;
 
-/// Why a scenario couldn't be run.
+/// An error that keeps a scenario from running.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
-    /// The site.
+    /// The site could not be started or operated.
     #[display("site: {_0}")]
     Site(site::Error),
-    /// A client.
+    /// An HTTP client could not be built, or a request for metrics failed.
     #[display("HTTP client: {_0}")]
     Client(reqwest::Error),
-    /// Something a scenario needs for its own work.
+    /// Anything else that a scenario could not set up or obtain.
     #[from(ignore)]
-    #[display("{what}")]
+    #[display("{message}")]
     #[error(ignore)]
     Other {
-        /// What couldn't be had.
-        what: String,
+        /// What failed.
+        message: String,
     },
 }
 
-/// What a run is given.
+/// Settings of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct Context {
-    /// Seeds arrivals and faults.
+    /// Seed of the random arrivals and faults.
     pub seed: u64,
-    /// How fan-outs are run.
+    /// Policy by which fan-outs are run.
     pub policy: query::Policy,
 }
 
 impl Context {
-    /// A site of one service and as many VMs as each user has today.
+    /// Starts a site of one service on [`site::VMS`] VMs, as many as each user has
+    /// today.
     ///
     /// # Errors
-    /// Where it can't start.
+    /// Returns an error if the site can't be started.
     pub async fn site(self, spec: site::Spec) -> Result<site::Site, Error> {
         let mut config = site::Config::new(vec![spec]);
         config.policy = self.policy;
@@ -81,23 +82,23 @@
     }
 }
 
-/// A run under way.
+/// Future of a running scenario.
 pub type Run = future::BoxFuture<'static, Result<outcome::Outcome, Error>>;
 
-/// One scenario.
+/// A scenario that can be run from the command line.
 #[derive(Clone, Copy)]
 pub struct Scenario {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it does, in a line.
+    /// One-line description.
     pub about: &'static str,
-    /// The policy it is compared with, where it is about searches.
+    /// Policy to compare with; `None` if the scenario isn't about searches.
     pub baseline: Option<query::Policy>,
-    /// Runs it once.
+    /// Runs the scenario once.
     pub run: fn(Context) -> Run,
 }
 
-/// All scenarios, in the order in which `all` runs them.
+/// All scenarios, in the order in which `measure all` runs them.
 pub const SCENARIOS: &[Scenario] = &[
     straggler::SCENARIO,
     fanout::SCENARIO,
@@ -120,7 +121,7 @@
     crash_query::SCENARIO,
 ];
 
-/// The scenario of that name.
+/// Returns the scenario called `name`.
 pub fn find(name: &str) -> Option<Scenario> {
     SCENARIOS
         .iter()
@@ -128,10 +129,11 @@
         .copied()
 }
 
-/// Runs the baseline, where there is one, and then the policy wanted.
+/// Runs the scenario under its baseline policy, if it has one, and then under the
+/// policy of `context`.
 ///
 /// # Errors
-/// Where the scenario's site or tools can't be had.
+/// Returns an error if the site or a client can't be set up or used.
 pub async fn run(scenario: Scenario, context: Context) -> Result<Report, Error> {
     let baseline = match scenario.baseline {
         Some(policy) => Some((policy, (scenario.run)(Context { policy, ..context }).await?)),
--- a/crates/standin/src/measure/outage.rs
+++ b/crates/standin/src/measure/outage.rs
@@ -1,4 +1,5 @@
-//! The store is down and then slow: registrations are refused, searches go on.
+//! The store is down and then slow: searches continue; registrations are refused while
+//! it is down.
 
 use std::time;
 
@@ -18,16 +19,17 @@
 
 const SERVICE: &str = "landing-intake";
 const SHARDS: usize = 8;
-const SPAN: time::Duration = time::Duration::from_secs(6);
-const SEARCHES: f64 = 60.0;
-const REGISTRATIONS: f64 = 40.0;
+const PHASE_DURATION: time::Duration = time::Duration::from_secs(6);
+const SEARCHES_PER_S: f64 = 60.0;
+const REGISTRATIONS_PER_S: f64 = 40.0;
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
-/// Each call of the slow store takes this much longer.
-const SLOW_MS: u64 = 2500;
-/// A promise of the outage: refused, not held until the deadline.
+/// Extra time that each call to the slow store takes.
+const SLOW_CALL_MS: u64 = 2500;
+/// Promise that registrations are refused while the store is down, rather than held
+/// until their deadlines.
 const REFUSED: &str = "the store's outage refuses registrations as not run";
 
-/// What the store does meanwhile.
+/// State of the store during a part of the scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display(rename_all = "lowercase")]
@@ -45,30 +47,41 @@
     for (number, phase) in phases.into_iter().enumerate() {
         site.platform.state().set_faults(|faults| {
             faults.down = phase == Phase::Down;
-            faults.slow_ms = if phase == Phase::Slow { SLOW_MS } else { 0 };
+            faults.slow_ms = if phase == Phase::Slow {
+                SLOW_CALL_MS
+            } else {
+                0
+            };
         });
         let seed = context.seed + 10 * number as u64;
-        out.absorb(&format!("{phase}_"), step(&site, phase, seed).await?);
+        out.absorb(&format!("{phase}_"), run_phase(&site, phase, seed).await?);
     }
     Ok(out)
 }
 
-async fn step(
+async fn run_phase(
     site: &site::Site,
     phase: Phase,
     seed: u64,
 ) -> Result<measure::outcome::Outcome, measure::Error> {
     let plan = records::Plan {
         prefix: phase.to_string(),
-        rate: REGISTRATIONS,
-        span: SPAN,
+        rate: REGISTRATIONS_PER_S,
+        duration: PHASE_DURATION,
         deadline: DEADLINE,
-        doubles: 0.0,
-        tries: 1,
+        duplicate_share: 0.0,
+        max_attempts: 1,
     };
     let before = site.platform.state().counts();
     let arrived = site.service(SERVICE).counts().arrived();
-    let searches = straggler::searches(site, SERVICE, SEARCHES, SPAN, seed, DEADLINE);
+    let searches = straggler::tally_searches(
+        site,
+        SERVICE,
+        SEARCHES_PER_S,
+        PHASE_DURATION,
+        seed,
+        DEADLINE,
+    );
     let records = records::send(site, SERVICE, &plan, seed + 1);
     let (searches, records) = tokio::join!(searches, records);
     let (searches, records) = (searches?, records?);
@@ -82,13 +95,13 @@
     let refused = after.refused - before.refused;
     out.figure(
         "store_calls_refused_per_s",
-        refused as f64 / SPAN.as_secs_f64(),
+        refused as f64 / PHASE_DURATION.as_secs_f64(),
     );
     Ok(out)
 }
 
-/// How long refusals took; while the store is down, everything is refused as
-/// not run.
+/// Adds the durations of refusals. Checks that every registration is refused as not
+/// run while the store is down.
 fn refusals(records: &records::Tally, phase: Phase, out: &mut measure::outcome::Outcome) {
     let refused = records
         .samples()
@@ -101,22 +114,27 @@
             records::quantile(&took, share),
         );
     }
-    // Without the store there is no claim, and nothing may run without one.
+    // A registration may only run under a claim, and there are no claims without the
+    // store.
     for sample in records.samples().filter(|sample| sample.answered()) {
         if phase == Phase::Down {
-            out.violate(records::ONCE, sample.request_id(), "done without a claim");
+            out.violate(
+                records::AT_MOST_ONCE,
+                sample.request_id(),
+                "done without a claim",
+            );
         }
     }
-    let held = |sample: &&load::Sample| !sample.answered() && sample.ran() != Some("no");
+    let not_refused = |sample: &&load::Sample| !sample.answered() && sample.ran() != Some("no");
     for sample in records
         .samples()
-        .filter(held)
+        .filter(not_refused)
         .filter(|_| phase == Phase::Down)
     {
-        out.violate(REFUSED, sample.request_id(), seen(sample));
+        out.violate(REFUSED, sample.request_id(), reply_text(sample));
     }
 }
 
-fn seen(sample: &load::Sample) -> String {
+fn reply_text(sample: &load::Sample) -> String {
     format!("{:?}", sample.reply)
 }
--- a/crates/standin/src/measure/outcome.rs
+++ b/crates/standin/src/measure/outcome.rs
@@ -1,4 +1,4 @@
-//! What a scenario brings back: figures, and every promise it saw broken.
+//! Result of a scenario: its figures and the promises that were broken.
 
 use std::collections;
 use std::fmt;
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct Violation {
-    /// Which promise.
+    /// Text of the promise.
     pub promise: &'static str,
-    /// The request, as its caller was told; `-` where none was told.
+    /// Request id that the caller received; `-` if there is none.
     pub request_id: String,
-    /// What was seen.
+    /// What was observed instead.
     pub seen: String,
 }
 
@@ -25,20 +25,20 @@
     }
 }
 
-/// Figures by name. The unit is the name's ending: `_ms`, `_share`, `_per_s`.
+/// Figures by name. The unit is the suffix of the name: `_ms`, `_share`, `_per_s`.
 pub type Figures = collections::BTreeMap<String, f64>;
 
-/// What one run of a scenario brought.
+/// Result of one run of a scenario.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// The figures.
+    /// Measured figures.
     pub figures: Figures,
-    /// Broken promises; empty where all held.
+    /// Broken promises; empty if all were kept.
     pub violations: Vec<Violation>,
 }
 
 impl Outcome {
-    /// Adds a figure.
+    /// Sets a figure, replacing any earlier value of that name.
     pub fn figure(&mut self, name: impl Into<String>, value: f64) {
         self.figures.insert(name.into(), value);
     }
@@ -58,7 +58,8 @@
         self.violations.push(violation);
     }
 
-    /// Takes another outcome's figures, under `prefix`, and its violations.
+    /// Adds another outcome's violations, and its figures with `prefix` before their
+    /// names.
     pub fn absorb(&mut self, prefix: &str, other: Self) {
         let named = other
             .figures
--- a/crates/standin/src/measure/overload.rs
+++ b/crates/standin/src/measure/overload.rs
@@ -1,4 +1,4 @@
-//! Twice as many searches as the upstreams can run.
+//! Searches arrive at twice the rate that the upstreams can serve.
 
 use std::time;
 
@@ -19,22 +19,26 @@
 
 const SERVICE: &str = "assessor-desk";
 const SHARDS: usize = 8;
-/// Slow enough for the machine to serve twice the capacity of all upstreams.
+/// Slow enough that the machine itself can send twice the capacity of all upstreams.
 const WORK_MS: f64 = 40.0;
-const OVERLOAD: f64 = 2.0;
-const SPAN: time::Duration = time::Duration::from_secs(12);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 2.0;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(12);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let spec = site::Spec {
         work_ms: WORK_MS,
         ..site::Spec::small(SERVICE, SHARDS)
     };
-    let bench = searches::Bench::start(context, spec, OVERLOAD, SPAN).await?;
+    let bench = searches::Bench::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
     let service = bench.service();
-    let found = bench.send().await?;
-    let mut out = bench.sum(&found).await?;
-    let whole = found.iter().filter(|search| search.is_whole()).count() as f64;
-    let goodput = whole / SPAN.as_secs_f64() / service.capacity();
+    let results = bench.send().await?;
+    let mut out = bench.summarize(&results).await?;
+    let complete = results
+        .iter()
+        .filter(|search| search.is_complete_in_time())
+        .count() as f64;
+    let goodput = complete / LOAD_DURATION.as_secs_f64() / service.capacity();
     out.figure("goodput_of_capacity_share", goodput);
     Ok(out)
 }
--- a/crates/standin/src/measure/records.rs
+++ b/crates/standin/src/measure/records.rs
@@ -1,5 +1,5 @@
-//! Sends registrations and compares what callers were told with what upstreams
-//! ran.
+//! Sends registrations and compares the replies to callers with the runs at the
+//! upstreams.
 
 use std::collections;
 use std::time;
@@ -13,49 +13,50 @@
 use crate::measure::outcome;
 use crate::site;
 
-/// A record runs at most once.
-pub const ONCE: &str = "at most once";
-/// What is refused as not run has not run.
+/// Promise that a record runs at most once.
+pub const AT_MOST_ONCE: &str = "at most once";
+/// Promise that a registration which is refused as not run has not run.
 pub const NOT_RUN: &str = "not run means not run";
-/// A repeat is answered with the same result.
-pub const SAME: &str = "repeats get the same result";
-/// Wait of a caller before it sends again, where it isn't told one.
-const AGAIN: time::Duration = time::Duration::from_millis(150);
+/// Promise that a repeated registration is answered with the same result.
+pub const SAME_RESULT: &str = "repeats get the same result";
+/// Time that a caller waits before it sends an unanswered registration again.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(150);
 
-/// What to send.
+/// Open-loop load of registrations.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Starts each key.
+    /// Start of each key.
     pub prefix: String,
-    /// Keys a second.
+    /// Mean number of keys a second.
     pub rate: f64,
-    /// For how long.
-    pub span: time::Duration,
+    /// Time for which new keys are sent.
+    pub duration: time::Duration,
     /// Deadline of each request.
     pub deadline: time::Duration,
-    /// Share of keys that are sent at two VMs at almost the same time.
-    pub doubles: f64,
-    /// Most times that a key without an answer is sent, each at another VM.
-    pub tries: usize,
+    /// Share of keys that are sent twice, 5 ms apart.
+    pub duplicate_share: f64,
+    /// Highest number of requests for a key without an answer, each to a VM other
+    /// than the last. A key that is sent twice has as many for each of the two.
+    pub max_attempts: usize,
 }
 
-/// One key, and everything its caller was told.
+/// A registration's key and the results of all requests for it.
 #[derive(Debug)]
-struct Sent {
+struct Registration {
     key: String,
     samples: Vec<load::Sample>,
 }
 
-/// Every key sent.
+/// All registrations that were sent.
 #[derive(Debug)]
 pub struct Tally {
-    sent: Vec<Sent>,
+    registrations: Vec<Registration>,
 }
 
 /// Sends registrations as planned and waits for all.
 ///
 /// # Errors
-/// Where the HTTP client can't be set up.
+/// Returns an error if the HTTP client can't be built.
 pub async fn send(
     site: &site::Site,
     service: &str,
@@ -67,30 +68,38 @@
     Ok(send_by(caller, service, plan.clone(), seed).await)
 }
 
-/// Sends registrations as planned, through a caller that is there already.
+/// Sends registrations as planned through `caller` and waits for all.
 pub async fn send_by(caller: load::Caller, service: ids::Service, plan: Plan, seed: u64) -> Tally {
-    let sent = load::open_loop(plan.rate, plan.span, seed, |number| {
+    let sent = load::open_loop(plan.rate, plan.duration, seed, |number| {
         let key = format!("{}-{seed}-{number}", plan.prefix);
         let mut random = rand::rngs::StdRng::seed_from_u64(seed ^ number);
-        let double = random.random_bool(plan.doubles);
-        one(caller.clone(), service.clone(), plan.clone(), key, double)
+        let duplicate = random.random_bool(plan.duplicate_share);
+        send_key(
+            caller.clone(),
+            service.clone(),
+            plan.clone(),
+            key,
+            duplicate,
+        )
     });
-    Tally { sent: sent.await }
+    Tally {
+        registrations: sent.await,
+    }
 }
 
-async fn one(
+async fn send_key(
     caller: load::Caller,
     service: ids::Service,
     plan: Plan,
     key: String,
-    double: bool,
-) -> Sent {
+    duplicate: bool,
+) -> Registration {
     let record = serde_json::json!({ "label": key });
-    let first = tries(&caller, &service, &plan, &key, &record);
-    let samples = if double {
+    let first = send_until_answered(&caller, &service, &plan, &key, &record);
+    let samples = if duplicate {
         let second = async {
             tokio::time::sleep(time::Duration::from_millis(5)).await;
-            tries(&caller, &service, &plan, &key, &record).await
+            send_until_answered(&caller, &service, &plan, &key, &record).await
         };
         let (mut first, second) = tokio::join!(first, second);
         first.extend(second);
@@ -98,11 +107,11 @@
     } else {
         first.await
     };
-    Sent { key, samples }
+    Registration { key, samples }
 }
 
-/// Sends until answered, each time at another VM than the last.
-async fn tries(
+/// Sends a registration until it is answered, each time to a VM other than the last.
+async fn send_until_answered(
     caller: &load::Caller,
     service: &ids::Service,
     plan: &Plan,
@@ -110,7 +119,7 @@
     record: &serde_json::Value,
 ) -> Vec<load::Sample> {
     let mut samples: Vec<load::Sample> = Vec::new();
-    for _ in 0..plan.tries {
+    for _ in 0..plan.max_attempts {
         let last = samples.last().and_then(|sample| sample.vm.clone());
         let sample = caller
             .register(service, key, record, plan.deadline, last.as_ref())
@@ -120,20 +129,20 @@
         if answered {
             break;
         }
-        if samples.len() < plan.tries {
-            tokio::time::sleep(AGAIN).await;
+        if samples.len() < plan.max_attempts {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
     samples
 }
 
-impl Sent {
+impl Registration {
     fn results(&self) -> impl Iterator<Item = &serde_json::Value> {
         let answered = self.samples.iter().filter(|sample| sample.answered());
         answered.filter_map(|sample| Some(&sample.reply.as_ref().ok()?.body["result"]))
     }
 
-    /// Whether every request was refused as not run.
+    /// Returns whether every request was refused as not run.
     fn not_run(&self) -> bool {
         self.samples.iter().all(|sample| sample.ran() == Some("no"))
     }
@@ -143,7 +152,7 @@
         let request = last.unwrap_or_default();
         if runs.len() > 1 {
             out.violate(
-                ONCE,
+                AT_MOST_ONCE,
                 &request,
                 format!("{} ran {} times", self.key, runs.len()),
             );
@@ -151,7 +160,7 @@
         if self.not_run() && !runs.is_empty() {
             out.violate(NOT_RUN, &request, format!("{} ran: {runs:?}", self.key));
         }
-        // Upstreams name a call by the request that it is for.
+        // The name of a call at an upstream starts with the id of its request.
         for sample in self
             .samples
             .iter()
@@ -165,30 +174,30 @@
         let results: Vec<_> = self.results().collect();
         if !results.is_empty() && runs.is_empty() {
             out.violate(
-                SAME,
+                SAME_RESULT,
                 &request,
-                format!("{} is done and never ran", self.key),
+                format!("{} was answered but never ran", self.key),
             );
         }
         if results.windows(2).any(|pair| pair[0] != pair[1]) {
-            out.violate(SAME, &request, format!("{}: {results:?}", self.key));
+            out.violate(SAME_RESULT, &request, format!("{}: {results:?}", self.key));
         }
     }
 }
 
 impl Tally {
-    /// Keys that were answered.
+    /// Returns the number of keys that were answered.
     pub fn done(&self) -> usize {
-        let answered = |sent: &&Sent| sent.results().next().is_some();
-        self.sent.iter().filter(answered).count()
+        let answered = |sent: &&Registration| sent.results().next().is_some();
+        self.registrations.iter().filter(answered).count()
     }
 
-    /// Every request's sample.
+    /// Returns the samples of all requests.
     pub fn samples(&self) -> impl Iterator<Item = &load::Sample> {
-        self.sent.iter().flat_map(|sent| &sent.samples)
+        self.registrations.iter().flat_map(|sent| &sent.samples)
     }
 
-    /// The figures, and every broken promise.
+    /// Returns the figures and all broken promises.
     pub fn outcome(&self, service: &site::Service) -> outcome::Outcome {
         let mut out = outcome::Outcome::default();
         let runs = service.runs();
@@ -198,38 +207,42 @@
         }
         let mut took = Vec::new();
         let mut counts = collections::BTreeMap::<_, u64>::new();
-        for sent in &self.sent {
+        for sent in &self.registrations {
             let runs = by_key.get(sent.key.as_str()).map_or(&[][..], Vec::as_slice);
             sent.check(runs, &mut out);
             for sample in &sent.samples {
-                *counts.entry(kind(sample)).or_default() += 1;
+                *counts.entry(outcome_name(sample)).or_default() += 1;
                 if sample.answered() {
                     took.push(sample.took);
                 }
             }
         }
         took.sort_unstable();
-        let requests: usize = self.sent.iter().map(|sent| sent.samples.len()).sum();
-        out.figure("keys", self.sent.len() as f64);
+        let requests: usize = self
+            .registrations
+            .iter()
+            .map(|sent| sent.samples.len())
+            .sum();
+        out.figure("keys", self.registrations.len() as f64);
         out.figure("requests", requests as f64);
         out.figure(
             "done_share",
-            self.done() as f64 / self.sent.len().max(1) as f64,
+            self.done() as f64 / self.registrations.len().max(1) as f64,
         );
         out.figure("p50_ms", quantile(&took, 0.5));
         out.figure("p99_ms", quantile(&took, 0.99));
-        for (kind, count) in counts {
-            out.figure(kind, count as f64);
+        for (name, count) in counts {
+            out.figure(name, count as f64);
         }
         out
     }
 
-    /// Compares what the ledger says of each key with what ran. Keys listed as
-    /// unsettled may have run or not; every other one must agree.
+    /// Compares the ledger's state of each key with the runs at the upstreams. Keys
+    /// in `unsettled` may have run or not; every other key must agree.
     ///
     /// # Errors
-    /// Where a VM can't be asked.
-    pub async fn check_record(
+    /// Returns an error if a VM doesn't answer.
+    pub async fn check_ledger(
         &self,
         site: &site::Site,
         service: &str,
@@ -242,21 +255,21 @@
         let Some((_, address)) = site.balancer.pick(None) else {
             return Ok(());
         };
-        for sent in &self.sent {
+        for sent in &self.registrations {
             let key = &sent.key;
             let url = format!(
                 "http://{address}/v1/services/{}/records/{key}",
                 service.id()
             );
-            let told: serde_json::Value = client.get(url).send().await?.json().await?;
-            let agrees = match told["state"].as_str() {
+            let status: serde_json::Value = client.get(url).send().await?.json().await?;
+            let agrees = match status["state"].as_str() {
                 Some("done") => ran.contains(key),
                 Some("not_run" | "unknown") => !ran.contains(key),
                 Some("unsettled") => unsettled.contains(key),
                 _ => false,
             };
             if !agrees {
-                let seen = format!("{key} is told as {told}, ran: {}", ran.contains(key));
+                let seen = format!("state of {key}: {status}, ran: {}", ran.contains(key));
                 out.violate(NOT_RUN, "-", seen);
             }
         }
@@ -264,7 +277,7 @@
     }
 }
 
-fn kind(sample: &load::Sample) -> String {
+fn outcome_name(sample: &load::Sample) -> String {
     match &sample.reply {
         Err(load::Lost::Unsent(_)) => "unsent".to_owned(),
         Err(load::Lost::Sent(_)) => "lost".to_owned(),
@@ -277,9 +290,12 @@
     }
 }
 
-/// A quantile in milliseconds; 0 where there are none.
+/// Returns the quantile `share` of sorted durations in milliseconds; 0 if there are
+/// none.
 pub(super) fn quantile(sorted: &[time::Duration], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    let at = (last as f64 * share).round() as usize;
-    sorted.get(at).map_or(0.0, |took| took.as_secs_f64() * 1e3)
+    let index = (last as f64 * share).round() as usize;
+    sorted
+        .get(index)
+        .map_or(0.0, |took| took.as_secs_f64() * 1e3)
 }
--- a/crates/standin/src/measure/registrations.rs
+++ b/crates/standin/src/measure/registrations.rs
@@ -1,4 +1,5 @@
-//! Registrations sent again at other VMs, lost store replies, paused claimants.
+//! Registrations are sent without faults at several rates, then with faults: repeats
+//! at other VMs, lost replies of the store and the upstreams, paused VMs.
 
 use std::collections;
 use std::time;
@@ -13,7 +14,7 @@
 /// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "registrations",
-    about: "resends at other VMs, lost store replies, paused claimants; store writes a claim",
+    about: "repeats at other VMs, lost store replies, paused claimants; store writes per claim",
     baseline: None,
     run: |context| Box::pin(run(context)),
 };
@@ -21,19 +22,21 @@
 const SERVICE: &str = "landing-intake";
 const SHARDS: usize = 8;
 const DEADLINE: time::Duration = time::Duration::from_millis(1500);
-const SPAN: time::Duration = time::Duration::from_secs(5);
-/// Registrations a second of the steps without faults.
-const RATES: [f64; 5] = [25.0, 50.0, 100.0, 200.0, 400.0];
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(5);
+/// Registrations a second of the runs without faults.
+const REGISTRATIONS_PER_S: [f64; 5] = [25.0, 50.0, 100.0, 200.0, 400.0];
 /// Registrations a second while faults are on.
-const FAULTY_RATE: f64 = 60.0;
-const FAULTY_SPAN: time::Duration = time::Duration::from_secs(12);
-/// A VM is paused this often, and for this long.
-const FREEZE_EVERY: time::Duration = time::Duration::from_secs(2);
-const FREEZE: time::Duration = time::Duration::from_millis(1200);
-/// Writes a claim of the plain way: one object a request, claim and outcome.
-const PLAIN_WRITES: f64 = 2.0;
+const FAULTY_REGISTRATIONS_PER_S: f64 = 60.0;
+const FAULTY_DURATION: time::Duration = time::Duration::from_secs(12);
+/// Time between two pauses of VMs.
+const PAUSE_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// Time for which a VM is paused.
+const PAUSE_DURATION: time::Duration = time::Duration::from_millis(1200);
+/// Store writes per claim if each request had an object of its own, written once for
+/// the claim and once for the outcome.
+const PLAIN_WRITES_PER_CLAIM: f64 = 2.0;
 
-/// Figures, and the counters of the VMs that they are sums of.
+/// Names of figures, each with the prefix of the metric lines that it sums.
 const COUNTERS: [(&str, &str); 4] = [
     ("repeats", "geraniumgauge_ledger_repeats"),
     (
@@ -53,64 +56,65 @@
 async fn run(context: measure::Context) -> Result<measure::outcome::Outcome, measure::Error> {
     let site = context.site(site::Spec::small(SERVICE, SHARDS)).await?;
     let mut out = measure::outcome::Outcome::default();
-    steps(&site, context, &mut out).await?;
-    faulty(&site, context, &mut out).await?;
+    measure_rates(&site, context, &mut out).await?;
+    measure_with_faults(&site, context, &mut out).await?;
     Ok(out)
 }
 
-/// Store writes against claims at several rates, as a slope.
-async fn steps(
+/// Measures store writes and claims at several rates, and the slope of writes over
+/// claims.
+async fn measure_rates(
     site: &site::Site,
     context: measure::Context,
     out: &mut measure::outcome::Outcome,
 ) -> Result<(), measure::Error> {
     let mut points = Vec::new();
-    for (number, rate) in RATES.into_iter().enumerate() {
-        let before = ledger_writes(site);
+    for (number, rate) in REGISTRATIONS_PER_S.into_iter().enumerate() {
+        let before = store_writes(site);
         let start = tokio::time::Instant::now();
         let plan = records::Plan {
             prefix: format!("step-{number}"),
             rate,
-            span: SPAN,
+            duration: LOAD_DURATION,
             deadline: DEADLINE,
-            doubles: 0.0,
-            tries: 1,
+            duplicate_share: 0.0,
+            max_attempts: 1,
         };
         let tally = records::send(site, SERVICE, &plan, context.seed + number as u64).await?;
         let took = start.elapsed().as_secs_f64();
-        let (claims, writes) = (tally.done() as f64 / took, ledger_writes(site) - before);
+        let (claims, writes) = (tally.done() as f64 / took, store_writes(site) - before);
         let writes = writes as f64 / took;
         points.push((claims, writes));
-        let mut step = tally.outcome(site.service(SERVICE));
-        step.figure("claims_per_s", claims);
-        step.figure("store_writes_per_s", writes);
-        step.figure("store_writes_a_claim", writes / claims.max(1e-9));
-        step.figure("plain_writes_a_claim", PLAIN_WRITES);
-        out.absorb(&format!("at_{rate:03}_"), step);
+        let mut outcome = tally.outcome(site.service(SERVICE));
+        outcome.figure("claims_per_s", claims);
+        outcome.figure("store_writes_per_s", writes);
+        outcome.figure("store_writes_a_claim", writes / claims.max(1e-9));
+        outcome.figure("plain_writes_a_claim", PLAIN_WRITES_PER_CLAIM);
+        out.absorb(&format!("at_{rate:03}_"), outcome);
     }
     out.figure("slope_store_writes_a_claim", slope(&points));
     Ok(())
 }
 
-/// Least squares of `y` over `x`.
+/// Returns the slope of the least-squares line of `y` over `x`.
 fn slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-    let over: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|point| (point.0 - x) * (point.1 - y))
         .sum();
-    let under: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
-    over / under.max(1e-9)
+    let variance: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
+    covariance / variance.max(1e-9)
 }
 
-/// Writes that the store has taken, of every kind.
-fn ledger_writes(site: &site::Site) -> u64 {
+/// Returns the number of writes that the store has received, of every kind.
+fn store_writes(site: &site::Site) -> u64 {
     site.platform.state().counts().put
 }
 
-async fn faulty(
+async fn measure_with_faults(
     site: &site::Site,
     context: measure::Context,
     out: &mut measure::outcome::Outcome,
@@ -124,37 +128,40 @@
     });
     let plan = records::Plan {
         prefix: "faulty".to_owned(),
-        rate: FAULTY_RATE,
-        span: FAULTY_SPAN,
+        rate: FAULTY_REGISTRATIONS_PER_S,
+        duration: FAULTY_DURATION,
         deadline: DEADLINE,
-        doubles: 0.3,
-        tries: 4,
+        duplicate_share: 0.3,
+        max_attempts: 4,
     };
-    let before = counted(site).await?;
-    let freezes = freeze(site);
+    let before = read_counters(site).await?;
+    let pausing = pause_vms(site);
     let sent = records::send(site, SERVICE, &plan, context.seed + 100);
-    let (frozen, tally) = tokio::join!(freezes, sent);
+    let (pauses, tally) = tokio::join!(pausing, sent);
     let tally = tally?;
     site.platform
         .state()
         .set_faults(|faults| faults.lose_replies = 0.0);
     tokio::time::sleep(time::Duration::from_secs(3)).await;
     let unsettled = unsettled(site).await?;
-    let mut faulty = tally.outcome(site.service(SERVICE));
-    faulty.figure("freezes", frozen as f64);
-    faulty.figure("unsettled", unsettled.len() as f64);
-    for ((name, _), (then, now)) in COUNTERS.iter().zip(before.iter().zip(counted(site).await?)) {
-        faulty.figure(*name, now - then);
+    let mut outcome = tally.outcome(site.service(SERVICE));
+    outcome.figure("freezes", pauses as f64);
+    outcome.figure("unsettled", unsettled.len() as f64);
+    for ((name, _), (before, now)) in COUNTERS
+        .iter()
+        .zip(before.iter().zip(read_counters(site).await?))
+    {
+        outcome.figure(*name, now - before);
     }
     tally
-        .check_record(site, SERVICE, &unsettled, &mut faulty)
+        .check_ledger(site, SERVICE, &unsettled, &mut outcome)
         .await?;
-    out.absorb("faulty_", faulty);
+    out.absorb("faulty_", outcome);
     Ok(())
 }
 
-/// The sums of [`COUNTERS`] over all VMs.
-async fn counted(site: &site::Site) -> Result<Vec<f64>, measure::Error> {
+/// Returns the sums of [`COUNTERS`] over all VMs.
+async fn read_counters(site: &site::Site) -> Result<Vec<f64>, measure::Error> {
     let client = reqwest::Client::new();
     let mut text = String::new();
     for node in &site.nodes {
@@ -169,20 +176,21 @@
     Ok(COUNTERS.iter().map(|(_, prefix)| sum(prefix)).collect())
 }
 
-/// Pauses one VM after another while registrations run.
-async fn freeze(site: &site::Site) -> u64 {
-    let rounds = FAULTY_SPAN.as_millis() / FREEZE_EVERY.as_millis();
+/// Pauses one VM after another while registrations are sent; returns the number of
+/// pauses.
+async fn pause_vms(site: &site::Site) -> u64 {
+    let rounds = FAULTY_DURATION.as_millis() / PAUSE_INTERVAL.as_millis();
     let rounds = usize::try_from(rounds).unwrap_or(0);
     for round in 0..rounds {
-        tokio::time::sleep(FREEZE_EVERY).await;
-        site.nodes[round % site.nodes.len()].freeze(FREEZE);
+        tokio::time::sleep(PAUSE_INTERVAL).await;
+        site.nodes[round % site.nodes.len()].freeze(PAUSE_DURATION);
     }
     rounds as u64
 }
 
 async fn unsettled(site: &site::Site) -> Result<collections::BTreeSet<String>, measure::Error> {
     let other = |error: geraniumgauge::store::Error| measure::Error::Other {
-        what: error.to_string(),
+        message: error.to_string(),
     };
     let store = site.store().map_err(other)?;
     let service: &ids::Service = site.service(SERVICE).id();
--- a/crates/standin/src/measure/replica_loss.rs
+++ b/crates/standin/src/measure/replica_loss.rs
@@ -1,4 +1,4 @@
-//! A rack goes: one replica of every other shard crashes at the same moment.
+//! Loss of a rack: one replica of every other shard crashes at the same moment.
 
 use std::time;
 
@@ -19,33 +19,46 @@
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.15;
-const SPAN: time::Duration = time::Duration::from_secs(10);
-const LOSS: time::Duration = time::Duration::from_secs(2);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.15;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(10);
+/// Time of the crashes, from the start of the load.
+const LOSS_AT: time::Duration = time::Duration::from_secs(2);
 const RESTART_MS: u64 = 3000;
-/// When searches are whole again at the latest, after the loss.
-const SETTLED: time::Duration = time::Duration::from_secs(1);
+/// Time after the loss from which searches are expected to be complete again.
+const RECOVERY_TIME: time::Duration = time::Duration::from_secs(1);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench =
-        searches::Bench::start(context, site::Spec::small(SERVICE, SHARDS), LOAD, SPAN).await?;
+    let bench = searches::Bench::start(
+        context,
+        site::Spec::small(SERVICE, SHARDS),
+        LOAD_SHARE,
+        LOAD_DURATION,
+    )
+    .await?;
     let service = bench.service();
     let loss = async {
-        tokio::time::sleep(LOSS).await;
+        tokio::time::sleep(LOSS_AT).await;
         for shard in (0..SHARDS).step_by(2) {
             let upstream = service.replica(shard, 0).state();
             upstream.set_faults(|faults| faults.restart_ms = RESTART_MS);
             upstream.crash();
         }
     };
-    let (found, ()) = tokio::join!(bench.send(), loss);
-    let found = found?;
-    let mut out = bench.sum(&found).await?;
-    let first = found
+    let (results, ()) = tokio::join!(bench.send(), loss);
+    let results = results?;
+    let mut out = bench.summarize(&results).await?;
+    let first_second = results
         .iter()
-        .filter(|s| s.at >= LOSS && s.at < LOSS + SETTLED);
-    out.figure("whole_in_first_second_share", searches::whole(first));
-    let later = found.iter().filter(|s| s.at >= LOSS + SETTLED);
-    out.figure("whole_afterwards_share", searches::whole(later));
+        .filter(|s| s.at >= LOSS_AT && s.at < LOSS_AT + RECOVERY_TIME);
+    out.figure(
+        "whole_in_first_second_share",
+        searches::complete_in_time_share(first_second),
+    );
+    let later = results.iter().filter(|s| s.at >= LOSS_AT + RECOVERY_TIME);
+    out.figure(
+        "whole_afterwards_share",
+        searches::complete_in_time_share(later),
+    );
     Ok(out)
 }
--- a/crates/standin/src/measure/report.rs
+++ b/crates/standin/src/measure/report.rs
@@ -1,4 +1,4 @@
-//! A scenario's figures beside its baseline's, for people and for programs.
+//! Report of a scenario's figures next to its baseline's, as a table or as JSON.
 
 use std::collections;
 use std::fmt;
@@ -8,31 +8,31 @@
 use crate::measure;
 use crate::measure::outcome;
 
-/// Violations shown to a person; the rest are counted.
-const SHOWN: usize = 10;
+/// Violations listed in the table; the rest are only counted.
+const MAX_VIOLATIONS_SHOWN: usize = 10;
 
-/// What one run of a scenario and its baseline brought.
+/// Results of one run of a scenario and of its baseline.
 #[derive(Debug, Clone)]
 #[derive(serde::Serialize)]
 pub struct Report {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The policy measured.
+    /// Policy that was measured.
     pub policy: String,
-    /// The baseline's figures, where the scenario has one.
+    /// Figures of the baseline; `None` if the scenario has none.
     pub baseline: Option<outcome::Figures>,
-    /// The figures.
+    /// Figures of the measured policy.
     pub figures: outcome::Figures,
-    /// Figures divided by the baseline's, where that isn't zero.
+    /// Each figure divided by the baseline's, unless that is missing or zero.
     pub ratios: outcome::Figures,
-    /// Broken promises under the policy measured. The baseline's don't count.
+    /// Promises that the measured policy broke; the baseline's aren't included.
     pub violations: Vec<outcome::Violation>,
 }
 
 impl Report {
-    /// Puts a run beside its baseline.
+    /// Combines the outcomes of a run and of its baseline.
     pub fn new(
         scenario: &str,
         context: measure::Context,
@@ -40,7 +40,9 @@
         outcome: outcome::Outcome,
     ) -> Self {
         let baseline = baseline.map(|(_, outcome)| outcome.figures);
-        let ratios = baseline.as_ref().map(|base| ratios(&outcome.figures, base));
+        let ratios = baseline
+            .as_ref()
+            .map(|baseline_value| ratios(&outcome.figures, baseline_value));
         Self {
             scenario: scenario.to_owned(),
             seed: context.seed,
@@ -57,9 +59,9 @@
     let pairs = figures
         .iter()
         .filter_map(|(name, value)| Some((name, value, baseline.get(name)?)));
-    let nonzero = pairs.filter(|(_, _, base)| **base != 0.0);
+    let nonzero = pairs.filter(|(_, _, baseline_value)| **baseline_value != 0.0);
     nonzero
-        .map(|(name, value, base)| (name.clone(), value / base))
+        .map(|(name, value, baseline_value)| (name.clone(), value / baseline_value))
         .collect()
 }
 
@@ -80,12 +82,16 @@
             "figure", "here", "baseline", "ratio"
         )?;
         for name in names {
-            let (here, base) = (number(self.figures.get(name)), number(baseline.get(name)));
+            let (measured, baseline_value) =
+                (number(self.figures.get(name)), number(baseline.get(name)));
             let ratio = number(self.ratios.get(name));
-            writeln!(out, "  {name:<36}{here:>14}{base:>14}{ratio:>10}")?;
+            writeln!(
+                out,
+                "  {name:<36}{measured:>14}{baseline_value:>14}{ratio:>10}"
+            )?;
         }
         writeln!(out, "  violations: {}", self.violations.len())?;
-        for violation in self.violations.iter().take(SHOWN) {
+        for violation in self.violations.iter().take(MAX_VIOLATIONS_SHOWN) {
             writeln!(out, "    {violation}")?;
         }
         Ok(())
--- a/crates/standin/src/measure/searches.rs
+++ b/crates/standin/src/measure/searches.rs
@@ -1,4 +1,5 @@
-//! Searches under a changing site, and what its homes sent for them.
+//! Sends searches to a site while its state changes, and counts the calls that the
+//! upstreams' homes made for them.
 
 use std::time;
 
@@ -10,48 +11,49 @@
 use crate::measure::tally;
 use crate::site;
 
-/// The homes stay within the connections that an upstream takes.
-pub const WITHIN_MEANS: &str = "within the upstreams' connections";
-/// No request that never crashed anything is taken for one that does.
-pub const INNOCENT: &str = "innocent requests aren't quarantined";
+/// Promise that the homes open no more connections than an upstream accepts.
+pub const WITHIN_CONNECTIONS: &str = "within the upstreams' connections";
+/// Promise that no request is quarantined that never crashed an upstream.
+pub const NO_FALSE_QUARANTINE: &str = "innocent requests aren't quarantined";
 
 /// Deadline of each search.
 pub const DEADLINE: time::Duration = time::Duration::from_millis(1000);
-/// Load before a scenario's own begins, so that times are known.
+/// Time for which a scenario sends searches before it measures, so that the VMs know
+/// the upstreams' call times.
 pub const WARM_UP: time::Duration = time::Duration::from_secs(2);
 
-/// One search.
+/// A search that was sent.
 #[derive(Debug)]
 pub struct Search {
-    /// What was asked.
+    /// Query that was sent.
     pub query: serde_json::Value,
-    /// When it was sent, from the start of the load.
+    /// Time of sending, from the start of the load.
     pub at: time::Duration,
-    /// What came back.
+    /// Result of the request.
     pub sample: load::Sample,
 }
 
 impl Search {
-    /// Whether it was answered in time with every shard covered.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether the answer came within the deadline and covers every shard.
+    pub fn is_complete_in_time(&self) -> bool {
         let complete = |reply: &load::Reply| reply.body["coverage"]["complete"] == true;
         let in_time = self.sample.took <= self.sample.deadline;
         self.sample.answered() && in_time && self.sample.reply.as_ref().is_ok_and(complete)
     }
 }
 
-/// What is asked of a site.
+/// Open-loop load of searches on a site.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Searches a second.
+    /// Mean number of searches a second.
     pub rate: f64,
-    /// For how long.
-    pub span: time::Duration,
-    /// Seeds the arrivals.
+    /// Time for which searches are sent.
+    pub duration: time::Duration,
+    /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// Sends searches at random times.
+/// Sends searches at random times and waits for all.
 pub async fn send(
     site: &site::Site,
     service: &str,
@@ -60,7 +62,7 @@
     let caller = load::Caller::new(site)?;
     let id: ids::Service = site.service(service).id().clone();
     let start = tokio::time::Instant::now();
-    let searches = load::open_loop(load.rate, load.span, load.seed, |number| {
+    let searches = load::open_loop(load.rate, load.duration, load.seed, |number| {
         let (caller, id) = (caller.clone(), id.clone());
         let query = serde_json::json!({ "text": format!("query {} {}", load.seed, number % 50) });
         async move {
@@ -72,8 +74,8 @@
     Ok(searches.await)
 }
 
-/// A site that is warm, the load to be measured there, and what its homes and
-/// upstreams had counted before.
+/// A warmed-up site, the load to measure on it, and the counters of its homes and
+/// upstreams before that load.
 #[derive(Debug)]
 pub struct Bench {
     site: site::Site,
@@ -84,23 +86,23 @@
 }
 
 impl Bench {
-    /// Starts a site of one service and warms it up. The load is `share` of
-    /// what the upstreams can run.
+    /// Starts a site of one service and warms it up. The load is `share` of the
+    /// upstreams' capacity.
     ///
     /// # Errors
-    /// Where the site or a client can't be had.
+    /// Returns an error if the site can't be started or its metrics can't be read.
     pub async fn start(
         context: measure::Context,
         spec: site::Spec,
         share: f64,
-        span: time::Duration,
+        duration: time::Duration,
     ) -> Result<Self, measure::Error> {
         let id = spec.id.clone();
         let site = context.site(spec).await?;
         let rate = site.service(id.as_str()).capacity() * share;
         let warm_up = Load {
             rate,
-            span: WARM_UP,
+            duration: WARM_UP,
             seed: context.seed,
         };
         send(&site, id.as_str(), warm_up).await?;
@@ -108,7 +110,7 @@
         let sent = Sent::read(&site).await?;
         let load = Load {
             rate,
-            span,
+            duration,
             seed: context.seed + 1,
         };
         Ok(Self {
@@ -120,57 +122,57 @@
         })
     }
 
-    /// The service.
+    /// Returns the service under load.
     pub fn service(&self) -> &site::Service {
         self.site.service(self.service.as_str())
     }
 
-    /// Sends the load.
+    /// Sends the load and waits for all searches.
     ///
     /// # Errors
-    /// Where the HTTP client can't be set up.
+    /// Returns an error if the HTTP client can't be built.
     pub async fn send(&self) -> Result<Vec<Search>, measure::Error> {
         send(&self.site, self.service.as_str(), self.load).await
     }
 
-    /// Sums up what came back, with the load on upstreams since the start.
+    /// Summarizes the searches and the calls to upstreams since the warm-up.
     ///
     /// # Errors
-    /// Where a VM's metrics can't be read.
-    pub async fn sum(&self, found: &[Search]) -> Result<outcome::Outcome, measure::Error> {
+    /// Returns an error if a VM's metrics can't be read.
+    pub async fn summarize(&self, searches: &[Search]) -> Result<outcome::Outcome, measure::Error> {
         let sent = Sent::read(&self.site).await?.since(self.sent);
         let arrived = self.service().counts().arrived() - self.arrived;
-        Ok(sum(self.service(), found, arrived, sent))
+        Ok(summarize(self.service(), searches, arrived, sent))
     }
 }
 
-/// Calls that the homes sent, since their start.
+/// Number of calls that the homes have sent, by kind.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sent {
-    /// First attempts, canaries among them.
+    /// First attempts, including canaries.
     pub first: f64,
-    /// Hedges.
+    /// Hedged attempts.
     pub hedges: f64,
-    /// Retries.
+    /// Retried attempts.
     pub retries: f64,
 }
 
 impl Sent {
-    /// Reads the VMs' metrics.
+    /// Sums the counters in the metrics of the site's VMs.
     pub async fn read(site: &site::Site) -> Result<Self, measure::Error> {
         let client = reqwest::Client::new();
         let mut sent = Self::default();
         for node in &site.nodes {
             let url = format!("http://{}/metrics", node.operators());
             let text = client.get(url).send().await?.text().await?;
-            sent.first += counted(&text, "First") + counted(&text, "Canary");
-            sent.hedges += counted(&text, "Hedge");
-            sent.retries += counted(&text, "Retry");
+            sent.first += sent_of_kind(&text, "First") + sent_of_kind(&text, "Canary");
+            sent.hedges += sent_of_kind(&text, "Hedge");
+            sent.retries += sent_of_kind(&text, "Retry");
         }
         Ok(sent)
     }
 
-    /// What was sent after `earlier`.
+    /// Returns the calls that were sent after `earlier` was read.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             first: self.first - earlier.first,
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Adds the shares over first attempts.
+    /// Adds hedges and retries as shares of first attempts.
     pub fn figures(self, out: &mut outcome::Outcome) {
         let first = self.first.max(1.0);
         out.figure("hedge_load_share", self.hedges / first);
@@ -187,7 +189,7 @@
     }
 }
 
-fn counted(metrics: &str, kind: &str) -> f64 {
+fn sent_of_kind(metrics: &str, kind: &str) -> f64 {
     let label = format!("kind=\"{kind}\"");
     let lines = metrics
         .lines()
@@ -197,9 +199,10 @@
     values.sum()
 }
 
-/// Sums searches up: the usual figures and checks, the share of whole answers,
-/// the homes' extra load, and whether they stayed within the connections.
-pub fn sum(
+/// Summarizes searches: the figures and checks of [`tally::Tally`], the share
+/// answered completely and in time, and the shares of hedges and retries. Checks that
+/// the homes stayed within the upstreams' connections and quarantined no request.
+pub fn summarize(
     service: &site::Service,
     searches: &[Search],
     arrived: u64,
@@ -210,19 +213,19 @@
         tally.add(&service.layout, &search.query, &search.sample);
     }
     let mut out = tally.outcome(arrived);
-    out.figure("whole_share", whole(searches));
+    out.figure("whole_share", complete_in_time_share(searches));
     sent.figures(&mut out);
     for upstream in &service.upstreams {
         let counts = upstream.state().counts();
         if counts.connections_refused > 0 {
             let seen = format!("{}: {counts:?}", upstream.state().config().id);
-            out.violate(WITHIN_MEANS, "-", seen);
+            out.violate(WITHIN_CONNECTIONS, "-", seen);
         }
     }
-    let marked = searches.iter().filter(|search| is_quarantined(search));
-    for search in marked {
+    let quarantined = searches.iter().filter(|search| is_quarantined(search));
+    for search in quarantined {
         let request = search.sample.request_id();
-        out.violate(INNOCENT, request, "answered as quarantined");
+        out.violate(NO_FALSE_QUARANTINE, request, "answered as quarantined");
     }
     out
 }
@@ -237,12 +240,12 @@
         || missing.any(|missing| missing["reason"] == "quarantined")
 }
 
-/// Share of the searches that were answered whole and in time.
-pub fn whole<'a>(searches: impl IntoIterator<Item = &'a Search>) -> f64 {
-    let (mut whole, mut all) = (0.0, 0.0_f64);
+/// Returns the share of searches with a complete answer within the deadline.
+pub fn complete_in_time_share<'a>(searches: impl IntoIterator<Item = &'a Search>) -> f64 {
+    let (mut complete, mut total) = (0.0, 0.0_f64);
     for search in searches {
-        all += 1.0;
-        whole += f64::from(u8::from(search.is_whole()));
+        total += 1.0;
+        complete += f64::from(u8::from(search.is_complete_in_time()));
     }
-    whole / all.max(1.0)
+    complete / total.max(1.0)
 }
--- a/crates/standin/src/measure/shed.rs
+++ b/crates/standin/src/measure/shed.rs
@@ -1,4 +1,4 @@
-//! One replica of each shard sheds half of what it is sent, whatever its load.
+//! One replica of each shard sheds half of its calls, whatever its load.
 
 use std::time;
 
@@ -19,18 +19,24 @@
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.1;
-const SHED: f64 = 0.5;
-const SPAN: time::Duration = time::Duration::from_secs(8);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.1;
+const SHED_SHARE: f64 = 0.5;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench =
-        searches::Bench::start(context, site::Spec::small(SERVICE, SHARDS), LOAD, SPAN).await?;
+    let bench = searches::Bench::start(
+        context,
+        site::Spec::small(SERVICE, SHARDS),
+        LOAD_SHARE,
+        LOAD_DURATION,
+    )
+    .await?;
     let service = bench.service();
     for shard in 0..SHARDS {
         let upstream = service.replica(shard, 0).state();
-        upstream.set_faults(|faults| faults.shed_share = SHED);
+        upstream.set_faults(|faults| faults.shed_share = SHED_SHARE);
     }
-    let found = bench.send().await?;
-    bench.sum(&found).await
+    let results = bench.send().await?;
+    bench.summarize(&results).await
 }
--- a/crates/standin/src/measure/silent.rs
+++ b/crates/standin/src/measure/silent.rs
@@ -1,5 +1,5 @@
-//! Every open connection to the upstreams goes silent at once, while new ones
-//! work; twice.
+//! All open connections to the upstreams stop carrying data at once, twice; new
+//! connections work.
 
 use std::time;
 
@@ -20,47 +20,59 @@
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.1;
-const SPAN: time::Duration = time::Duration::from_secs(9);
-const SILENCES: [time::Duration; 2] = [time::Duration::from_secs(3), time::Duration::from_secs(6)];
-/// Searches sent this long before a silence or after it may meet it.
-const BEFORE: time::Duration = time::Duration::from_millis(100);
-const AFTER: time::Duration = time::Duration::from_millis(1000);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.1;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(9);
+/// Times at which the open connections become silent, from the start of the load.
+const SILENCES_AT: [time::Duration; 2] =
+    [time::Duration::from_secs(3), time::Duration::from_secs(6)];
+/// Searches sent from this long before a silence until `AFTER_SILENCE` after it count
+/// as affected.
+const BEFORE_SILENCE: time::Duration = time::Duration::from_millis(100);
+const AFTER_SILENCE: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench =
-        searches::Bench::start(context, site::Spec::small(SERVICE, SHARDS), LOAD, SPAN).await?;
+    let bench = searches::Bench::start(
+        context,
+        site::Spec::small(SERVICE, SHARDS),
+        LOAD_SHARE,
+        LOAD_DURATION,
+    )
+    .await?;
     let service = bench.service();
     let silence = async {
         let start = tokio::time::Instant::now();
-        for at in SILENCES {
+        for at in SILENCES_AT {
             tokio::time::sleep_until(start + at).await;
             service.set_faults(|faults| faults.silence_open = true);
         }
     };
-    let (found, ()) = tokio::join!(bench.send(), silence);
-    let found = found?;
-    let mut out = bench.sum(&found).await?;
-    met(&found, &mut out);
+    let (results, ()) = tokio::join!(bench.send(), silence);
+    let results = results?;
+    let mut out = bench.summarize(&results).await?;
+    affected_figures(&results, &mut out);
     Ok(out)
 }
 
-/// Figures of the searches that may have met a silence, and of the others.
-fn met(found: &[searches::Search], out: &mut outcome::Outcome) {
-    let meets = |search: &&searches::Search| {
-        SILENCES
+/// Adds figures of the searches that a silence may have affected and of the others.
+fn affected_figures(results: &[searches::Search], out: &mut outcome::Outcome) {
+    let is_affected = |search: &&searches::Search| {
+        SILENCES_AT
             .iter()
-            .any(|at| (*at - BEFORE..*at + AFTER).contains(&search.at))
+            .any(|at| (*at - BEFORE_SILENCE..*at + AFTER_SILENCE).contains(&search.at))
     };
-    let (met, others): (Vec<_>, Vec<_>) = found.iter().partition(meets);
-    out.figure("met_whole_share", searches::whole(met.iter().copied()));
-    for (name, searches) in [("met", met), ("others", others)] {
+    let (affected, others): (Vec<_>, Vec<_>) = results.iter().partition(is_affected);
+    out.figure(
+        "met_whole_share",
+        searches::complete_in_time_share(affected.iter().copied()),
+    );
+    for (name, searches) in [("met", affected), ("others", others)] {
         let mut took: Vec<_> = searches.iter().map(|search| search.sample.took).collect();
         took.sort();
         let at = |share: f64| {
-            let place = (took.len() as f64 * share) as usize;
-            let span = took.get(place.min(took.len().saturating_sub(1)));
-            span.copied().unwrap_or_default().as_secs_f64() * 1e3
+            let index = (took.len() as f64 * share) as usize;
+            let duration = took.get(index.min(took.len().saturating_sub(1)));
+            duration.copied().unwrap_or_default().as_secs_f64() * 1e3
         };
         out.figure(format!("{name}_p99_ms"), at(0.99));
         out.figure(format!("{name}_worst_ms"), at(1.0));
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -1,4 +1,5 @@
-//! Planned stops under load: one VM, then all in turn, each replaced first.
+//! Planned stops under load: one VM, then two at once, then all in turn. The
+//! replacements start before the VMs stop.
 
 use std::time;
 
@@ -19,72 +20,75 @@
     run: |context| Box::pin(run(context)),
 };
 
-/// No request is cut off by a planned stop.
+/// Promise that a planned stop interrupts or refuses no request.
 const GRACEFUL: &str = "planned stops cut off no request";
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.15;
-const WARM_UP: time::Duration = time::Duration::from_secs(2);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.15;
+const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(2);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
-/// Searches go on so long; enough for every stop.
-const SPAN: time::Duration = time::Duration::from_secs(28);
+/// Time for which searches are sent; long enough for all stops.
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(28);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut site = context.site(site::Spec::small(SERVICE, SHARDS)).await?;
-    let rate = site.service(SERVICE).capacity() * LOAD;
-    send(&site, rate, WARM_UP, context.seed).await?.await;
+    let rate = site.service(SERVICE).capacity() * LOAD_SHARE;
+    send(&site, rate, WARM_UP_DURATION, context.seed)
+        .await?
+        .await;
     let before = site.service(SERVICE).counts().arrived();
-    let sending = send(&site, rate, SPAN, context.seed + 1).await?;
-    let (samples, stopped) = future::join(sending, stops(&mut site)).await;
-    let took = stopped?;
+    let sending = send(&site, rate, LOAD_DURATION, context.seed + 1).await?;
+    let (samples, stops) = future::join(sending, replace_vms(&mut site)).await;
+    let took = stops?;
     let arrived = site.service(SERVICE).counts().arrived() - before;
     let mut tally = tally::Tally::default();
-    let mut cut = outcome::Outcome::default();
+    let mut refusals = outcome::Outcome::default();
     for (query, sample) in &samples {
         tally.add(&site.service(SERVICE).layout, query, sample);
-        judge(sample, &mut cut);
+        check_not_refused(sample, &mut refusals);
     }
     let mut out = tally.outcome(arrived);
-    out.absorb("", cut);
+    out.absorb("", refusals);
     out.figure("stops", f64::from(site::VMS + 3));
     out.figure("stops_took_ms", took.as_secs_f64() * 1e3);
     Ok(out)
 }
 
-type Sent = (serde_json::Value, load::Sample);
+type SearchSample = (serde_json::Value, load::Sample);
 
 async fn send(
     site: &site::Site,
     rate: f64,
-    span: time::Duration,
+    duration: time::Duration,
     seed: u64,
-) -> Result<impl Future<Output = Vec<Sent>> + use<>, measure::Error> {
+) -> Result<impl Future<Output = Vec<SearchSample>> + use<>, measure::Error> {
     let caller = load::Caller::new(site)?;
     let service = site.service(SERVICE).id().clone();
     let searches = load::Searches {
         text: "query",
         rate,
-        span,
+        duration,
         seed,
         deadline: DEADLINE,
     };
     Ok(searches.send(caller, service))
 }
 
-/// A connection that broke is seen by [`tally::Tally`] already; here are
-/// requests that a stopping VM turned away while the balancer still sent them.
-fn judge(sample: &load::Sample, out: &mut outcome::Outcome) {
+/// Reports requests that a stopping VM refused while the balancer still sent requests
+/// to it. [`tally::Tally`] already reports broken connections.
+fn check_not_refused(sample: &load::Sample, out: &mut outcome::Outcome) {
     let seen = match &sample.reply {
-        Err(load::Lost::Unsent(why)) => format!("not taken: {why}"),
+        Err(load::Lost::Unsent(why)) => format!("not sent: {why}"),
         Ok(reply) if reply.body["error"]["code"] == "stopping" => "refused: stopping".to_owned(),
         _ => return,
     };
     out.violate(GRACEFUL, sample.request_id(), seen);
 }
 
-/// One stop, two at once, then every VM that was there in turn.
-async fn stops(site: &mut site::Site) -> Result<time::Duration, measure::Error> {
+/// Replaces one VM, then two at once, then as many as the site had, one by one.
+async fn replace_vms(site: &mut site::Site) -> Result<time::Duration, measure::Error> {
     let start = tokio::time::Instant::now();
     replace(site, 1).await?;
     replace(site, 2).await?;
--- a/crates/standin/src/measure/straggler.rs
+++ b/crates/standin/src/measure/straggler.rs
@@ -1,4 +1,4 @@
-//! One in a hundred shard calls runs thirty times as long; fan-outs of 20.
+//! One in a hundred shard calls runs thirty times as long; each query asks 20 shards.
 
 use std::time;
 
@@ -19,10 +19,10 @@
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-/// Share of the slots' capacity that is asked for.
-const LOAD: f64 = 0.2;
-const SPAN: time::Duration = time::Duration::from_secs(10);
-const WARM_UP: time::Duration = time::Duration::from_secs(2);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.2;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(10);
+const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(2);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<measure::outcome::Outcome, measure::Error> {
@@ -32,19 +32,35 @@
         faults.straggler_share = 0.01;
         faults.straggler_factor = 30.0;
     });
-    let rate = service.capacity() * LOAD;
-    searches(&site, SERVICE, rate, WARM_UP, context.seed, DEADLINE).await?;
+    let rate = service.capacity() * LOAD_SHARE;
+    tally_searches(
+        &site,
+        SERVICE,
+        rate,
+        WARM_UP_DURATION,
+        context.seed,
+        DEADLINE,
+    )
+    .await?;
     let before = service.counts().arrived();
-    let tally = searches(&site, SERVICE, rate, SPAN, context.seed + 1, DEADLINE).await?;
+    let tally = tally_searches(
+        &site,
+        SERVICE,
+        rate,
+        LOAD_DURATION,
+        context.seed + 1,
+        DEADLINE,
+    )
+    .await?;
     Ok(tally.outcome(service.counts().arrived() - before))
 }
 
-/// Sends searches at random times and sums them up.
-pub(super) async fn searches(
+/// Sends searches at random times, waits for all and tallies them.
+pub(super) async fn tally_searches(
     site: &site::Site,
     service: &str,
     rate: f64,
-    span: time::Duration,
+    duration: time::Duration,
     seed: u64,
     deadline: time::Duration,
 ) -> Result<tally::Tally, measure::Error> {
@@ -53,7 +69,7 @@
     let searches = load::Searches {
         text: "query",
         rate,
-        span,
+        duration,
         seed,
         deadline,
     };
--- a/crates/standin/src/measure/tally.rs
+++ b/crates/standin/src/measure/tally.rs
@@ -1,4 +1,4 @@
-//! Sums up the samples of searches.
+//! Aggregates the samples of searches into figures and violations.
 
 use std::collections;
 
@@ -8,10 +8,10 @@
 use crate::measure::load;
 use crate::measure::outcome;
 
-/// Highest latency told apart, in microseconds.
-const MOST_US: u64 = 120_000_000;
+/// Highest latency that the histogram records, in microseconds.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// Figures over many searches of one service.
+/// Counters and latencies of many searches of one service.
 #[derive(Debug)]
 pub struct Tally {
     latency: hdrhistogram::Histogram<u64>,
@@ -30,7 +30,8 @@
 impl Default for Tally {
     fn default() -> Self {
         #[expect(clippy::expect_used, reason = "the bounds are constants")]
-        let latency = hdrhistogram::Histogram::new_with_max(MOST_US, 3).expect("valid bounds");
+        let latency =
+            hdrhistogram::Histogram::new_with_max(MAX_LATENCY_US, 3).expect("valid bounds");
         Self {
             latency,
             sent: 0,
@@ -79,25 +80,25 @@
             let reason = missing["reason"].as_str().unwrap_or("none").to_owned();
             *self.missing.entry(reason).or_default() += 1;
         }
-        let micros = u64::try_from(sample.took.as_micros()).unwrap_or(MOST_US);
+        let micros = u64::try_from(sample.took.as_micros()).unwrap_or(MAX_LATENCY_US);
         self.latency.saturating_record(micros);
     }
 
-    /// Searches sent.
+    /// Returns the number of searches sent.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Searches answered within their deadline.
+    /// Returns the number of searches answered within their deadlines.
     pub fn in_time(&self) -> u64 {
         self.in_time
     }
 
-    /// The figures and violations. `arrived` counts the shard calls that
-    /// reached upstreams meanwhile.
+    /// Returns the figures and violations. `arrived` is the number of shard calls
+    /// that reached the upstreams during these searches.
     pub fn outcome(self, arrived: u64) -> outcome::Outcome {
         let mut out = outcome::Outcome::default();
-        let share = |part: u64, whole: u64| part as f64 / whole.max(1) as f64;
+        let share = |part: u64, total: u64| part as f64 / total.max(1) as f64;
         for (name, quantile) in [("p50_ms", 0.5), ("p99_ms", 0.99), ("p999_ms", 0.999)] {
             out.figure(name, self.latency.value_at_quantile(quantile) as f64 / 1e3);
         }
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -1,5 +1,5 @@
-//! Many faults at once and one upon another, with searches and registrations
-//! going on. What breaks only where two guards meet shows here.
+//! Random faults of VMs, upstreams and the store overlap while searches and
+//! registrations are sent. Finds failures that only a combination of faults causes.
 
 use std::collections;
 use std::time;
@@ -26,22 +26,23 @@
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 12;
-const SPAN: time::Duration = time::Duration::from_secs(30);
-const SEARCHES: f64 = 50.0;
-const REGISTRATIONS: f64 = 25.0;
-/// Between two faults, on average.
-const EVERY: time::Duration = time::Duration::from_millis(600);
-/// How long a fault lasts that ends by itself.
-const LASTS: time::Duration = time::Duration::from_millis(1800);
-/// Given to the site after the last fault.
-const SETTLE: time::Duration = time::Duration::from_secs(12);
-const AFTERWARDS: time::Duration = time::Duration::from_secs(3);
-const AFTERWARDS_RATE: f64 = 20.0;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(30);
+const SEARCHES_PER_S: f64 = 50.0;
+const REGISTRATIONS_PER_S: f64 = 25.0;
+/// Mean time between two faults.
+const MEAN_FAULT_INTERVAL: time::Duration = time::Duration::from_millis(600);
+/// Duration of store faults, and the longest pause of a VM.
+const FAULT_DURATION: time::Duration = time::Duration::from_millis(1800);
+/// Time that the site has to recover after the last fault.
+const RECOVERY_TIME: time::Duration = time::Duration::from_secs(12);
+/// Time for which searches are sent after the recovery.
+const CHECK_DURATION: time::Duration = time::Duration::from_secs(3);
+const CHECK_SEARCHES_PER_S: f64 = 20.0;
 const DEADLINE: time::Duration = time::Duration::from_millis(1500);
-/// VMs that stay whatever happens; a fault that would leave fewer is skipped.
-const FEWEST_VMS: usize = 6;
+/// A VM is only killed or stopped while there are more VMs than this.
+const MIN_VMS: usize = 6;
 
-/// Once the faults are over, every search is whole again.
+/// Promise that every search is answered completely once the faults are over.
 const RECOVERS: &str = "recovers by itself";
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
@@ -52,8 +53,8 @@
     let searching = tokio::spawn(search(
         caller.clone(),
         id.clone(),
-        SEARCHES,
-        SPAN,
+        SEARCHES_PER_S,
+        LOAD_DURATION,
         context.seed,
     ));
     let registering = tokio::spawn(records::send_by(
@@ -62,37 +63,40 @@
         plan(),
         context.seed,
     ));
-    let gone = faults(&mut site, context.seed).await?;
-    let found = searching.await.map_err(ended)?;
-    let registered = registering.await.map_err(ended)?;
-    tokio::time::sleep(SETTLE).await;
+    let killed = cause_faults(&mut site, context.seed).await?;
+    let samples = searching.await.map_err(task_failed)?;
+    let registered = registering.await.map_err(task_failed)?;
+    tokio::time::sleep(RECOVERY_TIME).await;
     let mut out = outcome::Outcome::default();
     let mut tally = measure::tally::Tally::default();
-    for (query, sample) in found.iter().filter(|(_, sample)| !cut(sample, &gone)) {
+    for (query, sample) in samples
+        .iter()
+        .filter(|(_, sample)| !lost_with_vm(sample, &killed))
+    {
         tally.add(&layout, query, sample);
     }
     out.absorb("searches_", tally.outcome(0));
     out.figures.remove("searches_extra_load_share");
     out.absorb("registrations_", registered.outcome(site.service(SERVICE)));
-    out.figure("vms_killed", gone.len() as f64);
-    afterwards(&site, &caller, context.seed, &mut out).await?;
+    out.figure("vms_killed", killed.len() as f64);
+    check_recovery(&site, &caller, context.seed, &mut out).await?;
     Ok(out)
 }
 
 fn plan() -> records::Plan {
     records::Plan {
         prefix: "together".to_owned(),
-        rate: REGISTRATIONS,
-        span: SPAN,
+        rate: REGISTRATIONS_PER_S,
+        duration: LOAD_DURATION,
         deadline: DEADLINE,
-        doubles: 0.1,
-        tries: 3,
+        duplicate_share: 0.1,
+        max_attempts: 3,
     }
 }
 
-fn ended(error: tokio::task::JoinError) -> measure::Error {
+fn task_failed(error: tokio::task::JoinError) -> measure::Error {
     measure::Error::Other {
-        what: format!("a caller's task ended: {error}"),
+        message: format!("a load task failed: {error}"),
     }
 }
 
@@ -100,88 +104,89 @@
     caller: load::Caller,
     service: ids::Service,
     rate: f64,
-    span: time::Duration,
+    duration: time::Duration,
     seed: u64,
 ) -> Vec<(serde_json::Value, load::Sample)> {
     let deadline = searches::DEADLINE;
     let searches = load::Searches {
         text: "together",
         rate,
-        span,
+        duration,
         seed,
         deadline,
     };
     searches.send(caller, service).await
 }
 
-/// A killed VM breaks its callers' connections; nothing can be promised there.
-fn cut(sample: &load::Sample, gone: &collections::BTreeSet<ids::Vm>) -> bool {
-    sample.reply.is_err() && sample.vm.as_ref().is_some_and(|vm| gone.contains(vm))
+/// Returns whether the request got no reply because its VM was killed, which breaks no
+/// promise.
+fn lost_with_vm(sample: &load::Sample, killed: &collections::BTreeSet<ids::Vm>) -> bool {
+    sample.reply.is_err() && sample.vm.as_ref().is_some_and(|vm| killed.contains(vm))
 }
 
-/// The faults, by chance; returns the VMs that were killed.
-async fn faults(
+/// Causes random faults, then ends them all; returns the VMs that were killed.
+async fn cause_faults(
     site: &mut site::Site,
     seed: u64,
 ) -> Result<collections::BTreeSet<ids::Vm>, measure::Error> {
     let mut random = rand::rngs::StdRng::seed_from_u64(seed);
-    let mut gone = collections::BTreeSet::new();
-    let until = tokio::time::Instant::now() + SPAN.saturating_sub(LASTS);
+    let mut killed = collections::BTreeSet::new();
+    let until = tokio::time::Instant::now() + LOAD_DURATION.saturating_sub(FAULT_DURATION);
     let mut platform_until = until;
     while tokio::time::Instant::now() < until {
-        let pause = EVERY.mul_f64(2.0 * random.random::<f64>());
-        tokio::time::sleep(pause).await;
+        let delay = MEAN_FAULT_INTERVAL.mul_f64(2.0 * random.random::<f64>());
+        tokio::time::sleep(delay).await;
         if tokio::time::Instant::now() > platform_until {
-            platform(site, |_| {});
+            set_platform_fault(site, |_| {});
         }
         match random.random_range(0..10) {
-            0 if site.nodes.len() > FEWEST_VMS => {
-                let at = random.random_range(0..site.nodes.len());
-                gone.insert(site.kill(at));
+            0 if site.nodes.len() > MIN_VMS => {
+                let index = random.random_range(0..site.nodes.len());
+                killed.insert(site.kill(index));
                 site.add().await?;
             }
-            1 if site.nodes.len() > FEWEST_VMS => {
-                let at = random.random_range(0..site.nodes.len());
-                drop(site.stop(at));
+            1 if site.nodes.len() > MIN_VMS => {
+                let index = random.random_range(0..site.nodes.len());
+                drop(site.stop(index));
                 site.add().await?;
             }
             2 | 3 => {
-                let at = random.random_range(0..site.nodes.len());
-                site.nodes[at].freeze(LASTS.mul_f64(random.random::<f64>()));
+                let index = random.random_range(0..site.nodes.len());
+                site.nodes[index].freeze(FAULT_DURATION.mul_f64(random.random::<f64>()));
             }
             4 => {
-                platform_until = tokio::time::Instant::now() + LASTS;
-                platform(site, |faults| faults.down = true);
+                platform_until = tokio::time::Instant::now() + FAULT_DURATION;
+                set_platform_fault(site, |faults| faults.down = true);
             }
             5 => {
-                platform_until = tokio::time::Instant::now() + LASTS;
-                platform(site, |faults| faults.lose_replies = 0.5);
+                platform_until = tokio::time::Instant::now() + FAULT_DURATION;
+                set_platform_fault(site, |faults| faults.lose_replies = 0.5);
             }
             6 => {
-                platform_until = tokio::time::Instant::now() + LASTS;
-                platform(site, |faults| faults.slow_ms = 300);
+                platform_until = tokio::time::Instant::now() + FAULT_DURATION;
+                set_platform_fault(site, |faults| faults.slow_ms = 300);
             }
-            _ => upstream_fault(site, &mut random),
+            _ => set_upstream_fault(site, &mut random),
         }
     }
-    tokio::time::sleep(LASTS).await;
-    platform(site, |_| {});
+    tokio::time::sleep(FAULT_DURATION).await;
+    set_platform_fault(site, |_| {});
     for upstream in &site.service(SERVICE).upstreams {
-        upstream.state().set_faults(clear);
+        upstream.state().set_faults(clear_faults);
     }
-    Ok(gone)
+    Ok(killed)
 }
 
-/// Sets one fault of the platform and ends the ones before.
-fn platform(site: &site::Site, change: impl FnOnce(&mut crate::platform::Faults)) {
+/// Clears the platform's faults, then applies `change`.
+fn set_platform_fault(site: &site::Site, change: impl FnOnce(&mut crate::platform::Faults)) {
     site.platform.state().set_faults(|faults| {
         *faults = crate::platform::Faults::default();
         change(faults);
     });
 }
 
-/// Ends an upstream's faults; the index versions stay.
-fn clear(faults: &mut upstream::Faults) {
+/// Clears an upstream's faults except its index versions.
+fn clear_faults(faults: &mut upstream::Faults) {
     let (oldest, newest) = (faults.oldest, faults.newest);
     *faults = upstream::Faults {
         oldest,
@@ -190,10 +195,10 @@
     };
 }
 
-fn upstream_fault(site: &site::Site, random: &mut rand::rngs::StdRng) {
+fn set_upstream_fault(site: &site::Site, random: &mut rand::rngs::StdRng) {
     let service = site.service(SERVICE);
-    let at = random.random_range(0..service.upstreams.len());
-    let state = service.upstreams[at].state();
+    let index = random.random_range(0..service.upstreams.len());
+    let state = service.upstreams[index].state();
     match random.random_range(0..7) {
         0 => state.crash(),
         1 => state.set_faults(|faults| faults.silence_open = true),
@@ -201,7 +206,7 @@
         3 => state.set_faults(|faults| faults.crossed_share = 0.3),
         4 => state.set_faults(|faults| faults.straggler_share = 0.2),
         5 => state.set_faults(|faults| faults.lose_replies = 0.2),
-        // A new index version appears everywhere, and the oldest goes.
+        // All upstreams get a new index version and drop those older than the last three.
         _ => service.set_faults(|faults| {
             faults.newest += 1;
             faults.oldest = faults.newest.saturating_sub(2);
@@ -209,7 +214,7 @@
     }
 }
 
-async fn afterwards(
+async fn check_recovery(
     site: &site::Site,
     caller: &load::Caller,
     seed: u64,
@@ -218,12 +223,19 @@
     site.ready().await?;
     let service = site.service(SERVICE);
     let id = service.id().clone();
-    let found = search(caller.clone(), id, AFTERWARDS_RATE, AFTERWARDS, seed + 1).await;
-    let mut whole = 0;
-    for (_, sample) in &found {
+    let samples = search(
+        caller.clone(),
+        id,
+        CHECK_SEARCHES_PER_S,
+        CHECK_DURATION,
+        seed + 1,
+    )
+    .await;
+    let mut complete = 0;
+    for (_, sample) in &samples {
         let reply = sample.reply.as_ref().ok();
         if reply.is_some_and(|reply| reply.body["coverage"]["complete"] == true) {
-            whole += 1;
+            complete += 1;
         } else {
             let seen = reply.map_or("no answer".to_owned(), |reply| reply.body.to_string());
             out.violate(RECOVERS, sample.request_id(), seen);
@@ -231,7 +243,7 @@
     }
     out.figure(
         "afterwards_whole_share",
-        f64::from(whole) / found.len().max(1) as f64,
+        f64::from(complete) / samples.len().max(1) as f64,
     );
     Ok(())
 }
--- a/crates/standin/src/measure/usage.rs
+++ b/crates/standin/src/measure/usage.rs
@@ -1,4 +1,4 @@
-//! What this process and its VMs spend, read from /proc and from `/metrics`.
+//! Resource usage of this process and its VMs, read from /proc and `/metrics`.
 
 use std::collections;
 use std::fs;
@@ -7,40 +7,41 @@
 use crate::measure::outcome;
 use crate::site;
 
-/// Bytes of a page of memory, as statm counts.
-const PAGE: f64 = 4096.0;
+/// Size of the memory pages that statm counts.
+const PAGE_BYTES: f64 = 4096.0;
 
-/// Middle, least and most of several runs.
+/// Median, minimum and maximum of several runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Spread {
     pub(super) median: f64,
-    pub(super) least: f64,
-    pub(super) most: f64,
+    pub(super) min: f64,
+    pub(super) max: f64,
 }
 
 impl Spread {
-    /// Of `values`; zeros where there are none.
+    /// Returns the spread of `values`; all zeros if there are none.
     pub(super) fn of(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
-        let at = |place: usize| values.get(place).copied().unwrap_or(0.0);
+        let at = |index: usize| values.get(index).copied().unwrap_or(0.0);
         Self {
             median: at(values.len() / 2),
-            least: at(0),
-            most: at(values.len().saturating_sub(1)),
+            min: at(0),
+            max: at(values.len().saturating_sub(1)),
         }
     }
 
-    /// Adds the median under `name`, the others under `name` with an ending.
+    /// Adds the median as figure `name`, the minimum as `{name}_least` and the maximum
+    /// as `{name}_most`.
     pub(super) fn figure(self, name: &str, out: &mut outcome::Outcome) {
         out.figure(name, self.median);
-        out.figure(format!("{name}_least"), self.least);
-        out.figure(format!("{name}_most"), self.most);
+        out.figure(format!("{name}_least"), self.min);
+        out.figure(format!("{name}_most"), self.max);
     }
 }
 
-/// Processor time of this process's threads whose names start with `name`,
-/// all where it's empty. Threads that have ended don't count.
-pub(super) fn processor(name: &str) -> time::Duration {
+/// Returns the processor time of this process's threads whose names start with
+/// `name`, or of all threads if `name` is empty. Threads that have ended are missing.
+pub(super) fn processor_time(name: &str) -> time::Duration {
     let tasks = fs::read_dir("/proc/self/task").into_iter().flatten();
     let paths = tasks.filter_map(Result::ok).map(|entry| entry.path());
     let named = paths.filter(|path| {
@@ -54,23 +55,24 @@
     time::Duration::from_nanos(nanos.sum())
 }
 
-/// Processor time since `earlier` was read. Threads that ended meanwhile take
-/// theirs along, so it's a lower bound, and never below zero.
-pub(super) fn processor_since(name: &str, earlier: time::Duration) -> time::Duration {
-    processor(name).saturating_sub(earlier)
+/// Returns the processor time spent since `earlier` was read. It is a lower bound,
+/// as the time of threads that have ended since is missing; it is never below zero.
+pub(super) fn processor_time_since(name: &str, earlier: time::Duration) -> time::Duration {
+    processor_time(name).saturating_sub(earlier)
 }
 
-/// Resident memory of this process, in bytes.
-pub(super) fn memory() -> f64 {
+/// Returns the resident memory of this process in bytes.
+pub(super) fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm
         .split_whitespace()
         .nth(1)
         .and_then(|field| field.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE
+    pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
-/// The figures of one VM's `/metrics`, labels summed up.
+/// Reads one VM's `/metrics`, with each metric summed over its labels. Empty if the
+/// VM doesn't answer.
 pub(super) async fn metrics(node: &site::Node) -> collections::BTreeMap<String, f64> {
     let url = format!("http://{}/metrics", node.operators());
     let mut sums = collections::BTreeMap::new();
@@ -90,8 +92,11 @@
     sums
 }
 
-/// The sum of one figure over VMs.
-pub(super) async fn sum(nodes: &[site::Node], name: &str) -> f64 {
-    let all = futures_util::future::join_all(nodes.iter().map(metrics)).await;
-    all.iter().filter_map(|figures| figures.get(name)).sum()
+/// Returns the sum of one metric over all `nodes`.
+pub(super) async fn metric_sum(nodes: &[site::Node], name: &str) -> f64 {
+    let all_metrics = futures_util::future::join_all(nodes.iter().map(metrics)).await;
+    all_metrics
+        .iter()
+        .filter_map(|metrics| metrics.get(name))
+        .sum()
 }
--- a/crates/standin/src/measure/versions.rs
+++ b/crates/standin/src/measure/versions.rs
@@ -1,7 +1,7 @@
-//! Index versions that move under running searches, and a repartition.
+//! Index versions change while searches run, and the index is repartitioned.
 //!
-//! Every 200 ms a new version comes up, at each upstream a little later than at
-//! the one before, and the oldest of three goes. Half-way two shards are added.
+//! Every 200 ms the upstreams, one after another, start to offer a new version and
+//! drop the oldest of three. Half-way through the load two shards are added.
 
 use std::time;
 
@@ -29,31 +29,33 @@
 const SHARDS: usize = 20;
 /// Shards of the layout before the repartition.
 const SHARDS_BEFORE: usize = 18;
-const LOAD: f64 = 0.1;
-const SPAN: time::Duration = time::Duration::from_secs(8);
-const ROUND: time::Duration = time::Duration::from_millis(200);
-/// Between two upstreams that come to a new version.
-const STEP: time::Duration = time::Duration::from_millis(4);
-/// Versions offered at once.
-const KEPT: u64 = 3;
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.1;
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
+/// Delay between the rollouts of two versions.
+const VERSION_INTERVAL: time::Duration = time::Duration::from_millis(200);
+/// Delay between two upstreams in the rollout of a version.
+const UPSTREAM_INTERVAL: time::Duration = time::Duration::from_millis(4);
+/// Number of versions that an upstream offers at a time.
+const VERSIONS_KEPT: u64 = 3;
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut site = context.site(site::Spec::small(SERVICE, SHARDS)).await?;
-    let whole = layout::Layout {
+    let new_layout = layout::Layout {
         version: ids::LayoutVersion(3),
         ..site.service(SERVICE).layout.clone()
     };
-    let mut part = layout::Layout {
+    let mut old_layout = layout::Layout {
         version: ids::LayoutVersion(2),
-        ..whole.clone()
+        ..new_layout.clone()
     };
-    part.shards.truncate(SHARDS_BEFORE);
-    put(&site, &part);
-    site.services[0].layout = part.clone();
-    let rate = site.service(SERVICE).capacity() * LOAD;
+    old_layout.shards.truncate(SHARDS_BEFORE);
+    put_layout(&site, &old_layout);
+    site.services[0].layout = old_layout.clone();
+    let rate = site.service(SERVICE).capacity() * LOAD_SHARE;
     let load = searches::Load {
         rate,
-        span: searches::WARM_UP * 2,
+        duration: searches::WARM_UP * 2,
         seed: context.seed,
     };
     searches::send(&site, SERVICE, load).await?;
@@ -63,55 +65,55 @@
         searches::Sent::read(&site).await?,
     );
     let load = searches::Load {
-        span: SPAN,
+        duration: LOAD_DURATION,
         seed: context.seed + 1,
         ..load
     };
     let repartition = async {
-        tokio::time::sleep(SPAN / 2).await;
-        put(&site, &whole);
+        tokio::time::sleep(LOAD_DURATION / 2).await;
+        put_layout(&site, &new_layout);
     };
-    let found = tokio::select! {
-        (found, ()) = async { tokio::join!(searches::send(&site, SERVICE, load), repartition) } => found?,
-        () = versions(service) => Vec::new(),
+    let results = tokio::select! {
+        (results, ()) = async { tokio::join!(searches::send(&site, SERVICE, load), repartition) } => results?,
+        () = roll_out_versions(service) => Vec::new(),
     };
     let sent = searches::Sent::read(&site).await?.since(sent);
     let arrived = service.counts().arrived() - before;
-    let mut out = sum(&found, &part, &whole, arrived);
+    let mut out = summarize(&results, &old_layout, &new_layout, arrived);
     sent.figures(&mut out);
     Ok(out)
 }
 
-/// Checks each answer by the layout that it names.
-fn sum(
-    found: &[searches::Search],
-    part: &layout::Layout,
-    whole: &layout::Layout,
+/// Summarizes the searches, checking each answer against the layout that it names.
+fn summarize(
+    results: &[searches::Search],
+    old_layout: &layout::Layout,
+    new_layout: &layout::Layout,
     arrived: u64,
 ) -> outcome::Outcome {
     let mut tally = tally::Tally::default();
-    let (mut old, mut new) = (0.0, 0.0);
-    for search in found {
+    let (mut at_old, mut at_new) = (0.0, 0.0);
+    for search in results {
         let body = search.sample.reply.as_ref().map(|reply| &reply.body);
         let body = body.ok();
-        let named = body.and_then(|body| body["snapshot"]["layout"].as_u64());
-        let is_old = named == Some(part.version.0);
-        old += f64::from(u8::from(is_old));
-        new += f64::from(u8::from(named == Some(whole.version.0)));
-        let layout = if is_old { part } else { whole };
+        let version = body.and_then(|body| body["snapshot"]["layout"].as_u64());
+        let is_old = version == Some(old_layout.version.0);
+        at_old += f64::from(u8::from(is_old));
+        at_new += f64::from(u8::from(version == Some(new_layout.version.0)));
+        let layout = if is_old { old_layout } else { new_layout };
         tally.add(layout, &search.query, &search.sample);
     }
     let mut out = tally.outcome(arrived);
-    out.figure("whole_share", searches::whole(found));
-    out.figure("at_old_layout", old);
-    out.figure("at_new_layout", new);
-    if new == 0.0 {
-        out.violate(check::ONE_SNAPSHOT, "-", "no search came to the new layout");
+    out.figure("whole_share", searches::complete_in_time_share(results));
+    out.figure("at_old_layout", at_old);
+    out.figure("at_new_layout", at_new);
+    if at_new == 0.0 {
+        out.violate(check::ONE_SNAPSHOT, "-", "no search used the new layout");
     }
     out
 }
 
-fn put(site: &site::Site, layout: &layout::Layout) {
+fn put_layout(site: &site::Site, layout: &layout::Layout) {
     let key = layout::key(site.service(SERVICE).id());
     let body = serde_json::to_vec(layout).unwrap_or_default();
     site.platform.state().objects(|objects| {
@@ -119,16 +121,16 @@
     });
 }
 
-/// Moves versions on for ever.
-async fn versions(service: &site::Service) {
-    for newest in KEPT + 1.. {
+/// Rolls out one version after another, without end.
+async fn roll_out_versions(service: &site::Service) {
+    for newest in VERSIONS_KEPT + 1.. {
         for upstream in &service.upstreams {
             upstream.state().set_faults(|faults| {
                 faults.newest = newest;
-                faults.oldest = newest + 1 - KEPT;
+                faults.oldest = newest + 1 - VERSIONS_KEPT;
             });
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(UPSTREAM_INTERVAL).await;
         }
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(VERSION_INTERVAL).await;
     }
 }
--- a/crates/standin/src/measure/vm_loss.rs
+++ b/crates/standin/src/measure/vm_loss.rs
@@ -1,4 +1,4 @@
-//! VMs die without a word under load: one, then two at once.
+//! VMs are killed under load without notice: one, then two at once.
 
 use std::collections;
 use std::time;
@@ -22,36 +22,37 @@
     run: |context| Box::pin(run(context)),
 };
 
-/// A dead VM is taken out of every view in the end.
+/// Promise that a dead VM is eventually removed from every view.
 pub(super) const REMOVED: &str = "dead VMs are removed";
-/// What a dead VM held is taken over.
+/// Promise that other VMs take over the work of a dead VM.
 const TAKEN_OVER: &str = "duties are taken over";
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
-const LOAD: f64 = 0.2;
-const WARM_UP: time::Duration = time::Duration::from_secs(2);
-/// Searches are sent so long around each loss, and again after it.
-const SPAN: time::Duration = time::Duration::from_secs(8);
-/// From the start of a span to its loss.
-const BEFORE: time::Duration = time::Duration::from_secs(2);
-/// Longest wait for the views; only a view that never changes is a violation.
-const PATIENCE: time::Duration = time::Duration::from_secs(60);
+/// Load as a share of the upstreams' capacity.
+const LOAD_SHARE: f64 = 0.2;
+const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(2);
+/// Time for which searches are sent around each loss, and once more after the last.
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
+/// Time of the loss, from the start of the load.
+const LOSS_AT: time::Duration = time::Duration::from_secs(2);
+/// Longest wait for the views to change; only a view that never changes is a violation.
+const REMOVAL_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut site = context.site(site::Spec::small(SERVICE, SHARDS)).await?;
-    let rate = site.service(SERVICE).capacity() * LOAD;
+    let rate = site.service(SERVICE).capacity() * LOAD_SHARE;
     let caller = load::Caller::new(&site)?;
     let service = site.service(SERVICE).id().clone();
-    send(&caller, &service, rate, WARM_UP, context.seed).await;
+    send(&caller, &service, rate, WARM_UP_DURATION, context.seed).await;
     let mut out = outcome::Outcome::default();
     for (name, count) in [("one_", 1), ("two_", 2)] {
-        let part = lose(&mut site, &caller, rate, count, context.seed + count as u64).await;
-        out.absorb(name, part);
+        let losses = kill_vms(&mut site, &caller, rate, count, context.seed + count as u64).await;
+        out.absorb(name, losses);
     }
-    let samples = send(&caller, &service, rate, SPAN, context.seed + 9).await;
-    let after = summed(&site, &samples, &collections::BTreeSet::new()).outcome(0);
+    let samples = send(&caller, &service, rate, LOAD_DURATION, context.seed + 9).await;
+    let after = tally_samples(&site, &samples, &collections::BTreeSet::new()).outcome(0);
     if after
         .figures
         .get("complete_share")
@@ -65,30 +66,30 @@
     Ok(out)
 }
 
-type Sent = (serde_json::Value, load::Sample);
+type SearchSample = (serde_json::Value, load::Sample);
 
 async fn send(
     caller: &load::Caller,
     service: &ids::Service,
     rate: f64,
-    span: time::Duration,
+    duration: time::Duration,
     seed: u64,
-) -> Vec<Sent> {
+) -> Vec<SearchSample> {
     let searches = load::Searches {
         text: "query",
         rate,
-        span,
+        duration,
         seed,
         deadline: DEADLINE,
     };
     searches.send(caller.clone(), service.clone()).await
 }
 
-/// Sums up; a request that was at a VM when it died is lost with it, and that
-/// breaks no promise.
-fn summed(
+/// Tallies the samples except unanswered requests to a dead VM, whose loss breaks no
+/// promise.
+fn tally_samples(
     site: &site::Site,
-    samples: &[Sent],
+    samples: &[SearchSample],
     dead: &collections::BTreeSet<ids::Vm>,
 ) -> tally::Tally {
     let service = site.service(SERVICE);
@@ -102,7 +103,7 @@
     tally
 }
 
-async fn lose(
+async fn kill_vms(
     site: &mut site::Site,
     caller: &load::Caller,
     rate: f64,
@@ -110,15 +111,15 @@
     seed: u64,
 ) -> outcome::Outcome {
     let service = site.service(SERVICE).id().clone();
-    let sending = send(caller, &service, rate, SPAN, seed);
+    let sending = send(caller, &service, rate, LOAD_DURATION, seed);
     let losing = async {
-        tokio::time::sleep(BEFORE).await;
+        tokio::time::sleep(LOSS_AT).await;
         let dead = (0..count).map(|_| site.kill(0)).collect();
-        (dead, removed(site).await)
+        (dead, wait_until_removed(site).await)
     };
     let (samples, (dead, removed)) = future::join(sending, losing).await;
-    let mut out = summed(site, &samples, &dead).outcome(0);
-    let at_dead = |(_, sample): &&Sent| {
+    let mut out = tally_samples(site, &samples, &dead).outcome(0);
+    let at_dead = |(_, sample): &&SearchSample| {
         sample.reply.is_err() && sample.vm.as_ref().is_some_and(|vm| dead.contains(vm))
     };
     out.figure(
@@ -127,21 +128,22 @@
     );
     match removed {
         Some(took) => out.figure("removed_ms", took.as_secs_f64() * 1e3),
-        None => out.violate(REMOVED, "-", format!("{dead:?} after {PATIENCE:?}")),
+        None => out.violate(REMOVED, "-", format!("{dead:?} after {REMOVAL_TIMEOUT:?}")),
     }
     out
 }
 
-/// How long until every VM's view holds just the VMs that run.
-pub(super) async fn removed(site: &site::Site) -> Option<time::Duration> {
+/// Waits until the view of every VM holds exactly as many VMs as run; returns how long
+/// that took, or `None` after `REMOVAL_TIMEOUT`.
+pub(super) async fn wait_until_removed(site: &site::Site) -> Option<time::Duration> {
     let start = tokio::time::Instant::now();
-    let wanted = site.nodes.len() as f64;
-    while start.elapsed() < PATIENCE {
-        let all = future::join_all(site.nodes.iter().map(usage::metrics)).await;
-        let live = |figures: &collections::BTreeMap<String, f64>| {
-            figures.get("member_live").copied() == Some(wanted)
+    let expected = site.nodes.len() as f64;
+    while start.elapsed() < REMOVAL_TIMEOUT {
+        let metrics = future::join_all(site.nodes.iter().map(usage::metrics)).await;
+        let has_all = |figures: &collections::BTreeMap<String, f64>| {
+            figures.get("member_live").copied() == Some(expected)
         };
-        if all.iter().all(live) {
+        if metrics.iter().all(has_all) {
             return Some(start.elapsed());
         }
         tokio::time::sleep(time::Duration::from_millis(50)).await;
