--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -26,7 +26,6 @@
 use crate::measure::usage;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "calls",
     about: "processor time and bytes per search, shard call and frame; memory per link and replica",
@@ -47,11 +46,11 @@
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     let mut costs = Vec::new();
-    for width in SHARD_COUNTS {
-        let outcome = search_costs(context, width).await?;
+    for shards in SHARD_COUNTS {
+        let outcome = search_costs(context, shards).await?;
         let cost = outcome.figures.get("search_processor_us").copied();
-        costs.push((width as f64, cost.unwrap_or(0.0)));
-        out.absorb(&format!("shards_{width}_"), outcome);
+        costs.push((shards as f64, cost.unwrap_or(0.0)));
+        out.absorb(&format!("shards_{shards}_"), outcome);
     }
     let (first, last) = (costs[0], costs[costs.len() - 1]);
     let slope = (last.1 - first.1) / (last.0 - first.0);
@@ -70,9 +69,9 @@
 
 async fn search_costs(
     context: measure::Context,
-    width: usize,
+    shards: usize,
 ) -> Result<outcome::Outcome, measure::Error> {
-    let site = context.site(site::Spec::small(SERVICE, width)).await?;
+    let site = context.site(site::Spec::small(SERVICE, shards)).await?;
     straggler::tally_searches(
         &site,
         SERVICE,
@@ -278,8 +277,7 @@
 /// role for. Three VMs have a role for each replica: with 3 VMs, every VM has one for
 /// all replicas, with 12 VMs for a quarter of them.
 async fn replica_memory(out: &mut outcome::Outcome) -> Result<(), measure::Error> {
-    // The larger first: the second run reuses memory that the first one freed, so a
-    // larger second run would seem to need too little.
+    // The larger number first, as the second run reuses memory that the first freed.
     let (with_12_vms, with_3_vms) = (memory_per_replica(12).await?, memory_per_replica(3).await?);
     let role = (with_3_vms - with_12_vms) / (1.0 - 3.0 / 12.0);
     out.figure("replica_with_3_vms_memory_kib", with_3_vms);
--- a/crates/standin/src/measure/check.rs
+++ b/crates/standin/src/measure/check.rs
@@ -16,7 +16,7 @@
 /// Promise that a caller gets all hits of its own query from the covered shards.
 pub const OWN_ANSWER: &str = "own whole answer";
 /// Number of hits that each search asks for.
-pub const LIMIT: u32 = 20;
+pub const HIT_LIMIT: u32 = 20;
 /// Promise that every request gets an answer or an error code.
 pub const ANSWERED: &str = "answered at all";
 
@@ -82,7 +82,7 @@
         .flat_map(|shard| corpus::hits(&shard.id, &text, version))
         .collect();
     expected.sort_by(|a, b| b.score.total_cmp(&a.score).then_with(|| a.id.cmp(&b.id)));
-    expected.truncate(LIMIT as usize);
+    expected.truncate(HIT_LIMIT as usize);
     let same = expected
         .iter()
         .map(|hit| &hit.id)
--- a/crates/standin/src/measure/cold_start.rs
+++ b/crates/standin/src/measure/cold_start.rs
@@ -9,7 +9,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "cold-start",
     about: "one replica of each of 8 shards restarts, ten times slower for 4 s",
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -21,7 +21,6 @@
 use crate::measure::vm_loss;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "control",
     about: "processor time, memory, bytes and store calls of the control plane per VM, by number of VMs",
@@ -36,8 +35,8 @@
 
 /// Numbers of members to measure.
 const MEMBER_COUNTS: [usize; 4] = [8, 32, 128, 512];
-/// Numbers of complete VMs to measure, the largest first: later runs reuse the memory
-/// that earlier ones freed, so a larger later run would seem to need too little.
+/// Numbers of complete VMs to measure, the largest first, as each run reuses memory
+/// that the run before freed.
 const VM_COUNTS: [usize; 3] = [32, 16, 8];
 /// Time over which each sample is taken.
 const SAMPLE_DURATION: time::Duration = time::Duration::from_secs(3);
@@ -103,7 +102,7 @@
 
 async fn member(number: usize, seed: Option<net::SocketAddr>) -> Result<Member, measure::Error> {
     let other = |message: String| measure::Error::Other { message };
-    let named = |text: String| text.parse().map_err(|e: ids::Error| other(e.to_string()));
+    let parse = |text: String| text.parse().map_err(|e: ids::Error| other(e.to_string()));
     let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let socket = tokio::net::UdpSocket::bind(loopback).await;
     let socket = socket.map_err(|error| other(error.to_string()))?;
@@ -111,7 +110,7 @@
         .local_addr()
         .map_err(|error| other(error.to_string()))?;
     let data_centre = site::data_centre(number, 4);
-    let vm = named(format!("vm-{number}"))?;
+    let vm = parse(format!("vm-{number}"))?;
     let mut config = member::Config::new(vm, ids::Incarnation(1), data_centre, address, socket);
     config.seeds.extend(seed);
     let stop = CancellationToken::new();
--- a/crates/standin/src/measure/crash_query.rs
+++ b/crates/standin/src/measure/crash_query.rs
@@ -13,7 +13,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "crash-query",
     about: "a query that crashes upstreams, sent again at every VM; 2 and 4 replicas, 8 and 240 shards",
@@ -72,7 +71,7 @@
     };
     let load = searches::Load {
         rate,
-        duration: searches::WARM_UP,
+        duration: searches::WARM_UP_DURATION,
         seed: context.seed,
     };
     searches::send(&site, SERVICE, load).await?;
--- a/crates/standin/src/measure/crossed.rs
+++ b/crates/standin/src/measure/crossed.rs
@@ -10,7 +10,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "crossed",
     about: "1 in 50 replies is another request's, 1 in 50 of another version, 1 in 100 late",
--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -18,10 +18,9 @@
 use crate::measure::outcome;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "documents",
-    about: "racing operators, bad edits, an outage, an older store: time to in force at all VMs",
+    about: "racing operators, bad edits, an outage, an older store: time until in force on all VMs",
     baseline: None,
     run: |context| Box::pin(run(context)),
 };
@@ -33,7 +32,8 @@
 const OUTAGE_DURATION: time::Duration = time::Duration::from_secs(20);
 /// Time given to a forbidden change to show before the state is checked.
 const CHECK_DELAY: time::Duration = time::Duration::from_secs(4);
-/// Longest wait for the accepted record to show an edit.
+/// Longest wait for the accepted record to show an edit; after it the edit counts as
+/// lost.
 const ACCEPT_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 const NEVER_REVERTS: &str = "an accepted configuration never reverts";
 const IN_FORCE: &str = "an accepted configuration is in force everywhere";
--- a/crates/standin/src/measure/drain.rs
+++ b/crates/standin/src/measure/drain.rs
@@ -11,7 +11,6 @@
 use crate::site;
 use crate::upstream;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "drain",
     about: "two upstreams drain under load; one report lags, one lies",
@@ -19,7 +18,7 @@
     run: |context| Box::pin(run(context)),
 };
 
-/// Promise that a draining upstream gets no new calls.
+/// Promise that an upstream gets no new calls once it has drained for 2 s.
 const NO_NEW_WORK: &str = "no new work at a leaving upstream after 2 s";
 /// Promise that calls which run at a draining upstream are finished.
 const NOT_CANCELLED: &str = "no running call is cut at a leaving upstream";
--- a/crates/standin/src/measure/fanout.rs
+++ b/crates/standin/src/measure/fanout.rs
@@ -8,7 +8,6 @@
 use crate::measure::straggler;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "fanout",
     about: "1 in 100 shard calls runs 30 times as long; each query asks 240 shards",
--- a/crates/standin/src/measure/generations.rs
+++ b/crates/standin/src/measure/generations.rs
@@ -16,7 +16,8 @@
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(25);
 /// Timeout of a request for a VM's metrics.
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Longest wait for a generation to be applied by all VMs.
+/// Longest wait for all VMs to apply a generation; after it the generation counts as
+/// lost.
 const ROLLOUT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 /// Polls the metrics of a site's VMs until it is dropped.
--- a/crates/standin/src/measure/load.rs
+++ b/crates/standin/src/measure/load.rs
@@ -103,12 +103,12 @@
         query: &serde_json::Value,
         deadline: time::Duration,
     ) -> Sample {
-        let body = serde_json::json!({ "query": query, "limit": check::LIMIT });
+        let body = serde_json::json!({ "query": query, "limit": check::HIT_LIMIT });
         self.send(service, "search", None, &body, deadline, None)
             .await
     }
 
-    /// Sends a registration to a VM other than `exclude`.
+    /// Sends a registration to a random ready VM other than `exclude`.
     pub async fn register(
         &self,
         service: &ids::Service,
@@ -208,7 +208,7 @@
 /// Open-loop load of searches.
 #[derive(Debug, Clone, Copy)]
 pub struct Searches {
-    /// Start of each query's text; the seed and a number complete fifty texts.
+    /// Start of each query's text; the seed and a number from 0 to 49 follow.
     pub text: &'static str,
     /// Mean number of searches a second.
     pub rate: f64,
--- a/crates/standin/src/measure/outage.rs
+++ b/crates/standin/src/measure/outage.rs
@@ -9,7 +9,6 @@
 use crate::measure::straggler;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "store-outage",
     about: "the store is down, then slow, then back; searches and registrations go on",
--- a/crates/standin/src/measure/overload.rs
+++ b/crates/standin/src/measure/overload.rs
@@ -9,7 +9,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "overload",
     about: "twice the searches that the upstreams can run; each asks 8 shards",
--- a/crates/standin/src/measure/registrations.rs
+++ b/crates/standin/src/measure/registrations.rs
@@ -11,7 +11,6 @@
 use crate::measure::records;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "registrations",
     about: "repeats at other VMs, lost store replies, paused claimants; store writes per claim",
@@ -101,12 +100,12 @@
     let count = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-    let covariance: f64 = points
+    let sum_of_products: f64 = points
         .iter()
         .map(|point| (point.0 - x) * (point.1 - y))
         .sum();
-    let variance: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
-    covariance / variance.max(1e-9)
+    let sum_of_squares: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
+    sum_of_products / sum_of_squares.max(1e-9)
 }
 
 /// Returns the number of writes that the store has received, of every kind.
--- a/crates/standin/src/measure/replica_loss.rs
+++ b/crates/standin/src/measure/replica_loss.rs
@@ -9,7 +9,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "replica-loss",
     about: "one replica of every other shard of 20 crashes; back after 3 s",
--- a/crates/standin/src/measure/report.rs
+++ b/crates/standin/src/measure/report.rs
@@ -42,7 +42,7 @@
         let baseline = baseline.map(|(_, outcome)| outcome.figures);
         let ratios = baseline
             .as_ref()
-            .map(|baseline_value| ratios(&outcome.figures, baseline_value));
+            .map(|baseline| ratios(&outcome.figures, baseline));
         Self {
             scenario: scenario.to_owned(),
             seed: context.seed,
--- a/crates/standin/src/measure/searches.rs
+++ b/crates/standin/src/measure/searches.rs
@@ -13,14 +13,14 @@
 
 /// Promise that the homes open no more connections than an upstream accepts.
 pub const WITHIN_CONNECTIONS: &str = "within the upstreams' connections";
-/// Promise that no request is quarantined that never crashed an upstream.
+/// Promise that a request which never crashed an upstream isn't quarantined.
 pub const NO_FALSE_QUARANTINE: &str = "innocent requests aren't quarantined";
 
 /// Deadline of each search.
 pub const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 /// Time for which a scenario sends searches before it measures, so that the VMs know
 /// the upstreams' call times.
-pub const WARM_UP: time::Duration = time::Duration::from_secs(2);
+pub const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(2);
 
 /// A search that was sent.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     service: ids::Service,
     load: Load,
     arrived: u64,
-    sent: Sent,
+    sent: Attempts,
 }
 
 impl Bench {
@@ -90,7 +90,8 @@
     /// upstreams' capacity.
     ///
     /// # Errors
-    /// Returns an error if the site can't be started or its metrics can't be read.
+    /// Returns an error if the site or the HTTP client can't be set up, or if a VM's
+    /// metrics can't be read.
     pub async fn start(
         context: measure::Context,
         spec: site::Spec,
@@ -102,12 +103,12 @@
         let rate = site.service(id.as_str()).capacity() * share;
         let warm_up = Load {
             rate,
-            duration: WARM_UP,
+            duration: WARM_UP_DURATION,
             seed: context.seed,
         };
         send(&site, id.as_str(), warm_up).await?;
         let arrived = site.service(id.as_str()).counts().arrived();
-        let sent = Sent::read(&site).await?;
+        let sent = Attempts::read(&site).await?;
         let load = Load {
             rate,
             duration,
@@ -140,7 +141,7 @@
     /// # Errors
     /// Returns an error if a VM's metrics can't be read.
     pub async fn summarize(&self, searches: &[Search]) -> Result<outcome::Outcome, measure::Error> {
-        let sent = Sent::read(&self.site).await?.since(self.sent);
+        let sent = Attempts::read(&self.site).await?.since(self.sent);
         let arrived = self.service().counts().arrived() - self.arrived;
         Ok(summarize(self.service(), searches, arrived, sent))
     }
@@ -148,7 +149,7 @@
 
 /// Number of calls that the homes have sent, by kind.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Sent {
+pub struct Attempts {
     /// First attempts, including canaries.
     pub first: f64,
     /// Hedged attempts.
@@ -157,7 +158,7 @@
     pub retries: f64,
 }
 
-impl Sent {
+impl Attempts {
     /// Sums the counters in the metrics of the site's VMs.
     pub async fn read(site: &site::Site) -> Result<Self, measure::Error> {
         let client = reqwest::Client::new();
@@ -165,9 +166,9 @@
         for node in &site.nodes {
             let url = format!("http://{}/metrics", node.operators());
             let text = client.get(url).send().await?.text().await?;
-            sent.first += sent_of_kind(&text, "First") + sent_of_kind(&text, "Canary");
-            sent.hedges += sent_of_kind(&text, "Hedge");
-            sent.retries += sent_of_kind(&text, "Retry");
+            sent.first += attempts_of_kind(&text, "First") + attempts_of_kind(&text, "Canary");
+            sent.hedges += attempts_of_kind(&text, "Hedge");
+            sent.retries += attempts_of_kind(&text, "Retry");
         }
         Ok(sent)
     }
@@ -189,7 +190,7 @@
     }
 }
 
-fn sent_of_kind(metrics: &str, kind: &str) -> f64 {
+fn attempts_of_kind(metrics: &str, kind: &str) -> f64 {
     let label = format!("kind=\"{kind}\"");
     let lines = metrics
         .lines()
@@ -206,7 +207,7 @@
     service: &site::Service,
     searches: &[Search],
     arrived: u64,
-    sent: Sent,
+    sent: Attempts,
 ) -> outcome::Outcome {
     let mut tally = tally::Tally::default();
     for search in searches {
--- a/crates/standin/src/measure/shed.rs
+++ b/crates/standin/src/measure/shed.rs
@@ -9,7 +9,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "shed",
     about: "one replica of each of 20 shards sheds half of its calls",
--- a/crates/standin/src/measure/silent.rs
+++ b/crates/standin/src/measure/silent.rs
@@ -10,7 +10,6 @@
 use crate::measure::searches;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "silent",
     about: "all open connections to upstreams go silent at once, new ones work",
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -12,7 +12,6 @@
 use crate::measure::tally;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "stop",
     about: "one of 4 VMs is stopped under load, then two at once, then all in turn, replaced first",
--- a/crates/standin/src/measure/straggler.rs
+++ b/crates/standin/src/measure/straggler.rs
@@ -9,7 +9,6 @@
 use crate::measure::tally;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "straggler",
     about: "1 in 100 shard calls runs 30 times as long; each query asks 20 shards",
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -16,7 +16,6 @@
 use crate::site;
 use crate::upstream;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "together",
     about: "VMs lost, paused, stopped; store down; upstreams crash, drain, cross replies: at once",
--- a/crates/standin/src/measure/usage.rs
+++ b/crates/standin/src/measure/usage.rs
@@ -71,8 +71,8 @@
     pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
-/// Reads one VM's `/metrics`, with each metric summed over its labels. Empty if the
-/// VM doesn't answer.
+/// Reads one VM's `/metrics`, with each metric summed over its labels and named without
+/// the suffix `_total`. Empty if the VM doesn't answer.
 pub(super) async fn metrics(node: &site::Node) -> collections::BTreeMap<String, f64> {
     let url = format!("http://{}/metrics", node.operators());
     let mut sums = collections::BTreeMap::new();
--- a/crates/standin/src/measure/versions.rs
+++ b/crates/standin/src/measure/versions.rs
@@ -17,7 +17,6 @@
 use crate::measure::tally;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "versions",
     about: "a new index version every 200 ms, upstream by upstream; a repartition half-way",
@@ -55,14 +54,14 @@
     let rate = site.service(SERVICE).capacity() * LOAD_SHARE;
     let load = searches::Load {
         rate,
-        duration: searches::WARM_UP * 2,
+        duration: searches::WARM_UP_DURATION * 2,
         seed: context.seed,
     };
     searches::send(&site, SERVICE, load).await?;
     let service = site.service(SERVICE);
     let (before, sent) = (
         service.counts().arrived(),
-        searches::Sent::read(&site).await?,
+        searches::Attempts::read(&site).await?,
     );
     let load = searches::Load {
         duration: LOAD_DURATION,
@@ -77,7 +76,7 @@
         (results, ()) = async { tokio::join!(searches::send(&site, SERVICE, load), repartition) } => results?,
         () = roll_out_versions(service) => Vec::new(),
     };
-    let sent = searches::Sent::read(&site).await?.since(sent);
+    let sent = searches::Attempts::read(&site).await?.since(sent);
     let arrived = service.counts().arrived() - before;
     let mut out = summarize(&results, &old_layout, &new_layout, arrived);
     sent.figures(&mut out);
--- a/crates/standin/src/measure/vm_loss.rs
+++ b/crates/standin/src/measure/vm_loss.rs
@@ -14,7 +14,6 @@
 use crate::measure::usage;
 use crate::site;
 
-/// The scenario.
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "vm-loss",
     about: "one of 8 VMs dies under load, then two at once; searches touch 20 shards",
