--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -152,8 +152,8 @@
                 "refused_ran_{}",
                 reply.body["error"]["ran"].as_str().unwrap_or("-")
             ),
-            Err(load::Lost::Unsent(_)) => "unsent".to_owned(),
-            Err(load::Lost::Sent(why)) => {
+            Err(load::Failure::Unsent(_)) => "unsent".to_owned(),
+            Err(load::Failure::Sent(why)) => {
                 outcome.violate(ANSWERED, sample.request_id(), why);
                 "lost".to_owned()
             }
--- a/crates/standin/src/measure/check.rs
+++ b/crates/standin/src/measure/check.rs
@@ -30,8 +30,8 @@
     let mut outcome = outcome::Outcome::default();
     let request = sample.request_id();
     match &sample.reply {
-        Err(load::Lost::Unsent(_)) => {}
-        Err(load::Lost::Sent(why)) => outcome.violate(ANSWERED, request, why),
+        Err(load::Failure::Unsent(_)) => {}
+        Err(load::Failure::Sent(why)) => outcome.violate(ANSWERED, request, why),
         Ok(reply) if reply.status == 200 => {
             match serde_json::from_value::<query::Answer>(reply.body.clone()) {
                 Ok(answer) => check_answer(layout, query, &answer, &mut outcome),
--- a/crates/standin/src/measure/load.rs
+++ b/crates/standin/src/measure/load.rs
@@ -30,7 +30,7 @@
     /// Deadline that was sent with the request.
     pub deadline: time::Duration,
     /// Status and body, or why there was no reply.
-    pub reply: Result<Reply, Lost>,
+    pub reply: Result<Reply, Failure>,
 }
 
 /// HTTP reply.
@@ -44,7 +44,7 @@
 
 /// Reason why a request got no reply.
 #[derive(Debug, Clone)]
-pub enum Lost {
+pub enum Failure {
     /// Nothing was sent: no VM was ready, or the connection could not be opened.
     Unsent(String),
     /// The request was sent, but the connection broke or no reply came in time.
@@ -132,7 +132,7 @@
     ) -> Sample {
         let start = tokio::time::Instant::now();
         let Some((vm, address)) = self.balancer.pick(exclude) else {
-            let reply = Err(Lost::Unsent("no VM is ready".to_owned()));
+            let reply = Err(Failure::Unsent("no VM is ready".to_owned()));
             return Sample {
                 vm: None,
                 took: start.elapsed(),
@@ -160,19 +160,19 @@
     }
 }
 
-async fn receive(request: reqwest::RequestBuilder) -> Result<Reply, Lost> {
+async fn receive(request: reqwest::RequestBuilder) -> Result<Reply, Failure> {
     let response = request
         .send()
         .await
         .map_err(|error| match error.is_connect() {
-            true => Lost::Unsent(format!("{error:?}")),
-            false => Lost::Sent(format!("{error:?}")),
+            true => Failure::Unsent(format!("{error:?}")),
+            false => Failure::Sent(format!("{error:?}")),
         })?;
     let status = response.status().as_u16();
     let body = response
         .bytes()
         .await
-        .map_err(|error| Lost::Sent(format!("{error:?}")))?;
+        .map_err(|error| Failure::Sent(format!("{error:?}")))?;
     Ok(Reply {
         status,
         body: serde_json::from_slice(&body).unwrap_or_default(),
--- a/crates/standin/src/measure/records.rs
+++ b/crates/standin/src/measure/records.rs
@@ -279,8 +279,8 @@
 
 fn outcome_name(sample: &load::Sample) -> String {
     match &sample.reply {
-        Err(load::Lost::Unsent(_)) => "unsent".to_owned(),
-        Err(load::Lost::Sent(_)) => "lost".to_owned(),
+        Err(load::Failure::Unsent(_)) => "unsent".to_owned(),
+        Err(load::Failure::Sent(_)) => "lost".to_owned(),
         Ok(reply) if reply.status == 200 => "answered".to_owned(),
         Ok(reply) => {
             let error = &reply.body["error"];
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -79,7 +79,7 @@
 /// to it. [`tally::Tally`] already reports broken connections.
 fn check_not_refused(sample: &load::Sample, out: &mut outcome::Outcome) {
     let seen = match &sample.reply {
-        Err(load::Lost::Unsent(why)) => format!("not sent: {why}"),
+        Err(load::Failure::Unsent(why)) => format!("not sent: {why}"),
         Ok(reply) if reply.body["error"]["code"] == "stopping" => "refused: stopping".to_owned(),
         _ => return,
     };
