--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -97,7 +97,7 @@
         balancer.add(&vm, callers, operators);
     }
     tokio::time::sleep(FIRST_ROUND).await;
-    let caller = load::Caller::through(balancer)?;
+    let caller = load::Caller::with_balancer(balancer)?;
     let outcome = match config.records {
         false => searches(config, &caller, &layout).await,
         true => records(config, &caller).await,
--- a/crates/standin/src/measure/load.rs
+++ b/crates/standin/src/measure/load.rs
@@ -80,14 +80,14 @@
     /// # Errors
     /// Returns an error if the HTTP client can't be built.
     pub fn new(site: &site::Site) -> Result<Self, reqwest::Error> {
-        Self::through(sync::Arc::clone(&site.balancer))
+        Self::with_balancer(sync::Arc::clone(&site.balancer))
     }
 
     /// Creates a caller that uses `balancer`.
     ///
     /// # Errors
     /// Returns an error if the HTTP client can't be built.
-    pub fn through(balancer: sync::Arc<site::Balancer>) -> Result<Self, reqwest::Error> {
+    pub fn with_balancer(balancer: sync::Arc<site::Balancer>) -> Result<Self, reqwest::Error> {
         let client = reqwest::Client::builder()
             .tcp_nodelay(true)
             .pool_max_idle_per_host(512)
