--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -280,21 +280,21 @@
             usage::processor_time_since("vm-", processor_before).as_secs_f64() * 100.0 / each,
         );
         let now = site.platform.state().counts();
-        let kinds = [
+        let counts_by_kind = [
             now.get - counts.get,
             now.put - counts.put,
             now.list - counts.list,
             now.watch - counts.watch,
             now.vms - counts.vms,
         ];
-        for (kind, made) in calls.iter_mut().zip(kinds) {
-            kind.push(made as f64 / each);
+        for (rates, number) in calls.iter_mut().zip(counts_by_kind) {
+            rates.push(number as f64 / each);
         }
     }
     usage::Spread::of(processor).figure("quiet_core_percent", &mut out);
     let names = ["get", "put", "list", "watch", "vms"];
-    for (name, made) in names.iter().zip(calls) {
-        usage::Spread::of(made).figure(&format!("store_{name}_per_s"), &mut out);
+    for (name, rates) in names.iter().zip(calls) {
+        usage::Spread::of(rates).figure(&format!("store_{name}_per_s"), &mut out);
     }
     Ok(out)
 }
--- a/crates/standin/src/measure/outcome.rs
+++ b/crates/standin/src/measure/outcome.rs
@@ -61,11 +61,11 @@
     /// Adds another outcome's violations, and its figures with `prefix` before their
     /// names.
     pub fn absorb(&mut self, prefix: &str, other: Self) {
-        let named = other
+        let prefixed = other
             .figures
             .into_iter()
             .map(|(name, value)| (format!("{prefix}{name}"), value));
-        self.figures.extend(named);
+        self.figures.extend(prefixed);
         self.violations.extend(other.violations);
     }
 }
