--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -46,11 +46,11 @@
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     let mut costs = Vec::new();
-    for shards in SHARD_COUNTS {
-        let outcome = search_costs(context, shards).await?;
+    for width in SHARD_COUNTS {
+        let outcome = search_costs(context, width).await?;
         let cost = outcome.figures.get("search_processor_us").copied();
-        costs.push((shards as f64, cost.unwrap_or(0.0)));
-        out.absorb(&format!("shards_{shards}_"), outcome);
+        costs.push((width as f64, cost.unwrap_or(0.0)));
+        out.absorb(&format!("shards_{width}_"), outcome);
     }
     let (first, last) = (costs[0], costs[costs.len() - 1]);
     let slope = (last.1 - first.1) / (last.0 - first.0);
@@ -69,9 +69,9 @@
 
 async fn search_costs(
     context: measure::Context,
-    shards: usize,
+    width: usize,
 ) -> Result<outcome::Outcome, measure::Error> {
-    let site = context.site(site::Spec::small(SERVICE, shards)).await?;
+    let site = context.site(site::Spec::small(SERVICE, width)).await?;
     straggler::tally_searches(
         &site,
         SERVICE,
