--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -146,7 +146,7 @@
 }
 
 async fn peer(number: usize) -> Result<Peer, measure::Error> {
-    let other = |message: String| measure::Error::Other { message };
+    let other = |what: String| measure::Error::Other { what };
     let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let listen = tokio::net::TcpListener::bind(loopback).await;
     let listen = listen.map_err(|error| other(error.to_string()))?;
@@ -314,7 +314,7 @@
 /// Returns a layout of upstreams that don't exist.
 fn layout_of(number: usize, shards: usize) -> Result<layout::Layout, measure::Error> {
     let invalid_id = |error: ids::Error| measure::Error::Other {
-        message: error.to_string(),
+        what: error.to_string(),
     };
     let mut layout = layout::Layout {
         version: ids::LayoutVersion(1),
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -101,7 +101,7 @@
 }
 
 async fn member(number: usize, seed: Option<net::SocketAddr>) -> Result<Member, measure::Error> {
-    let other = |message: String| measure::Error::Other { message };
+    let other = |what: String| measure::Error::Other { what };
     let parse = |text: String| text.parse().map_err(|e: ids::Error| other(e.to_string()));
     let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let socket = tokio::net::UdpSocket::bind(loopback).await;
--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -366,6 +366,6 @@
 
 fn store_error(error: store::Error) -> measure::Error {
     measure::Error::Other {
-        message: error.to_string(),
+        what: error.to_string(),
     }
 }
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -50,11 +50,11 @@
     Client(reqwest::Error),
     /// Anything else that a scenario could not set up or obtain.
     #[from(ignore)]
-    #[display("{message}")]
+    #[display("{what}")]
     #[error(ignore)]
     Other {
         /// What failed.
-        message: String,
+        what: String,
     },
 }
 
--- a/crates/standin/src/measure/registrations.rs
+++ b/crates/standin/src/measure/registrations.rs
@@ -189,7 +189,7 @@
 
 async fn unsettled(site: &site::Site) -> Result<collections::BTreeSet<String>, measure::Error> {
     let other = |error: geraniumgauge::store::Error| measure::Error::Other {
-        message: error.to_string(),
+        what: error.to_string(),
     };
     let store = site.store().map_err(other)?;
     let service: &ids::Service = site.service(SERVICE).id();
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -95,7 +95,7 @@
 
 fn task_failed(error: tokio::task::JoinError) -> measure::Error {
     measure::Error::Other {
-        message: format!("a load task failed: {error}"),
+        what: format!("a load task failed: {error}"),
     }
 }
 
