--- a/crates/standin/src/measure/records.rs
+++ b/crates/standin/src/measure/records.rs
@@ -110,7 +110,8 @@
     Registration { key, samples }
 }
 
-/// Sends a registration until it is answered, each time to a VM other than the last.
+/// Sends a registration until it is answered, at most `plan.max_attempts` times and each
+/// time to a VM other than the last.
 async fn send_until_answered(
     caller: &load::Caller,
     service: &ids::Service,
