--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -97,7 +97,7 @@
         balancer.add(&vm, callers, operators);
     }
     tokio::time::sleep(FIRST_ROUND).await;
-    let caller = load::Caller::through(balancer)?;
+    let caller = load::Caller::with_balancer(balancer)?;
     let outcome = match config.records {
         false => searches(config, &caller, &layout).await,
         true => records(config, &caller).await,
@@ -152,8 +152,8 @@
                 "refused_ran_{}",
                 reply.body["error"]["ran"].as_str().unwrap_or("-")
             ),
-            Err(load::Lost::Unsent(_)) => "unsent".to_owned(),
-            Err(load::Lost::Sent(why)) => {
+            Err(load::Failure::Unsent(_)) => "unsent".to_owned(),
+            Err(load::Failure::Sent(why)) => {
                 outcome.violate(ANSWERED, sample.request_id(), why);
                 "lost".to_owned()
             }
