--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,26 +1,26 @@
-//! Faults of the platform, set by `POST /control/faults` or in process.
+//! Faults of the platform, set by `POST /control/faults` or directly in the process.
 
-/// What is wrong with the platform; the default is nothing.
+/// Faults to inject into the platform. By default none are, and the lag of the list of
+/// VMs and the rate limits have their normal values.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Every call is refused with 503 and has no effect.
     pub down: bool,
-    /// Each call takes this much longer, in milliseconds.
+    /// Delay added to each call, in milliseconds.
     pub slow_ms: u64,
-    /// Of writes that take effect, this share closes the connection instead of
-    /// answering.
+    /// Share of successful writes after which the connection is closed without a reply.
     pub lose_replies: f64,
-    /// Calls are read and never answered; writes among them take effect.
+    /// Calls are received but never answered; writes still take effect.
     pub silent: bool,
-    /// Watches stay silent: no change is reported before their time is over.
+    /// Watches report no changes; each one ends empty when its wait is over.
     pub deaf_watches: bool,
-    /// How old the list of VMs is, in milliseconds.
+    /// Time after which clients see a new list of VMs, in milliseconds.
     pub list_lag_ms: u64,
-    /// Writes a second it takes; more are refused with 503.
+    /// Maximum writes per second; more are refused with 503.
     pub writes_per_s: f64,
-    /// Reads a second it takes, watches among them; more are refused with 503.
+    /// Maximum reads per second, including watches; more are refused with 503.
     pub reads_per_s: f64,
 }
 
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform: its object API and its list of VMs.
+//! Stand-in for the platform: its object API and its list of VMs.
 
 mod faults;
 mod routes;
@@ -16,7 +16,7 @@
 
 use crate::serve;
 
-/// A running platform; dropping it ends it.
+/// A running platform; dropping it stops it.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -25,10 +25,10 @@
 }
 
 impl Server {
-    /// Binds `address` and serves.
+    /// Binds `address` and starts to serve requests.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// If the address can't be bound.
     pub async fn start(address: net::SocketAddr) -> io::Result<Self> {
         let listener = serve::bind(address).await?;
         let address = listener.local_addr()?;
@@ -43,17 +43,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// The base of its URLs.
+    /// Returns the base URL of its paths.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Its objects, faults and counts.
+    /// Returns its objects, list of VMs, faults and counts.
     pub fn state(&self) -> &State {
         &self.state
     }
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -1,8 +1,8 @@
-//! The platform's HTTP paths.
+//! HTTP paths of the platform.
 //!
 //! `GET|PUT|DELETE /objects/{key}` with `If-Version`, `GET /objects?prefix=`,
-//! `GET /watch?prefix=&after=&wait_ms=`, `GET /vms`; for experiments
-//! `GET|POST /control/faults`, `GET /control/counts`, `PUT /control/vms`.
+//! `GET /watch?prefix=&after=&wait_ms=`, `GET /vms`; to control
+//! the stand-in `GET|POST /control/faults`, `GET /control/counts`, `PUT /control/vms`.
 
 use std::sync;
 use std::time;
@@ -18,26 +18,29 @@
 
 const IF_VERSION: &str = "If-Version";
 const OBJECT_VERSION: &str = "Object-Version";
-/// Longest a watch may wait.
-const MAX_WAIT: time::Duration = time::Duration::from_secs(60);
+/// Limit on the `wait_ms` of a watch.
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_secs(60);
 
 pub(super) struct Routes {
     state: sync::Arc<platform::State>,
     clock: Clock,
-    limits: sync::Mutex<Limits>,
+    limiter: sync::Mutex<Limiter>,
 }
 
-struct Limits {
-    set: (f64, f64),
+/// Rate limits of writes and of reads.
+struct Limiter {
+    /// Writes and reads per second that the buckets were made for.
+    rates: (f64, f64),
     writes: rate::Bucket,
     reads: rate::Bucket,
 }
 
-impl Limits {
+impl Limiter {
     fn new(writes: f64, reads: f64, clock: &Clock) -> Self {
-        let bucket = |a_second| rate::Bucket::new(rate::PerSecond(a_second), a_second, clock.now());
+        let bucket =
+            |per_second| rate::Bucket::new(rate::PerSecond(per_second), per_second, clock.now());
         Self {
-            set: (writes, reads),
+            rates: (writes, reads),
             writes: bucket(writes),
             reads: bucket(reads),
         }
@@ -48,28 +51,30 @@
     pub(super) fn new(state: sync::Arc<platform::State>) -> Self {
         let clock = Clock::start();
         let faults = state.faults();
-        let limits = Limits::new(faults.writes_per_s, faults.reads_per_s, &clock);
+        let limiter = Limiter::new(faults.writes_per_s, faults.reads_per_s, &clock);
         Self {
             state,
             clock,
-            limits: sync::Mutex::new(limits),
+            limiter: sync::Mutex::new(limiter),
         }
     }
 
+    /// Applies the rate limits; new limits start with full buckets.
     fn admit(&self, faults: &platform::Faults, write: bool) -> bool {
-        let mut limits = state::lock(&self.limits);
-        if limits.set != (faults.writes_per_s, faults.reads_per_s) {
-            *limits = Limits::new(faults.writes_per_s, faults.reads_per_s, &self.clock);
+        let mut limiter = state::lock(&self.limiter);
+        if limiter.rates != (faults.writes_per_s, faults.reads_per_s) {
+            *limiter = Limiter::new(faults.writes_per_s, faults.reads_per_s, &self.clock);
         }
         let bucket = if write {
-            &mut limits.writes
+            &mut limiter.writes
         } else {
-            &mut limits.reads
+            &mut limiter.reads
         };
         bucket.take(1.0, self.clock.now())
     }
 
-    async fn objects(&self, request: &serve::Request, faults: &platform::Faults) -> serve::Reply {
+    /// Serves a call of the platform's API, subject to the faults.
+    async fn serve(&self, request: &serve::Request, faults: &platform::Faults) -> serve::Reply {
         let write = request.method() != hyper::Method::GET;
         if faults.down || !self.admit(faults, write) {
             self.state.count(|counts| counts.refused += 1);
@@ -79,7 +84,7 @@
             tokio::time::sleep(time::Duration::from_millis(faults.slow_ms)).await;
         }
         let response = self.dispatch(request, faults).await;
-        let lost = write && response.status().is_success() && lose(faults.lose_replies);
+        let lost = write && response.status().is_success() && chance(faults.lose_replies);
         match (faults.silent, lost) {
             (true, _) => serve::Reply::Silence,
             (false, true) => serve::Reply::Close,
@@ -120,7 +125,7 @@
                 self.state.count(|counts| counts.put += 1);
                 match self.state.objects(|objects| objects.delete(key, condition)) {
                     Ok(()) => serve::text(204, ""),
-                    Err(error) => refuse(&error),
+                    Err(error) => error_response(&error),
                 }
             }
             _ => serve::text(405, "use GET, PUT or DELETE"),
@@ -135,7 +140,7 @@
                 serve::set(&mut response, OBJECT_VERSION, object.version);
                 response
             }
-            Err(error) => refuse(&error),
+            Err(error) => error_response(&error),
         }
     }
 
@@ -154,7 +159,7 @@
                 serve::set(&mut response, OBJECT_VERSION, version);
                 response
             }
-            Err(error) => refuse(&error),
+            Err(error) => error_response(&error),
         }
     }
 
@@ -169,8 +174,8 @@
         let number = |name| serve::query(request, name).and_then(|text| text.parse().ok());
         let prefix = serve::query(request, "prefix").unwrap_or_default();
         let after = ids::Revision(number("after").unwrap_or(0));
-        let wait = time::Duration::from_millis(number("wait_ms").unwrap_or(0)).min(MAX_WAIT);
-        let until = tokio::time::Instant::now() + wait;
+        let wait = time::Duration::from_millis(number("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
+        let deadline = tokio::time::Instant::now() + wait;
         let mut revision = self.state.changed.subscribe();
         loop {
             revision.mark_unchanged();
@@ -180,8 +185,8 @@
             if !listing.changes.is_empty() && !faults.deaf_watches {
                 return serve::json(200, &listing);
             }
-            let woken = tokio::time::timeout_at(until, revision.changed()).await;
-            if woken.is_err() {
+            let changed = tokio::time::timeout_at(deadline, revision.changed()).await;
+            if changed.is_err() {
                 let changes = Vec::new();
                 return serve::json(
                     200,
@@ -198,10 +203,12 @@
         match (request.method(), request.uri().path()) {
             (&hyper::Method::GET, "/control/faults") => serve::json(200, &self.state.faults()),
             (&hyper::Method::GET, "/control/counts") => serve::json(200, &self.state.counts()),
-            (&hyper::Method::POST, "/control/faults") => parsed(request, |faults| {
-                self.state.set_faults(|present| *present = faults);
+            (&hyper::Method::POST, "/control/faults") => apply_json(request, |faults| {
+                self.state.set_faults(|current| *current = faults);
             }),
-            (&hyper::Method::PUT, "/control/vms") => parsed(request, |vms| self.state.set_vms(vms)),
+            (&hyper::Method::PUT, "/control/vms") => {
+                apply_json(request, |vms| self.state.set_vms(vms))
+            }
             _ => serve::text(404, "control paths: faults, counts, vms"),
         }
     }
@@ -220,15 +227,17 @@
             return serve::Reply::Answer(self.control(&request));
         }
         let faults = self.state.faults();
-        self.objects(&request, &faults).await
+        self.serve(&request, &faults).await
     }
 }
 
-fn lose(share: f64) -> bool {
+/// Returns true with probability `share`.
+fn chance(share: f64) -> bool {
     share > 0.0 && rand::random::<f64>() < share
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(
+/// Parses the body as JSON and passes it to `apply`.
+fn apply_json<T: serde::de::DeserializeOwned>(
     request: &serve::Request,
     apply: impl FnOnce(T),
 ) -> serve::Response {
@@ -241,7 +250,7 @@
     }
 }
 
-fn refuse(error: &store::Error) -> serve::Response {
+fn error_response(error: &store::Error) -> serve::Response {
     match error {
         store::Error::Conflict { current, .. } => {
             let mut response = serve::text(412, error.to_string());
--- a/crates/standin/src/platform/state.rs
+++ b/crates/standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform holds: objects, the history of its list of VMs, counts.
+//! State of the platform: objects, the history of the list of VMs, faults and call counts.
 
 use std::collections;
 use std::sync;
@@ -9,30 +9,30 @@
 
 use crate::platform;
 
-/// How much of the list's history is kept.
-const HISTORY: time::Duration = time::Duration::from_secs(600);
+/// Age at which an old list of VMs is dropped; `list_lag_ms` can't reach further back.
+const LIST_RETENTION: time::Duration = time::Duration::from_secs(600);
 
-/// Calls by kind since the start.
+/// Number of calls by kind since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Counts {
-    /// Objects read.
+    /// Reads of an object.
     pub get: u64,
-    /// Objects written or deleted, conflicts included.
+    /// Writes and deletions of an object, including those that conflicted.
     pub put: u64,
-    /// Prefixes listed.
+    /// Listings of a prefix.
     pub list: u64,
-    /// Watches, each counted once.
+    /// Watch calls, each counted once however long it waits.
     pub watch: u64,
-    /// Lists of VMs.
+    /// Reads of the list of VMs.
     pub vms: u64,
-    /// Calls refused for being too many or during an outage.
+    /// Calls refused by the rate limits or because the platform is down.
     pub refused: u64,
-    /// Written bodies, in bytes.
+    /// Total size of the bodies received for writing, in bytes.
     pub written_bytes: u64,
 }
 
-/// The platform's state, shared by its connections.
+/// The platform's state, shared by all connections.
 #[derive(Debug)]
 pub struct State {
     pub(super) objects: sync::Mutex<store::Objects>,
@@ -55,7 +55,7 @@
 }
 
 impl State {
-    /// The faults set.
+    /// Returns the current faults.
     pub fn faults(&self) -> platform::Faults {
         self.faults
             .read()
@@ -73,36 +73,41 @@
         );
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn counts(&self) -> Counts {
         lock(&self.counts).clone()
     }
 
-    /// Works on the objects directly, past all faults; watches hear of it.
-    pub fn objects<T>(&self, work: impl FnOnce(&mut store::Objects) -> T) -> T {
+    /// Reads or changes the objects directly, bypassing all faults; watches are notified
+    /// of changes.
+    pub fn objects<T>(&self, access: impl FnOnce(&mut store::Objects) -> T) -> T {
         let mut objects = lock(&self.objects);
-        let result = work(&mut objects);
+        let result = access(&mut objects);
         let revision = objects.revision();
         drop(objects);
-        self.changed.send_if_modified(|seen| {
-            let moved = *seen != revision;
-            *seen = revision;
-            moved
+        self.changed.send_if_modified(|last| {
+            let changed = *last != revision;
+            *last = revision;
+            changed
         });
         result
     }
 
-    /// Replaces the list of VMs; readers see it once the lag has passed.
+    /// Replaces the list of VMs; clients see it after `list_lag_ms`.
     pub fn set_vms(&self, vms: Vec<store::Vm>) {
         let mut lists = lock(&self.lists);
         let now = tokio::time::Instant::now();
         lists.push_back((now, vms));
-        while lists.len() > 1 && lists.front().is_some_and(|(at, _)| now - *at > HISTORY) {
+        while lists.len() > 1
+            && lists
+                .front()
+                .is_some_and(|(at, _)| now - *at > LIST_RETENTION)
+        {
             lists.pop_front();
         }
     }
 
-    /// The newest list, without lag.
+    /// Returns the newest list of VMs, without the lag.
     pub fn newest_vms(&self) -> Vec<store::Vm> {
         lock(&self.lists)
             .back()
@@ -110,13 +115,15 @@
             .unwrap_or_default()
     }
 
-    /// The list as readers see it. The first list shows at once.
+    /// Returns the newest list of VMs that is at least `list_lag_ms` old, or the oldest
+    /// one kept if none is; so the first list is visible at once.
     pub(super) fn lagging_vms(&self) -> Vec<store::Vm> {
         let lag = time::Duration::from_millis(self.faults().list_lag_ms);
         let lists = lock(&self.lists);
         let now = tokio::time::Instant::now();
-        let old = lists.iter().rev().find(|(at, _)| now - *at >= lag);
-        old.or(lists.front())
+        let visible = lists.iter().rev().find(|(at, _)| now - *at >= lag);
+        visible
+            .or(lists.front())
             .map(|(_, vms)| vms.clone())
             .unwrap_or_default()
     }
@@ -126,7 +133,7 @@
     }
 }
 
-/// Locks; a holder that panicked left the value usable.
+/// Locks `mutex`, ignoring poisoning: a panic leaves these values consistent.
 pub(super) fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
