--- a/crates/standin/src/upstream/config.rs
+++ b/crates/standin/src/upstream/config.rs
@@ -1,75 +1,76 @@
-//! What an upstream stand-in is, and what is wrong with it.
+//! Configuration and faults of a stand-in upstream.
 
 use std::net;
 
 use geraniumgauge::ids;
 
-/// An upstream's make; it doesn't change while it runs.
+/// Configuration of an upstream, fixed while it runs.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// Name of the upstream.
     pub id: ids::Upstream,
-    /// Where to listen; port 0 picks a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub address: net::SocketAddr,
-    /// The shards it holds.
+    /// Shards that it serves.
     pub shards: Vec<ids::Shard>,
-    /// Requests it runs at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Requests that wait beyond these; more are shed.
+    /// Maximum number of requests that wait for a slot; more are shed.
     pub queue: u32,
-    /// Connections at once; more are closed as they come.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections: u32,
-    /// What a new connection costs, in milliseconds.
+    /// Delay before the first request of a new connection is read, in milliseconds.
     pub connect_ms: u64,
-    /// Median time a request runs, in milliseconds.
+    /// Median running time of a request, in milliseconds.
     pub work_ms: f64,
-    /// Seeds its random numbers.
+    /// Seed of its random number generator.
     pub seed: u64,
 }
 
-/// What is wrong with an upstream; the default is nothing.
+/// Faults to inject into an upstream, and the versions that it reports. By default no
+/// fault is active.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Added to each request's running time, in milliseconds.
+    /// Delay added to the running time of each request, in milliseconds.
     pub delay_ms: u64,
-    /// This share of requests is a straggler.
+    /// Share of requests that are stragglers.
     pub straggler_share: f64,
-    /// A straggler runs this many times as long.
+    /// Factor on the running time of a straggler.
     pub straggler_factor: f64,
-    /// Connections open now are never answered again; new ones work.
+    /// Connections that are open when this is set get no more replies; new ones work.
     pub silence_open: bool,
-    /// No connection is answered.
+    /// No connection gets a reply.
     pub silent: bool,
-    /// A request whose query or record holds this text crashes the upstream.
+    /// A request whose body contains this text crashes the upstream; empty turns this off.
     pub crash_text: String,
-    /// Time from a crash to listening again, in milliseconds.
+    /// Time from a crash until it listens again, in milliseconds.
     pub restart_ms: u64,
-    /// After a start, requests run this many times as long at first, ...
+    /// Factor on running times just after a start; it falls to 1 over `cold_ms`.
     pub cold_factor: f64,
-    /// ... falling to once over this time, in milliseconds.
+    /// Time after a start until requests run at normal speed, in milliseconds.
     pub cold_ms: u64,
-    /// New work is refused as draining; running work is finished.
+    /// New requests are refused as draining; those admitted before finish.
     pub draining: bool,
-    /// This share of requests is shed whatever the load.
+    /// Share of requests that are shed regardless of the load.
     pub shed_share: f64,
-    /// `/health` and `/load` claim this status and this load.
+    /// Status that `/health` and `/load` report instead of the real one, with no load.
     pub health_lie: Option<String>,
-    /// `/health` and `/load` tell what held this long ago, in milliseconds.
+    /// Age of the state that `/health` and `/load` report, in milliseconds.
     pub health_lag_ms: u64,
-    /// This share of replies is for another request or shard.
+    /// Share of replies that carry the id of another request.
     pub crossed_share: f64,
-    /// This share of replies names another index version than asked for.
+    /// Share of replies that carry another index version than the requested one.
     pub wrong_version_share: f64,
-    /// Of requests that ran, this share closes the connection without a reply.
+    /// Share of requests that run but whose connection is closed without a reply.
     pub lose_replies: f64,
-    /// Oldest index version offered.
+    /// Oldest index version that it serves.
     pub oldest: u64,
-    /// Newest index version offered.
+    /// Newest index version that it serves.
     pub newest: u64,
-    /// Layout it reports; requests of older or newer layouts run all the same
-    /// where it holds the shard.
+    /// Layout version that it reports. Requests with an older or newer layout version
+    /// still run if it holds the shard.
     pub layout: u64,
 }
 
--- a/crates/standin/src/upstream/corpus.rs
+++ b/crates/standin/src/upstream/corpus.rs
@@ -1,24 +1,24 @@
-//! Hits that follow from the query, shard and version alone, so that a checker
-//! can tell what a shard must have answered at a version.
+//! Search hits computed from query, shard and index version alone, so that a check can
+//! compute the expected answer.
 
 use geraniumgauge::ids;
 
-/// Hits of one shard for one query.
+/// Number of hits that a shard returns for a query.
 pub const HITS: u64 = 5;
 
-/// One record found.
+/// A record that matches a query.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Hit {
     /// The record's id.
     pub id: String,
-    /// Higher is better.
+    /// Relevance; higher is better.
     pub score: f64,
-    /// The index version it was found in.
+    /// The index version that it was found in.
     pub version: u64,
 }
 
-/// What `shard` answers to `query` (its JSON text) at `version`.
+/// Returns the hits of `shard` for `query` (as JSON text) at index version `version`.
 pub fn hits(shard: &ids::Shard, query: &str, version: u64) -> Vec<Hit> {
     let seed = xxhash_rust::xxh3::xxh3_64(query.as_bytes());
     (0..HITS)
@@ -28,7 +28,7 @@
 
 fn hit(shard: &ids::Shard, seed: u64, version: u64, number: u64) -> Hit {
     let id = format!("{shard}/{number}");
-    let mixed = xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), seed ^ version);
-    let score = (mixed % 1_000_000) as f64 / 1e6;
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), seed ^ version);
+    let score = (hash % 1_000_000) as f64 / 1e6;
     Hit { id, score, version }
 }
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The stand-in of an upstream server: slots, connections, index versions, and
-//! the faults that the product must bear.
+//! Stand-in for an upstream server, with limited slots and connections, index versions,
+//! and the faults that the product must tolerate.
 
 mod config;
 pub mod corpus;
@@ -21,8 +21,8 @@
 
 use crate::serve;
 
-/// A running upstream; dropping it ends it. A crash closes its port and all its
-/// connections; it comes back at the same address after its restart time, cold.
+/// A running upstream; dropping it stops it. A crash closes its port and all its
+/// connections; it restarts cold at the same address after its restart time.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -31,16 +31,20 @@
 }
 
 impl Server {
-    /// Binds the configured address and serves.
+    /// Binds the configured address and starts to serve requests.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// If the address can't be bound.
     pub async fn start(config: Config) -> io::Result<Self> {
         let listener = serve::bind(config.address).await?;
         let address = listener.local_addr()?;
         let state = sync::Arc::new(State::new(config));
         let stop = CancellationToken::new();
-        tokio::spawn(live(listener, sync::Arc::clone(&state), stop.clone()));
+        tokio::spawn(run_with_restarts(
+            listener,
+            sync::Arc::clone(&state),
+            stop.clone(),
+        ));
         Ok(Self {
             address,
             state,
@@ -48,12 +52,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Its faults, counts and log of what it ran.
+    /// Returns its faults, counts and log of records run.
     pub fn state(&self) -> &State {
         &self.state
     }
@@ -65,8 +69,8 @@
     }
 }
 
-/// One life after the other, until `stop`.
-async fn live(
+/// Serves until `stop` is cancelled, restarting after each crash.
+async fn run_with_restarts(
     mut listener: tokio::net::TcpListener,
     state: sync::Arc<State>,
     stop: CancellationToken,
@@ -75,15 +79,18 @@
         return;
     };
     loop {
-        let life = stop.child_token();
-        state.begin(life.clone());
-        let handler = sync::Arc::new(routes::Routes::new(sync::Arc::clone(&state), life.clone()));
-        serve::run(listener, handler, life).await;
+        let process_stop = stop.child_token();
+        state.restart(process_stop.clone());
+        let handler = sync::Arc::new(routes::Routes::new(
+            sync::Arc::clone(&state),
+            process_stop.clone(),
+        ));
+        serve::run(listener, handler, process_stop).await;
         if stop.is_cancelled() {
             return;
         }
-        let restart = time::Duration::from_millis(state.faults().restart_ms);
-        tokio::time::sleep(restart).await;
+        let restart_delay = time::Duration::from_millis(state.faults().restart_ms);
+        tokio::time::sleep(restart_delay).await;
         let Ok(bound) = serve::bind(address).await else {
             return;
         };
--- a/crates/standin/src/upstream/routes.rs
+++ b/crates/standin/src/upstream/routes.rs
@@ -1,5 +1,5 @@
-//! The upstream's HTTP paths; `/control/faults`, `/control/counts` and
-//! `/control/runs` are for experiments.
+//! HTTP paths of an upstream. `/control/faults`, `/control/counts`, `/control/runs` and
+//! `/control/crash` control the stand-in.
 
 use std::collections;
 use std::sync;
@@ -15,14 +15,15 @@
 
 pub(super) struct Routes {
     state: sync::Arc<upstream::State>,
-    life: CancellationToken,
-    told: sync::Mutex<Told>,
+    /// Cancelled when the process crashes or the upstream is stopped.
+    stop: CancellationToken,
+    reports: sync::Mutex<Reports>,
 }
 
-/// What `/health` and `/load` told over time, so that they can lag.
-type Told = collections::VecDeque<(tokio::time::Instant, serde_json::Value)>;
+/// Past states of `/health` and `/load`, kept so that replies can lag behind.
+type Reports = collections::VecDeque<(tokio::time::Instant, serde_json::Value)>;
 
-/// Counts itself out when dropped.
+/// An open connection, counted as closed when dropped.
 pub(super) struct Connection {
     state: sync::Arc<upstream::State>,
     opened: tokio::time::Instant,
@@ -30,19 +31,19 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.state.close();
+        self.state.close_connection();
     }
 }
 
-/// Takes a request out when dropped, however it ends.
-struct Entered {
+/// An admitted request, removed from the state when dropped, however it ends.
+struct Admitted {
     state: sync::Arc<upstream::State>,
     id: String,
 }
 
-impl Drop for Entered {
+impl Drop for Admitted {
     fn drop(&mut self) {
-        self.state.leave(&self.id);
+        self.state.remove_request(&self.id);
     }
 }
 
@@ -54,11 +55,11 @@
 }
 
 impl Routes {
-    pub(super) fn new(state: sync::Arc<upstream::State>, life: CancellationToken) -> Self {
+    pub(super) fn new(state: sync::Arc<upstream::State>, stop: CancellationToken) -> Self {
         Self {
             state,
-            life,
-            told: sync::Mutex::default(),
+            stop,
+            reports: sync::Mutex::default(),
         }
     }
 
@@ -70,28 +71,28 @@
                 let Ok(shard) = shard.parse() else {
                     return not_found(&path);
                 };
-                self.admit(request, shard, *kind == "records").await
+                self.handle_work(request, shard, *kind == "records").await
             }
             ("DELETE", ["requests", id]) => {
                 let found = self.state.cancel(&serve::decode(id));
                 serve::Reply::Answer(serve::text(if found { 204 } else { 404 }, ""))
             }
             ("GET", ["health" | "load"]) => serve::Reply::Answer(serve::json(200, &self.health())),
-            (_, ["control", what]) => serve::Reply::Answer(self.control(&request, what)),
+            (_, ["control", resource]) => serve::Reply::Answer(self.control(&request, resource)),
             _ => not_found(&path),
         }
     }
 
-    /// Every reply names the call that it answers, refusals too: one that
-    /// names none is no proof that a record was not run.
-    async fn admit(
+    /// Handles a search or record. Every reply carries the id of its request, including
+    /// refusals: one without an id is no proof that a record was not run.
+    async fn handle_work(
         &self,
         request: serve::Request,
         shard: ids::Shard,
         record: bool,
     ) -> serve::Reply {
         let id: Option<String> = serve::header(&request, contract::REQUEST_ID);
-        let mut reply = self.take(request, shard, record).await;
+        let mut reply = self.admit_and_run(request, shard, record).await;
         if let (serve::Reply::Answer(response), Some(id)) = (&mut reply, id)
             && !response.headers().contains_key(contract::REQUEST_ID)
         {
@@ -100,7 +101,13 @@
         reply
     }
 
-    async fn take(&self, request: serve::Request, shard: ids::Shard, record: bool) -> serve::Reply {
+    /// Refuses the request or runs it.
+    async fn admit_and_run(
+        &self,
+        request: serve::Request,
+        shard: ids::Shard,
+        record: bool,
+    ) -> serve::Reply {
         let faults = self.state.faults();
         if faults.draining {
             self.state.count(|counts| {
@@ -112,18 +119,18 @@
         if !self.state.config.shards.contains(&shard) {
             return serve::Reply::Answer(serve::text(404, format!("no shard {shard} here")));
         }
-        let asked = serve::header(&request, contract::INDEX_VERSION);
-        let version = asked.unwrap_or(faults.newest);
+        let requested = serve::header(&request, contract::INDEX_VERSION);
+        let version = requested.unwrap_or(faults.newest);
         if !record && !(faults.oldest..=faults.newest).contains(&version) {
-            return serve::Reply::Answer(unavailable(&faults));
+            return serve::Reply::Answer(version_unavailable(&faults));
         }
         let id: String = serve::header(&request, contract::REQUEST_ID).unwrap_or_default();
-        let room = if self.state.chance(faults.shed_share) {
+        let admitted = if self.state.chance(faults.shed_share) {
             None
         } else {
-            self.state.enter(&id)
+            self.state.admit(&id)
         };
-        let Some(cancel) = room else {
+        let Some(cancel) = admitted else {
             self.state.count(|counts| counts.shed += 1);
             return refuse(503, "shed");
         };
@@ -138,17 +145,17 @@
         self.run(job, cancel).await
     }
 
-    /// Runs in a task of its own: work goes on when its caller hangs up, and
-    /// only `DELETE /requests/{id}` or a crash ends it early.
+    /// Runs a request in a separate task: it continues if the client disconnects, and only
+    /// `DELETE /requests/{id}` or a crash ends it early.
     async fn run(&self, job: Job, cancel: CancellationToken) -> serve::Reply {
         let state = sync::Arc::clone(&self.state);
         let task = tokio::spawn(async move {
-            let entered = Entered {
+            let admitted = Admitted {
                 state: sync::Arc::clone(&state),
                 id: job.id.clone(),
             };
-            let end = work(&state, &job, &cancel).await;
-            drop(entered);
+            let end = run_job(&state, &job, &cancel).await;
+            drop(admitted);
             (end, job)
         });
         let Ok((end, job)) = task.await else {
@@ -169,9 +176,9 @@
         let wrong = self.state.chance(job.faults.wrong_version_share);
         let version = if wrong { job.version + 1 } else { job.version };
         let mut response = if job.record {
-            job.registered()
+            job.record_response()
         } else {
-            job.found(version)
+            job.search_response(version)
         };
         let id = if crossed {
             format!("{}-other", job.id)
@@ -181,31 +188,33 @@
         serve::set(&mut response, contract::REQUEST_ID, id);
         serve::set(&mut response, contract::SHARD, &job.shard);
         serve::set(&mut response, contract::INDEX_VERSION, version);
-        let asked = serve::header::<u64>(&job.request, contract::LAYOUT_VERSION);
+        let requested = serve::header::<u64>(&job.request, contract::LAYOUT_VERSION);
         serve::set(
             &mut response,
             contract::LAYOUT_VERSION,
-            asked.unwrap_or(job.faults.layout),
+            requested.unwrap_or(job.faults.layout),
         );
-        let now = self.state.faults();
-        serve::set(&mut response, contract::INDEX_OLDEST, now.oldest);
-        serve::set(&mut response, contract::INDEX_NEWEST, now.newest);
+        let current = self.state.faults();
+        serve::set(&mut response, contract::INDEX_OLDEST, current.oldest);
+        serve::set(&mut response, contract::INDEX_NEWEST, current.newest);
         serve::Reply::Answer(response)
     }
 
+    /// Returns the newest report that is at least `health_lag_ms` old, or the oldest one
+    /// kept if none is, with its age.
     fn health(&self) -> serde_json::Value {
         let faults = self.state.faults();
         let lag = time::Duration::from_millis(faults.health_lag_ms);
         let now = tokio::time::Instant::now();
-        let mut told = self
-            .told
+        let mut reports = self
+            .reports
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        told.push_back((now, self.present(&faults)));
-        while told.len() > 1 && told[1].0 + lag <= now {
-            told.pop_front();
+        reports.push_back((now, self.current_report(&faults)));
+        while reports.len() > 1 && reports[1].0 + lag <= now {
+            reports.pop_front();
         }
-        let Some((at, value)) = told.front() else {
+        let Some((at, value)) = reports.front() else {
             return serde_json::Value::Null;
         };
         let mut value = value.clone();
@@ -213,27 +222,27 @@
         value
     }
 
-    fn present(&self, faults: &upstream::Faults) -> serde_json::Value {
-        let honest = match (faults.draining, self.state.is_cold()) {
+    fn current_report(&self, faults: &upstream::Faults) -> serde_json::Value {
+        let status = match (faults.draining, self.state.is_cold()) {
             (true, _) => "draining",
             (false, true) => "starting",
             (false, false) => "up",
         };
         let lying = faults.health_lie.is_some();
-        let here = self.state.running();
-        let running = here.min(self.state.config.slots as usize);
+        let total = self.state.running();
+        let running = total.min(self.state.config.slots as usize);
         serde_json::json!({
-            "status": faults.health_lie.as_deref().unwrap_or(honest),
+            "status": faults.health_lie.as_deref().unwrap_or(status),
             "oldest": faults.oldest,
             "newest": faults.newest,
             "layout": faults.layout,
             "running": if lying { 0 } else { running },
-            "queued": if lying { 0 } else { here - running },
+            "queued": if lying { 0 } else { total - running },
         })
     }
 
-    fn control(&self, request: &serve::Request, what: &str) -> serve::Response {
-        match (request.method().as_str(), what) {
+    fn control(&self, request: &serve::Request, resource: &str) -> serve::Response {
+        match (request.method().as_str(), resource) {
             ("GET", "faults") => serve::json(200, &self.state.faults()),
             ("GET", "counts") => serve::json(200, &self.state.counts()),
             ("GET", "runs") => serve::json(200, &self.state.runs()),
@@ -243,7 +252,7 @@
             }
             ("POST", "faults") => match serde_json::from_slice(request.body()) {
                 Ok(faults) => {
-                    self.state.set_faults(|present| *present = faults);
+                    self.state.set_faults(|current| *current = faults);
                     serve::text(200, "set\n")
                 }
                 Err(error) => serve::text(400, format!("{error}\n")),
@@ -258,7 +267,7 @@
     type Connection = Connection;
 
     async fn connect(&self) -> Option<Connection> {
-        if !self.state.open() {
+        if !self.state.open_connection() {
             return None;
         }
         let opened = tokio::time::Instant::now();
@@ -266,8 +275,8 @@
             state: sync::Arc::clone(&self.state),
             opened,
         };
-        let cost = time::Duration::from_millis(self.state.config.connect_ms);
-        tokio::time::sleep(cost).await;
+        let delay = time::Duration::from_millis(self.state.config.connect_ms);
+        tokio::time::sleep(delay).await;
         Some(connection)
     }
 
@@ -279,10 +288,10 @@
         }
         let mut reply = tokio::select! {
             reply = self.dispatch(request) => reply,
-            () = self.life.cancelled() => serve::Reply::Close,
+            () = self.stop.cancelled() => serve::Reply::Close,
         };
         if let (serve::Reply::Answer(response), Some(id)) = (&mut reply, id) {
-            echo(response, id);
+            set_request_id(response, id);
         }
         if !control && self.state.is_silent(connection.opened) {
             return serve::Reply::Silence;
@@ -291,7 +300,7 @@
     }
 }
 
-/// One request that was let in.
+/// A search or record that was admitted.
 struct Job {
     id: String,
     shard: ids::Shard,
@@ -302,25 +311,26 @@
 }
 
 impl Job {
+    /// Returns whether the request contains the text that crashes the upstream.
     fn crashes(&self) -> bool {
         let text = &self.faults.crash_text;
         let body = String::from_utf8_lossy(self.request.body());
         !text.is_empty() && body.contains(text.as_str())
     }
 
-    fn found(&self, version: u64) -> serve::Response {
+    fn search_response(&self, version: u64) -> serve::Response {
         let body: serde_json::Value =
             serde_json::from_slice(self.request.body()).unwrap_or_default();
         let hits = corpus::hits(&self.shard, &body["query"].to_string(), version);
         serve::json(200, &serde_json::json!({ "hits": hits }))
     }
 
-    fn registered(&self) -> serve::Response {
+    fn record_response(&self) -> serve::Response {
         let result = serde_json::json!({ "shard": self.shard, "number": self.id });
         serve::json(200, &serde_json::json!({ "result": result }))
     }
 
-    fn run(&self) -> upstream::Run {
+    fn log_entry(&self) -> upstream::Run {
         let key: Option<String> = serve::header(&self.request, contract::IDEMPOTENCY_KEY);
         upstream::Run {
             key: key.unwrap_or_default(),
@@ -330,16 +340,16 @@
     }
 }
 
-/// Waits for a slot and runs. A record counts as run once it has its slot: from
-/// then on its effect can't be called back.
-async fn work(state: &upstream::State, job: &Job, cancel: &CancellationToken) -> End {
+/// Waits for a slot and runs the job. A record counts as run once it has a slot: from
+/// then on its effect can't be undone.
+async fn run_job(state: &upstream::State, job: &Job, cancel: &CancellationToken) -> End {
     let slot = tokio::select! {
         slot = state.slots.acquire() => slot,
         () = cancel.cancelled() => return cancelled(state),
     };
     let Ok(_slot) = slot else { return End::Crashed };
     if job.record {
-        state.log(job.run());
+        state.log_run(job.log_entry());
     } else {
         state.count(|counts| counts.started += 1);
     }
@@ -348,7 +358,7 @@
         return End::Crashed;
     }
     tokio::select! {
-        () = tokio::time::sleep(state.work()) => {}
+        () = tokio::time::sleep(state.running_time()) => {}
         () = cancel.cancelled() => return cancelled(state),
     }
     if !job.record {
@@ -365,7 +375,7 @@
     End::Cancelled
 }
 
-fn unavailable(faults: &upstream::Faults) -> serve::Response {
+fn version_unavailable(faults: &upstream::Faults) -> serve::Response {
     let body = serde_json::json!({
         "error": "version_unavailable", "oldest": faults.oldest, "newest": faults.newest,
     });
@@ -376,8 +386,8 @@
     serve::Reply::Answer(serve::json(status, &serde_json::json!({ "error": error })))
 }
 
-/// Names the call in every reply, refusals too; a crossed reply keeps its own.
-fn echo(response: &mut serve::Response, id: String) {
+/// Sets the request id in a reply unless it has one, as a crossed reply does.
+fn set_request_id(response: &mut serve::Response, id: String) {
     if !response.headers().contains_key(contract::REQUEST_ID) {
         serve::set(response, contract::REQUEST_ID, id);
     }
--- a/crates/standin/src/upstream/state.rs
+++ b/crates/standin/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! What an upstream holds while it runs: slots, counts, the log of what it ran.
+//! State of an upstream: slots, running requests, faults, counts and the log of records run.
 
 use std::collections;
 use std::sync;
@@ -10,38 +10,38 @@
 
 use crate::upstream;
 
-/// Counts since the start, over all lives.
+/// Counts since the start, kept across crashes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Counts {
-    /// Searches that began to run.
+    /// Searches that started to run.
     pub started: u64,
     /// Searches that ran to their end.
     pub finished: u64,
     /// Searches and records stopped by `DELETE /requests/{id}`.
     pub cancelled: u64,
-    /// Refused as shed.
+    /// Searches and records refused as shed.
     pub shed: u64,
-    /// Refused as draining.
+    /// Searches and records refused while draining.
     pub refused_draining: u64,
     /// Searches and records that arrived while draining.
     pub arrived_draining: u64,
-    /// Crashes.
+    /// Number of crashes.
     pub crashes: u64,
-    /// Requests that ran when a crash cut them.
+    /// Requests that a crash ended, waiting or running.
     pub cut: u64,
-    /// Connections taken.
+    /// Connections accepted.
     pub connections: u64,
-    /// Connections closed for being too many.
+    /// Connections refused because the limit was reached.
     pub connections_refused: u64,
-    /// Most connections at once.
+    /// Maximum number of connections open at the same time.
     pub connections_peak: u64,
-    /// Most requests at once, waiting ones included.
+    /// Maximum number of requests at the same time, including waiting ones.
     pub running_peak: u64,
 }
 
 impl Counts {
-    /// Adds another upstream's counts; of peaks the higher one stays.
+    /// Adds another upstream's counts; a peak becomes the higher of the two.
     pub fn add(&mut self, other: &Self) {
         self.started += other.started;
         self.finished += other.finished;
@@ -57,25 +57,26 @@
         self.running_peak = self.running_peak.max(other.running_peak);
     }
 
-    /// Search calls that reached the upstream, whatever became of them.
+    /// Returns the number of searches that started to run, plus all searches and records
+    /// that were refused as shed or draining.
     pub fn arrived(&self) -> u64 {
         self.started + self.shed + self.refused_draining
     }
 }
 
-/// One record that this upstream ran.
+/// A record that the upstream ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Run {
-    /// The caller's idempotency key.
+    /// The record's idempotency key; empty if the request had none.
     pub key: String,
-    /// The id of the call.
+    /// The request's id.
     pub request: String,
-    /// The shard.
+    /// The shard that it ran on.
     pub shard: String,
 }
 
-/// An upstream's state, shared by its connections.
+/// An upstream's state, shared by all connections.
 #[derive(Debug)]
 pub struct State {
     pub(super) config: upstream::Config,
@@ -83,27 +84,29 @@
     faults: sync::RwLock<upstream::Faults>,
     counts: sync::Mutex<Counts>,
     runs: sync::Mutex<Vec<Run>>,
-    live: sync::Mutex<Live>,
+    process: sync::Mutex<Process>,
     random: sync::Mutex<rand::rngs::StdRng>,
 }
 
+/// State of the simulated process, reset by a restart.
 #[derive(Debug)]
-struct Live {
-    life: CancellationToken,
-    since: tokio::time::Instant,
+struct Process {
+    /// Cancelled when the process crashes or the upstream is stopped.
+    stop: CancellationToken,
+    started: tokio::time::Instant,
     connections: u64,
-    /// Requests here, waiting or running, each with what cancels it.
+    /// Cancellation tokens of the waiting and running requests, by request id.
     requests: collections::HashMap<String, CancellationToken>,
-    /// Connections opened before this moment are never answered again.
+    /// Connections opened before this time get no more replies.
     silent_before: Option<tokio::time::Instant>,
     draining_since: Option<tokio::time::Instant>,
 }
 
 impl State {
     pub(super) fn new(config: upstream::Config) -> Self {
-        let live = Live {
-            life: CancellationToken::new(),
-            since: tokio::time::Instant::now(),
+        let process = Process {
+            stop: CancellationToken::new(),
+            started: tokio::time::Instant::now(),
             connections: 0,
             requests: collections::HashMap::new(),
             silent_before: None,
@@ -115,17 +118,17 @@
             faults: sync::RwLock::default(),
             counts: sync::Mutex::default(),
             runs: sync::Mutex::default(),
-            live: sync::Mutex::new(live),
+            process: sync::Mutex::new(process),
             config,
         }
     }
 
-    /// What it is.
+    /// Returns the configuration that it was started with.
     pub fn config(&self) -> &upstream::Config {
         &self.config
     }
 
-    /// The faults set.
+    /// Returns the current faults.
     pub fn faults(&self) -> upstream::Faults {
         self.faults
             .read()
@@ -141,83 +144,86 @@
             .unwrap_or_else(sync::PoisonError::into_inner);
         change(&mut faults);
         let now = tokio::time::Instant::now();
-        let mut live = lock(&self.live);
+        let mut process = lock(&self.process);
         if std::mem::take(&mut faults.silence_open) {
-            live.silent_before = Some(now);
+            process.silent_before = Some(now);
         }
-        live.draining_since = match (faults.draining, live.draining_since) {
+        process.draining_since = match (faults.draining, process.draining_since) {
             (false, _) => None,
             (true, since) => since.or(Some(now)),
         };
     }
 
-    /// Counts so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         lock(&self.counts).clone()
     }
 
-    /// Records it ran, in order.
+    /// Returns the records that ran, in the order in which they started.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.runs).clone()
     }
 
-    /// Requests here now, waiting or running.
+    /// Returns the number of requests that are waiting or running.
     pub fn running(&self) -> usize {
-        lock(&self.live).requests.len()
+        lock(&self.process).requests.len()
     }
 
-    /// How long it has been draining.
+    /// Returns how long it has been draining, or `None` if it isn't.
     pub fn draining_for(&self) -> Option<time::Duration> {
-        lock(&self.live).draining_since.map(|since| since.elapsed())
+        lock(&self.process)
+            .draining_since
+            .map(|since| since.elapsed())
     }
 
-    /// Ends this life at once, as a crash would.
+    /// Crashes the simulated process: all its requests and connections end at once.
     pub fn crash(&self) {
-        let mut live = lock(&self.live);
-        let cut = live.requests.len() as u64;
-        live.requests.clear();
-        live.connections = 0;
-        live.life.cancel();
-        drop(live);
+        let mut process = lock(&self.process);
+        let cut = process.requests.len() as u64;
+        process.requests.clear();
+        process.connections = 0;
+        process.stop.cancel();
+        drop(process);
         self.count(|counts| {
             counts.crashes += 1;
             counts.cut += cut;
         });
     }
 
-    pub(super) fn begin(&self, life: CancellationToken) {
-        let mut live = lock(&self.live);
-        live.life = life;
-        live.since = tokio::time::Instant::now();
-        live.connections = 0;
-        live.requests.clear();
-        live.silent_before = None;
+    /// Resets the simulated process; `stop` is what a crash cancels.
+    pub(super) fn restart(&self, stop: CancellationToken) {
+        let mut process = lock(&self.process);
+        process.stop = stop;
+        process.started = tokio::time::Instant::now();
+        process.connections = 0;
+        process.requests.clear();
+        process.silent_before = None;
     }
 
-    /// Whether this life has ended by a crash.
+    /// Returns whether the process has crashed and not yet restarted.
     pub(super) fn is_crashed(&self) -> bool {
-        lock(&self.live).life.is_cancelled()
+        lock(&self.process).stop.is_cancelled()
     }
 
     pub(super) fn count(&self, change: impl FnOnce(&mut Counts)) {
         change(&mut lock(&self.counts));
     }
 
-    pub(super) fn log(&self, run: Run) {
+    pub(super) fn log_run(&self, run: Run) {
         lock(&self.runs).push(run);
     }
 
-    /// Counts a connection in, where there is room.
-    pub(super) fn open(&self) -> bool {
-        let mut live = lock(&self.live);
-        if live.connections >= u64::from(self.config.connections) {
-            drop(live);
+    /// Counts a new connection; returns false if the limit is reached.
+    pub(super) fn open_connection(&self) -> bool {
+        let mut process = lock(&self.process);
+        if process.connections >= u64::from(self.config.connections) {
+            drop(process);
             self.count(|counts| counts.connections_refused += 1);
             return false;
         }
-        live.connections += 1;
-        let open = live.connections;
-        drop(live);
+        process.connections += 1;
+        let open = process.connections;
+        drop(process);
         self.count(|counts| {
             counts.connections += 1;
             counts.connections_peak = counts.connections_peak.max(open);
@@ -225,76 +231,82 @@
         true
     }
 
-    pub(super) fn close(&self) {
-        let mut live = lock(&self.live);
-        live.connections = live.connections.saturating_sub(1);
+    pub(super) fn close_connection(&self) {
+        let mut process = lock(&self.process);
+        process.connections = process.connections.saturating_sub(1);
     }
 
+    /// Returns whether a connection opened at `opened` gets no replies.
     pub(super) fn is_silent(&self, opened: tokio::time::Instant) -> bool {
         self.faults().silent
-            || lock(&self.live)
+            || lock(&self.process)
                 .silent_before
                 .is_some_and(|before| opened < before)
     }
 
-    /// Takes a request in, where slots and queue have room for it.
-    pub(super) fn enter(&self, id: &str) -> Option<CancellationToken> {
-        let room = self.config.slots + self.config.queue;
-        let mut live = lock(&self.live);
-        if live.requests.len() >= room as usize {
+    /// Admits a request and returns its cancellation token, or `None` if slots and queue
+    /// are full.
+    pub(super) fn admit(&self, id: &str) -> Option<CancellationToken> {
+        let capacity = self.config.slots + self.config.queue;
+        let mut process = lock(&self.process);
+        if process.requests.len() >= capacity as usize {
             return None;
         }
-        let cancel = live.life.child_token();
-        live.requests.insert(id.to_owned(), cancel.clone());
-        let running = live.requests.len() as u64;
-        drop(live);
+        let cancel = process.stop.child_token();
+        process.requests.insert(id.to_owned(), cancel.clone());
+        let running = process.requests.len() as u64;
+        drop(process);
         self.count(|counts| counts.running_peak = counts.running_peak.max(running));
         Some(cancel)
     }
 
-    pub(super) fn leave(&self, id: &str) {
-        lock(&self.live).requests.remove(id);
+    pub(super) fn remove_request(&self, id: &str) {
+        lock(&self.process).requests.remove(id);
     }
 
-    /// Cancels a request; false where it isn't here.
+    /// Cancels a request; returns false if there is none with this id.
     pub(super) fn cancel(&self, id: &str) -> bool {
-        let found = lock(&self.live).requests.get(id).cloned();
+        let found = lock(&self.process).requests.get(id).cloned();
         let Some(cancel) = found else { return false };
         cancel.cancel();
         true
     }
 
-    /// True with probability `share`.
+    /// Returns true with probability `share`.
     pub(super) fn chance(&self, share: f64) -> bool {
         share > 0.0 && lock(&self.random).random::<f64>() < share
     }
 
-    /// How long a request runs: around the median, stretched by faults.
-    pub(super) fn work(&self) -> time::Duration {
+    /// Draws the running time of a request: 0.5 to 1.5 times the median, multiplied for
+    /// stragglers and after a cold start, plus the configured delay.
+    pub(super) fn running_time(&self) -> time::Duration {
         let faults = self.faults();
         let spread = 0.5 + lock(&self.random).random::<f64>();
-        let straggles = self.chance(faults.straggler_share);
-        let straggle = if straggles {
+        let is_straggler = self.chance(faults.straggler_share);
+        let straggler_factor = if is_straggler {
             faults.straggler_factor
         } else {
             1.0
         };
-        let millis = self.config.work_ms * spread * straggle * self.coldness(&faults);
+        let millis =
+            self.config.work_ms * spread * straggler_factor * self.cold_start_factor(&faults);
         time::Duration::from_secs_f64((millis + faults.delay_ms as f64) / 1e3)
     }
 
-    fn coldness(&self, faults: &upstream::Faults) -> f64 {
+    /// Returns the factor on running times after a start, which falls linearly from
+    /// `cold_factor` to 1 over `cold_ms`.
+    fn cold_start_factor(&self, faults: &upstream::Faults) -> f64 {
         if faults.cold_ms == 0 {
             return 1.0;
         }
-        let since = lock(&self.live).since.elapsed().as_secs_f64() * 1e3;
-        let left = (1.0 - since / faults.cold_ms as f64).max(0.0);
-        1.0 + (faults.cold_factor - 1.0) * left
+        let elapsed_ms = lock(&self.process).started.elapsed().as_secs_f64() * 1e3;
+        let remaining = (1.0 - elapsed_ms / faults.cold_ms as f64).max(0.0);
+        1.0 + (faults.cold_factor - 1.0) * remaining
     }
 
-    /// Whether it started so lately that it is still cold.
+    /// Returns whether requests still run longer because of a recent start.
     pub(super) fn is_cold(&self) -> bool {
-        self.coldness(&self.faults()) > 1.0
+        self.cold_start_factor(&self.faults()) > 1.0
     }
 }
 
