--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -139,7 +139,7 @@
     let document = service
         .spec()
         .clone()
-        .with(|d| d.deadline = DEADLINE)
+        .with_document(|d| d.deadline = DEADLINE)
         .document;
     let text = serde_json::to_string_pretty(&document).unwrap_or_default();
     store
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -87,13 +87,13 @@
 /// Where the site's layout can't be had.
 pub async fn run(config: &Config) -> Result<Report, Error> {
     let meter = metrics::Metrics::new()?.meter();
-    let store = store::Client::new(config.site.platform(), Clock::start(), &meter)?;
+    let store = store::Client::new(config.site.platform_url(), Clock::start(), &meter)?;
     let object = store.get(&layout::key(&config.service)).await?;
     let layout: layout::Layout = serde_json::from_slice(&object.body)?;
     let balancer = site::Balancer::start();
     for number in 0..site::VMS {
-        let (callers, operators) = config.site.vm(number);
-        let vm = site::named(format!("{}-vm-{number}", config.site));
+        let (callers, operators) = config.site.vm_addresses(number);
+        let vm = site::parse_id(format!("{}-vm-{number}", config.site));
         balancer.add(&vm, callers, operators);
     }
     tokio::time::sleep(FIRST_ROUND).await;
--- a/crates/standin/src/site/balancer.rs
+++ b/crates/standin/src/site/balancer.rs
@@ -1,5 +1,5 @@
-//! The platform's balancer, as far as callers see it: it asks every VM's
-//! `/readyz` now and then, and sends requests to those that said yes.
+//! Stand-in for the platform's load balancer: probes `/readyz` of every VM and picks
+//! among those that were ready at the last probe.
 
 use std::collections;
 use std::net;
@@ -9,12 +9,12 @@
 use geraniumgauge::ids;
 use rand::seq::IndexedRandom as _;
 
-/// Time between two rounds of asking.
-const ROUND: time::Duration = time::Duration::from_millis(100);
-/// Longest wait for one VM's answer.
-const PATIENCE: time::Duration = time::Duration::from_millis(500);
+/// Delay from the end of a round of probes to the next one.
+const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Timeout of the probe of one VM.
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Which VMs get requests.
+/// Load balancer over the VMs of a site.
 #[derive(Debug, Default)]
 pub struct Balancer {
     targets: sync::RwLock<collections::BTreeMap<ids::Vm, Target>>,
@@ -28,14 +28,14 @@
 }
 
 impl Balancer {
-    /// A balancer that asks its VMs until it is dropped.
+    /// Starts a balancer without VMs; it probes the VMs added to it until it is dropped.
     pub fn start() -> sync::Arc<Self> {
         let balancer = sync::Arc::new(Self::default());
-        tokio::spawn(watch(sync::Arc::downgrade(&balancer)));
+        tokio::spawn(probe_all(sync::Arc::downgrade(&balancer)));
         balancer
     }
 
-    /// Takes a VM in; it gets requests once it says that it is ready.
+    /// Adds a VM, if it isn't known yet; it gets requests once a probe finds it ready.
     pub fn add(&self, vm: &ids::Vm, callers: net::SocketAddr, operators: net::SocketAddr) {
         let target = Target {
             callers,
@@ -45,22 +45,22 @@
         self.write().entry(vm.clone()).or_insert(target);
     }
 
-    /// Takes a VM out.
+    /// Removes a VM.
     pub fn remove(&self, vm: &ids::Vm) {
         self.write().remove(vm);
     }
 
-    /// Whether the VM said that it is ready when it was last asked.
+    /// Returns whether the VM was ready at the last probe.
     pub fn is_ready(&self, vm: &ids::Vm) -> bool {
         self.read().get(vm).is_some_and(|target| target.ready)
     }
 
-    /// A ready VM by chance, not `but`.
-    pub fn pick(&self, but: Option<&ids::Vm>) -> Option<(ids::Vm, net::SocketAddr)> {
+    /// Returns a random ready VM other than `exclude`, with its address for callers.
+    pub fn pick(&self, exclude: Option<&ids::Vm>) -> Option<(ids::Vm, net::SocketAddr)> {
         let targets = self.read();
         let ready = targets
             .iter()
-            .filter(|(vm, target)| target.ready && Some(*vm) != but);
+            .filter(|(vm, target)| target.ready && Some(*vm) != exclude);
         let ready: Vec<_> = ready.map(|(vm, target)| (vm, target.callers)).collect();
         ready
             .choose(&mut rand::rng())
@@ -80,9 +80,9 @@
     }
 }
 
-/// Asks the VMs round by round until the balancer is gone.
-async fn watch(balancer: sync::Weak<Balancer>) {
-    let Ok(client) = reqwest::Client::builder().timeout(PATIENCE).build() else {
+/// Probes all VMs in rounds until the balancer is dropped.
+async fn probe_all(balancer: sync::Weak<Balancer>) {
+    let Ok(client) = reqwest::Client::builder().timeout(PROBE_TIMEOUT).build() else {
         return;
     };
     while let Some(balancer) = balancer.upgrade() {
@@ -91,21 +91,24 @@
             .iter()
             .map(|(vm, t)| (vm.clone(), *t))
             .collect();
-        let asked = targets
+        let probes = targets
             .into_iter()
-            .map(|(vm, target)| ask(&client, vm, target));
-        for (vm, ready) in futures_util::future::join_all(asked).await {
+            .map(|(vm, target)| probe(&client, vm, target));
+        for (vm, ready) in futures_util::future::join_all(probes).await {
             if let Some(target) = balancer.write().get_mut(&vm) {
                 target.ready = ready;
             }
         }
         drop(balancer);
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-async fn ask(client: &reqwest::Client, vm: ids::Vm, target: Target) -> (ids::Vm, bool) {
+async fn probe(client: &reqwest::Client, vm: ids::Vm, target: Target) -> (ids::Vm, bool) {
     let url = format!("http://{}/readyz", target.operators);
-    let answer = client.get(url).send().await;
-    (vm, answer.is_ok_and(|answer| answer.status().is_success()))
+    let response = client.get(url).send().await;
+    (
+        vm,
+        response.is_ok_and(|response| response.status().is_success()),
+    )
 }
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! A whole site in one process: the platform, upstreams, VMs, and a balancer.
+//! A complete site in one process: the platform, upstreams, VMs and a load balancer.
 //!
-//! Each VM runs on a thread and runtime of its own, so that it can be killed
-//! without a word or frozen as a paused machine is.
+//! Each VM runs on its own thread and runtime, so that it can be killed abruptly or
+//! frozen like a paused machine.
 
 mod balancer;
 mod node;
@@ -14,7 +14,7 @@
 pub use serve::serve;
 pub use service::Service;
 pub use service::Spec;
-pub use service::named;
+pub use service::parse_id;
 pub use service::shard_id;
 pub use sites::Name;
 pub use sites::VMS;
@@ -31,10 +31,10 @@
 
 use crate::platform;
 
-/// Longest wait for a site's VMs to become ready.
-const START: time::Duration = time::Duration::from_secs(30);
+/// Time limit for all VMs of a site to become ready.
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Why a site can't be had.
+/// Reasons why a site can't be started.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
@@ -44,35 +44,35 @@
     /// A VM can't start.
     #[display("a VM can't start: {_0}")]
     Vm(vm::Error),
-    /// A VM isn't ready in time.
+    /// A VM wasn't ready in time.
     #[from(ignore)]
-    #[display("{vm} isn't ready after {} s", START.as_secs())]
+    #[display("{vm} isn't ready after {} s", READY_TIMEOUT.as_secs())]
     #[error(ignore)]
-    Unready {
+    NotReady {
         /// The VM.
         vm: ids::Vm,
     },
 }
 
-/// What a site is made of.
+/// Configuration of a site.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its services.
+    /// Services of the site.
     pub services: Vec<Spec>,
-    /// How many VMs it has at its start.
+    /// Number of VMs at the start.
     pub vms: usize,
-    /// Data centres, over which VMs and upstreams are spread in turn.
+    /// Number of data centres, over which VMs and upstreams are spread in turn.
     pub data_centres: usize,
-    /// How fan-outs are run.
+    /// Policy by which VMs run searches.
     pub policy: query::Policy,
-    /// Seeds the upstreams' random numbers.
+    /// Seed of the upstreams' random number generators.
     pub seed: u64,
-    /// How long a stopping VM waits for the balancer.
+    /// Time that a stopping VM gives the balancer to notice that it isn't ready any more.
     pub balancer_wait: time::Duration,
 }
 
 impl Config {
-    /// A site of `services` with 3 VMs in 3 data centres.
+    /// Returns the configuration of a site with `services` and 3 VMs in 3 data centres.
     pub fn new(services: Vec<Spec>) -> Self {
         Self {
             services,
@@ -85,31 +85,32 @@
     }
 }
 
-/// A running site; dropping it ends everything in it.
+/// A running site; dropping it stops everything in it.
 #[derive(Debug)]
 pub struct Site {
-    /// The platform's stand-in.
+    /// Stand-in for the platform.
     pub platform: platform::Server,
-    /// The services with their upstreams.
+    /// Services with their upstreams.
     pub services: Vec<Service>,
-    /// The VMs that were started and not taken out.
+    /// VMs that were started and neither stopped nor killed.
     pub nodes: Vec<Node>,
-    /// Where callers' requests go.
+    /// Load balancer that picks the VM for a caller's request.
     pub balancer: sync::Arc<Balancer>,
     config: Config,
+    /// Number of VMs started so far, which numbers the next one.
     started: usize,
 }
 
-/// The `number`th of `count` data centres.
+/// Returns the `number`th data centre, wrapping around after `count`.
 pub fn data_centre(number: usize, count: usize) -> ids::DataCentre {
-    service::named(format!("dc-{}", number % count.max(1)))
+    service::parse_id(format!("dc-{}", number % count.max(1)))
 }
 
 impl Site {
     /// Starts everything and waits until every VM is ready.
     ///
     /// # Errors
-    /// Where something can't start.
+    /// If a part can't start or a VM isn't ready in time.
     pub async fn start(config: Config) -> Result<Self, Error> {
         let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
         let platform = platform::Server::start(any).await?;
@@ -136,30 +137,30 @@
         Ok(site)
     }
 
-    /// Starts one more VM, under a name not used before. It isn't ready yet.
+    /// Starts one more VM under a new name and returns before it is ready.
     ///
     /// # Errors
-    /// Where it can't start.
+    /// If the VM can't start.
     pub async fn add(&mut self) -> Result<(), Error> {
         let number = self.started;
         self.started += 1;
-        let config = self.vm(number);
+        let config = self.vm_config(number);
         let node = Node::start(config).await?;
         self.nodes.push(node);
-        self.list();
+        self.publish_vms();
         Ok(())
     }
 
-    /// Waits until every VM is ready and the balancer has seen it.
+    /// Waits until the balancer has seen that every VM is ready.
     ///
     /// # Errors
-    /// Where one isn't in time.
+    /// If a VM isn't ready in time.
     pub async fn ready(&self) -> Result<(), Error> {
-        let until = tokio::time::Instant::now() + START;
+        let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         for node in &self.nodes {
             while !self.balancer.is_ready(node.vm()) {
-                if tokio::time::Instant::now() > until {
-                    return Err(Error::Unready {
+                if tokio::time::Instant::now() > deadline {
+                    return Err(Error::NotReady {
                         vm: node.vm().clone(),
                     });
                 }
@@ -169,20 +170,21 @@
         Ok(())
     }
 
-    /// Kills a VM without a word and takes it out; the platform's list and the
-    /// balancer learn of it in their own time.
+    /// Kills the VM at index `at` abruptly and removes it from the site. The platform lists
+    /// the change after its lag, and the balancer notices at its next probe.
     pub fn kill(&mut self, at: usize) -> ids::Vm {
         let node = self.nodes.remove(at);
         let vm = node.vm().clone();
         node.kill();
-        self.list();
+        self.publish_vms();
         vm
     }
 
-    /// Stops a VM gracefully; it is out once the returned handle is done.
+    /// Removes the VM at index `at` and stops it gracefully; the returned task ends when it
+    /// has stopped.
     pub fn stop(&mut self, at: usize) -> tokio::task::JoinHandle<()> {
         let node = self.nodes.remove(at);
-        self.list();
+        self.publish_vms();
         let balancer = sync::Arc::clone(&self.balancer);
         tokio::spawn(async move {
             let vm = node.vm().clone();
@@ -191,11 +193,14 @@
         })
     }
 
-    /// The service named `id`.
+    /// Returns the service named `id`.
     ///
     /// # Panics
-    /// Where the site has none of that name.
-    #[expect(clippy::expect_used, reason = "scenarios ask for services they made")]
+    /// If the site has no service of that name.
+    #[expect(
+        clippy::expect_used,
+        reason = "scenarios only ask for services that they configured"
+    )]
     pub fn service(&self, id: &str) -> &Service {
         let found = self
             .services
@@ -204,10 +209,10 @@
         found.expect("a service of this site")
     }
 
-    /// A client of the platform's store, as operators use it.
+    /// Returns a client of the platform's store.
     ///
     /// # Errors
-    /// Where the client can't be set up.
+    /// If the client can't be set up.
     pub fn store(&self) -> Result<store::Client, store::Error> {
         let metrics = geraniumgauge::metrics::Metrics::new();
         let metrics = metrics.map_err(|e| store::Error::Unavailable {
@@ -217,10 +222,10 @@
         store::Client::new(self.platform.url(), clock, &metrics.meter())
     }
 
-    fn vm(&self, number: usize) -> vm::Config {
+    fn vm_config(&self, number: usize) -> vm::Config {
         let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
         let mut config = vm::Config::new(
-            service::named(format!("vm-{number}")),
+            service::parse_id(format!("vm-{number}")),
             data_centre(number, self.config.data_centres),
             self.platform.url(),
         );
@@ -233,8 +238,8 @@
         config
     }
 
-    /// Tells the platform and the balancer which VMs there are.
-    fn list(&self) {
+    /// Sends the current list of VMs to the platform and adds new ones to the balancer.
+    fn publish_vms(&self) {
         let entry = |node: &Node| store::Vm {
             vm: node.vm().clone(),
             address: node.mesh(),
--- a/crates/standin/src/site/node.rs
+++ b/crates/standin/src/site/node.rs
@@ -1,4 +1,4 @@
-//! A VM on a thread and runtime of its own.
+//! A VM that runs on its own thread and runtime.
 
 use std::net;
 use std::thread;
@@ -11,122 +11,124 @@
 
 use crate::site;
 
-/// A running VM. Dropping it kills it.
+/// A running VM; dropping it kills it.
 #[derive(Debug)]
 pub struct Node {
     vm: ids::Vm,
     data_centre: ids::DataCentre,
     addresses: vm::Addresses,
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
 }
 
+/// What the VM's thread is asked to do.
 #[derive(Debug)]
-enum Order {
+enum Command {
     Kill,
     Freeze(time::Duration),
     Stop(oneshot::Sender<()>),
 }
 
 impl Node {
-    /// Starts a VM; returns once it listens, before it is ready.
+    /// Starts a VM and returns once it listens, before it is ready.
     ///
     /// # Errors
-    /// Where it can't start.
+    /// If the VM can't start.
     pub async fn start(config: vm::Config) -> Result<Self, site::Error> {
-        let (orders, taken) = mpsc::unbounded_channel();
-        let (told, started) = oneshot::channel();
+        let (commands, receiver) = mpsc::unbounded_channel();
+        let (started_sender, started) = oneshot::channel();
         let (vm, data_centre) = (config.vm.clone(), config.data_centre.clone());
-        let run = move || run(config, taken, told);
+        let run = move || run_thread(config, receiver, started_sender);
         thread::Builder::new().name(vm.to_string()).spawn(run)?;
-        let gone = || std::io::Error::other("the VM's thread ended while starting");
-        let addresses = started.await.map_err(|_| gone())??;
+        let thread_ended = || std::io::Error::other("the VM's thread ended while starting");
+        let addresses = started.await.map_err(|_| thread_ended())??;
         Ok(Self {
             vm,
             data_centre,
             addresses,
-            orders,
+            commands,
         })
     }
 
-    /// Its name.
+    /// Returns the VM's name.
     pub fn vm(&self) -> &ids::Vm {
         &self.vm
     }
 
-    /// Where it runs.
+    /// Returns the data centre that it runs in.
     pub fn data_centre(&self) -> &ids::DataCentre {
         &self.data_centre
     }
 
-    /// Where callers reach it.
+    /// Returns the address for callers.
     pub fn callers(&self) -> net::SocketAddr {
         self.addresses.callers
     }
 
-    /// Where operators reach it.
+    /// Returns the address for operators.
     pub fn operators(&self) -> net::SocketAddr {
         self.addresses.operators
     }
 
-    /// Where other VMs reach it.
+    /// Returns the address for other VMs.
     pub fn mesh(&self) -> net::SocketAddr {
         self.addresses.mesh
     }
 
-    /// Ends it at once: its sockets close and nothing is said.
+    /// Kills the VM: its sockets close at once, with no notice to others.
     pub fn kill(self) {
-        let _ = self.orders.send(Order::Kill);
+        let _ = self.commands.send(Command::Kill);
     }
 
-    /// Stops its clock for `span`: nothing of it runs, its sockets stay open.
+    /// Pauses the VM for `span`: none of its tasks run, its sockets stay open.
     pub fn freeze(&self, span: time::Duration) {
-        let _ = self.orders.send(Order::Freeze(span));
+        let _ = self.commands.send(Command::Freeze(span));
     }
 
-    /// Stops it gracefully, and returns when it has ended.
+    /// Stops the VM gracefully and returns when it has ended.
     pub async fn stop(self) {
         let (done, ended) = oneshot::channel();
-        let _ = self.orders.send(Order::Stop(done));
+        let _ = self.commands.send(Command::Stop(done));
         let _ = ended.await;
     }
 }
 
-fn run(
+fn run_thread(
     config: vm::Config,
-    orders: mpsc::UnboundedReceiver<Order>,
-    told: oneshot::Sender<Result<vm::Addresses, vm::Error>>,
+    commands: mpsc::UnboundedReceiver<Command>,
+    started: oneshot::Sender<Result<vm::Addresses, vm::Error>>,
 ) {
     let built = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let Ok(runtime) = built else { return };
-    runtime.block_on(obey(config, orders, told));
-    // Dropping the runtime would wait for blocking tasks; a killed VM doesn't.
+    runtime.block_on(run_vm(config, commands, started));
+    // Dropping the runtime would wait for blocking tasks, but a killed VM ends at once.
     runtime.shutdown_background();
 }
 
-async fn obey(
+/// Starts the VM, reports the result to `started` and runs it until it is killed or stopped.
+async fn run_vm(
     config: vm::Config,
-    mut orders: mpsc::UnboundedReceiver<Order>,
-    told: oneshot::Sender<Result<vm::Addresses, vm::Error>>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
+    started: oneshot::Sender<Result<vm::Addresses, vm::Error>>,
 ) {
     let vm = match vm::Vm::start(config).await {
         Ok(vm) => vm,
         Err(error) => {
-            let _ = told.send(Err(error));
+            let _ = started.send(Err(error));
             return;
         }
     };
-    let _ = told.send(Ok(vm.addresses()));
+    let _ = started.send(Ok(vm.addresses()));
     loop {
-        match orders.recv().await {
-            Some(Order::Freeze(span)) => thread::sleep(span),
-            Some(Order::Stop(done)) => {
+        match commands.recv().await {
+            Some(Command::Freeze(span)) => thread::sleep(span),
+            Some(Command::Stop(done)) => {
                 vm.stop().await;
                 let _ = done.send(());
                 return;
             }
-            Some(Order::Kill) | None => return,
+            Some(Command::Kill) | None => return,
         }
     }
 }
--- a/crates/standin/src/site/serve.rs
+++ b/crates/standin/src/site/serve.rs
@@ -1,4 +1,4 @@
-//! A site's upstreams as one process, made known to a platform elsewhere.
+//! Runs a site's upstreams in one process and publishes them to a platform elsewhere.
 
 use geraniumgauge::ids;
 use geraniumgauge::layout;
@@ -9,26 +9,26 @@
 
 use crate::site;
 
-/// Why a site's upstreams can't be served.
+/// Reasons why a site's upstreams can't be served.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
     /// An upstream can't listen.
     #[display("an upstream can't listen: {_0}")]
     Listen(std::io::Error),
-    /// The platform doesn't take the layouts or documents.
-    #[display("{_0}")]
+    /// The layouts or documents can't be published to the platform's store.
+    #[display("can't publish layouts and documents: {_0}")]
     Store(store::Error),
-    /// The client's metrics can't be set up.
-    #[display("{_0}")]
+    /// The metrics of the store's client can't be set up.
+    #[display("can't set up the store's client: {_0}")]
     Metrics(metrics::Error),
 }
 
-/// Starts a site's upstreams and puts its layouts, and documents where there
-/// are none yet, into the platform's store.
+/// Starts a site's upstreams and writes its layouts to the platform's store, and its
+/// documents unless the store already has them.
 ///
 /// # Errors
-/// Where an upstream can't listen or the platform can't be reached.
+/// If an upstream can't listen or the store fails.
 pub async fn serve(
     name: site::Name,
     platform: &str,
@@ -42,8 +42,8 @@
     for (number, spec) in name.services().into_iter().enumerate() {
         let mut service = site::Service::start(spec, data_centres, number as u64, port).await?;
         service.layout.version = next_version(&store, service.id()).await?;
-        let taken = u16::try_from(service.upstreams.len()).unwrap_or(u16::MAX);
-        port = port.map(|port| port.saturating_add(taken));
+        let used = u16::try_from(service.upstreams.len()).unwrap_or(u16::MAX);
+        port = port.map(|port| port.saturating_add(used));
         for (key, body) in service.objects() {
             put(&store, &key, body).await?;
         }
@@ -52,24 +52,26 @@
     Ok(services)
 }
 
-/// One above the version that the store holds: a VM never applies an equal one.
+/// Returns one more than the stored layout's version, because VMs apply a layout only if
+/// its version is higher than that of their own.
 async fn next_version(
     store: &store::Client,
     service: &ids::Service,
 ) -> Result<ids::LayoutVersion, store::Error> {
-    let held = match store.get(&layout::key(service)).await {
+    let stored = match store.get(&layout::key(service)).await {
         Ok(object) => serde_json::from_slice::<layout::Layout>(&object.body).ok(),
         Err(store::Error::Missing { .. }) => None,
         Err(error) => return Err(error),
     };
     Ok(ids::LayoutVersion(
-        held.map_or(1, |layout| layout.version.0 + 1),
+        stored.map_or(1, |layout| layout.version.0 + 1),
     ))
 }
 
+/// Writes an object: a layout always, a document only if there is none.
 async fn put(store: &store::Client, key: &str, body: bytes::Bytes) -> Result<(), store::Error> {
-    let layout = key.starts_with("layouts/");
-    let condition = if layout {
+    let is_layout = key.starts_with("layouts/");
+    let condition = if is_layout {
         store::Condition::Any
     } else {
         store::Condition::Absent
--- a/crates/standin/src/site/service.rs
+++ b/crates/standin/src/site/service.rs
@@ -1,4 +1,4 @@
-//! One service of a site: its upstreams, layout and document.
+//! A service of a site: its upstreams, layout and document.
 
 use std::io;
 use std::net;
@@ -12,32 +12,32 @@
 use crate::site;
 use crate::upstream;
 
-/// What a service is made of.
+/// Specification of a service.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// Its name.
+    /// Name of the service.
     pub id: ids::Service,
-    /// How many shards it has.
+    /// Number of shards.
     pub shards: usize,
-    /// Replicas of each shard, each on an upstream of its own.
+    /// Number of replicas of each shard; every replica has its own upstream.
     pub replicas: usize,
-    /// Slots of each upstream.
+    /// Maximum number of requests that an upstream runs at the same time.
     pub slots: u32,
-    /// Connections each upstream takes.
+    /// Maximum number of connections to an upstream.
     pub connections: u32,
-    /// What a new connection costs, in milliseconds.
+    /// Time to set up a connection to an upstream, in milliseconds.
     pub connect_ms: u32,
-    /// Median time of a request at an upstream, in milliseconds.
+    /// Median running time of a request at an upstream, in milliseconds.
     pub work_ms: f64,
-    /// The team's document.
+    /// Document of the service's team.
     pub document: document::Document,
 }
 
 impl Spec {
-    /// A service like the users' small ones: 2 replicas with 2 slots.
+    /// Returns a service like the users' small ones: 2 replicas with 2 slots.
     pub fn small(id: &str, shards: usize) -> Self {
         Self {
-            id: named(id.to_owned()),
+            id: parse_id(id.to_owned()),
             shards,
             replicas: 2,
             slots: 2,
@@ -48,29 +48,29 @@
         }
     }
 
-    /// The same with another document.
-    pub fn with(self, change: impl FnOnce(&mut document::Document)) -> Self {
+    /// Returns the specification with `change` applied to its document.
+    pub fn with_document(self, change: impl FnOnce(&mut document::Document)) -> Self {
         let mut spec = self;
         change(&mut spec.document);
         spec
     }
 }
 
-/// A service with its running upstreams.
+/// A service and its running upstreams.
 #[derive(Debug)]
 pub struct Service {
     spec: Spec,
-    /// The upstreams, by shard and then replica.
+    /// Upstreams, ordered by shard and then by replica.
     pub upstreams: Vec<upstream::Server>,
-    /// The layout they make up.
+    /// Layout that lists the upstreams and shards.
     pub layout: layout::Layout,
 }
 
 impl Service {
-    /// Starts the upstreams, on free ports or on consecutive ones from `first_port`.
+    /// Starts the upstreams on consecutive ports from `first_port`, or on free ports.
     ///
     /// # Errors
-    /// Where one can't listen.
+    /// If an upstream can't listen.
     pub async fn start(
         spec: Spec,
         data_centres: usize,
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Puts the document and the layout into the platform's store.
+    /// Writes the document and the layout to the platform's store.
     pub fn publish(&self, platform: &platform::Server) {
         platform.state().objects(|objects| {
             for (key, body) in self.objects() {
@@ -105,7 +105,7 @@
         });
     }
 
-    /// The store's objects that make the service known, by key.
+    /// Returns the objects that describe the service in the store, with their keys.
     pub fn objects(&self) -> [(String, bytes::Bytes); 2] {
         let id = &self.spec.id;
         let document = serde_json::to_vec_pretty(&self.spec.document).unwrap_or_default();
@@ -116,17 +116,17 @@
         ]
     }
 
-    /// Its name.
+    /// Returns the service's name.
     pub fn id(&self) -> &ids::Service {
         &self.spec.id
     }
 
-    /// What it is made of.
+    /// Returns the specification that it was started with.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// The upstream of a shard's replica.
+    /// Returns the upstream of a replica, by the indexes of shard and replica.
     pub fn replica(&self, shard: usize, replica: usize) -> &upstream::Server {
         &self.upstreams[shard * self.spec.replicas + replica]
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Counts over all upstreams; peaks are the highest of any.
+    /// Returns the counts summed over all upstreams; peaks are the highest of any one.
     pub fn counts(&self) -> upstream::Counts {
         let mut sum = upstream::Counts::default();
         for counts in self
@@ -151,7 +151,7 @@
         sum
     }
 
-    /// Records run by any upstream.
+    /// Returns the records that any upstream ran.
     pub fn runs(&self) -> Vec<upstream::Run> {
         self.upstreams
             .iter()
@@ -159,8 +159,8 @@
             .collect()
     }
 
-    /// Searches a second that all slots together can run, where each touches
-    /// every shard once.
+    /// Returns the number of searches per second that the slots can run if each search
+    /// calls every shard once.
     pub fn capacity(&self) -> f64 {
         let slots = f64::from(self.spec.slots) * self.spec.replicas as f64;
         slots * 1000.0 / self.spec.work_ms
@@ -171,7 +171,7 @@
     fn upstream(&self, shard: usize, replica: usize, seed: u64) -> upstream::Config {
         let number = (shard * self.replicas + replica) as u64;
         upstream::Config {
-            id: named(format!("{}-{shard}-{replica}", self.id)),
+            id: parse_id(format!("{}-{shard}-{replica}", self.id)),
             address: net::SocketAddr::from(([127, 0, 0, 1], 0)),
             shards: vec![shard_id(shard)],
             slots: self.slots,
@@ -184,7 +184,7 @@
     }
 
     fn layout(&self, upstreams: &[upstream::Server], data_centres: usize) -> layout::Layout {
-        let entry = |(number, server): (usize, &upstream::Server)| layout::Upstream {
+        let upstream = |(number, server): (usize, &upstream::Server)| layout::Upstream {
             id: server.state().config().id.clone(),
             address: server.address(),
             data_centre: site::data_centre(
@@ -197,14 +197,15 @@
         };
         let replicas = |shard: usize| {
             let first = shard * self.replicas;
-            let held = &upstreams[first..first + self.replicas];
-            held.iter()
+            let servers = &upstreams[first..first + self.replicas];
+            servers
+                .iter()
                 .map(|server| server.state().config().id.clone())
                 .collect()
         };
         layout::Layout {
             version: ids::LayoutVersion(1),
-            upstreams: upstreams.iter().enumerate().map(entry).collect(),
+            upstreams: upstreams.iter().enumerate().map(upstream).collect(),
             shards: (0..self.shards)
                 .map(|shard| layout::Shard {
                     id: shard_id(shard),
@@ -215,16 +216,16 @@
     }
 }
 
-/// The id of a service's `number`th shard.
+/// Returns the id of a service's `number`th shard.
 pub fn shard_id(number: usize) -> ids::Shard {
-    named(format!("shard-{number}"))
+    parse_id(format!("shard-{number}"))
 }
 
-/// An identifier from a text known to be one.
+/// Parses an identifier from text that is known to be valid.
 #[expect(
     clippy::expect_used,
     reason = "the texts are made of letters, digits and dashes"
 )]
-pub fn named<T: std::str::FromStr<Err = ids::Error>>(text: String) -> T {
+pub fn parse_id<T: std::str::FromStr<Err = ids::Error>>(text: String) -> T {
     text.parse().expect("a valid identifier")
 }
--- a/crates/standin/src/site/sites.rs
+++ b/crates/standin/src/site/sites.rs
@@ -1,4 +1,4 @@
-//! The users' sites of today, by the sizes that they gave.
+//! The users' current sites, with the sizes that the users gave.
 
 use std::net;
 use std::time;
@@ -14,15 +14,15 @@
 #[display(rename_all = "lowercase")]
 #[from_str(rename_all = "lowercase")]
 pub enum Name {
-    /// Weighs coverage most.
+    /// A site that values coverage most.
     Kowhai,
-    /// Weighs tail latency most.
+    /// A site that values tail latency most.
     Authority,
 }
 
 impl Name {
-    /// The site's services. What the users call a service of a workload is one
-    /// shard here: a query of the workload touches them all.
+    /// Returns the site's services. What the users call a service of a workload is a shard
+    /// here, because a query of the workload calls all of them.
     pub fn services(self) -> Vec<site::Spec> {
         match self {
             Self::Kowhai => vec![
@@ -41,38 +41,44 @@
     }
 }
 
-/// VMs of a site that `scripts/site` runs.
+/// Number of VMs of a site that `scripts/site` runs.
 pub const VMS: u16 = 8;
-const CALLERS: u16 = 10;
-const OPERATORS: u16 = 30;
+/// Offset from the platform's port to the first VM's port for callers.
+const CALLERS_PORT_OFFSET: u16 = 10;
+/// Offset from the platform's port to the first VM's port for operators.
+const OPERATORS_PORT_OFFSET: u16 = 30;
 
-/// Where `scripts/site` puts a site's processes; the script has the same numbers.
+/// Addresses of the processes that `scripts/site` starts; it contains the same numbers.
 impl Name {
-    /// The platform's port; the others lie above it.
-    pub fn base(self) -> u16 {
+    /// Returns the platform's port; the other processes have higher ones.
+    pub fn platform_port(self) -> u16 {
         match self {
             Self::Kowhai => 17400,
             Self::Authority => 18400,
         }
     }
 
-    /// The platform's URL.
-    pub fn platform(self) -> String {
-        format!("http://127.0.0.1:{}", self.base())
+    /// Returns the platform's base URL.
+    pub fn platform_url(self) -> String {
+        format!("http://127.0.0.1:{}", self.platform_port())
     }
 
-    /// The addresses of a VM for callers and for operators.
-    pub fn vm(self, number: u16) -> (net::SocketAddr, net::SocketAddr) {
-        let at = |offset: u16| net::SocketAddr::from(([127, 0, 0, 1], self.base() + offset));
-        (at(CALLERS + number), at(OPERATORS + number))
+    /// Returns the addresses of a VM for callers and for operators.
+    pub fn vm_addresses(self, number: u16) -> (net::SocketAddr, net::SocketAddr) {
+        let address =
+            |offset: u16| net::SocketAddr::from(([127, 0, 0, 1], self.platform_port() + offset));
+        (
+            address(CALLERS_PORT_OFFSET + number),
+            address(OPERATORS_PORT_OFFSET + number),
+        )
     }
 }
 
-/// Shards of the workloads whose count the users left open.
+/// Number of shards of the workloads for which the users gave none.
 const LARGE_SHARDS: usize = 8;
 
 fn small(id: &str, shards: usize, objective: document::Objective) -> site::Spec {
-    site::Spec::small(id, shards).with(|document| {
+    site::Spec::small(id, shards).with_document(|document| {
         document.objective = objective;
         document.latency_target = time::Duration::from_millis(100);
         document.min_coverage = rate::Share::percent(95);
