--- a/crates/standin/src/args.rs
+++ b/crates/standin/src/args.rs
@@ -9,7 +9,7 @@
 use geraniumgauge_standin::measure;
 use geraniumgauge_standin::site;
 
-/// The help page.
+/// The help text.
 pub(crate) const USAGE: &str = "\
 usage: geraniumgauge-standin platform [--listen IP:PORT]
        geraniumgauge-standin upstream --site kowhai|authority --platform URL
@@ -20,28 +20,29 @@
        geraniumgauge-standin measure list
        geraniumgauge-standin measure SCENARIO...|all [--json] [--seed N] [--policy NAME]
 
-  --listen IP:PORT    where the platform listens (default 127.0.0.1:7400)
-  --site NAME         whose upstreams to run
-  --platform URL      where layouts and documents are put
-  --data-centres N    data centres that the upstreams are spread over (default 3)
-  --first-port N      port of the first upstream, the rest follow (default: any)
-  --service NAME      the service to send to, at a site that scripts/site runs
-  --rate R            requests a second (default 50)
-  --seconds N         for how long (default 10)
+  --listen IP:PORT    address that the platform listens on (default 127.0.0.1:7400)
+  --site NAME         the site: kowhai or authority
+  --platform URL      base URL of the platform to write layouts and documents to
+  --data-centres N    number of data centres that the upstreams are spread over (default 3)
+  --first-port N      port of the first upstream; the others follow (default: free ports)
+  --service NAME      service to send requests to, of a site run by scripts/site
+  --rate R            requests per second (default 50)
+  --seconds N         duration of the load in seconds (default 10)
   --records           send registrations instead of searches
-  --json              one JSON line a scenario
-  --seed N            seeds arrivals and faults (default 1)
-  --policy NAME       full, no-hedge or direct (default full)
+  --json              print one line of JSON per scenario
+  --seed N            seed for arrivals and faults (default 1)
+  --policy NAME       how searches run: full, no-hedge or direct (default full)
 
-Faults are set while it runs, on the control paths of each stand-in:
+Faults can be set on a running stand-in through its control paths, for example:
   curl -X POST http://127.0.0.1:7400/control/faults -d '{\"down\": true}'
 
-Exit status: 0 fine, 1 a promise was broken or a run failed, 2 usage.";
+Exit status: 0 on success, 1 if a promise was broken or a run failed, 2 for a wrong
+command line.";
 
-/// What is asked for.
+/// A parsed command line.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// Print the help page.
+pub(crate) enum Command {
+    /// Print the help text.
     Help,
     /// Run the platform.
     Platform { listen: net::SocketAddr },
@@ -52,11 +53,11 @@
         data_centres: usize,
         first_port: Option<u16>,
     },
-    /// Send requests to a site that runs as processes of its own.
+    /// Send requests to a site that `scripts/site` runs.
     Load(drive::Config),
     /// Run the demo.
     Demo,
-    /// Name the scenarios.
+    /// List the scenarios.
     List,
     /// Run scenarios.
     Measure {
@@ -66,44 +67,44 @@
     },
 }
 
-/// What is wrong with a command line.
+/// Errors in a command line.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub(crate) enum Error {
-    /// A flag or its value.
+    /// A flag's value is missing or invalid.
     #[display("{_0}")]
     Flag(pico_args::Error),
-    /// Something that isn't known or is missing.
+    /// A command or argument is missing or unknown.
     #[from(ignore)]
-    #[display("{what}")]
+    #[display("{message}")]
     #[error(ignore)]
     Usage {
-        /// What, and what to do.
-        what: String,
+        /// What is wrong and what to do.
+        message: String,
     },
 }
 
-/// Reads the arguments after the program's name.
-pub(crate) fn read(args: Vec<ffi::OsString>) -> Result<Order, Error> {
+/// Parses the arguments after the program's name.
+pub(crate) fn parse(args: Vec<ffi::OsString>) -> Result<Command, Error> {
     let mut args = pico_args::Arguments::from_vec(args);
     if args.contains(["-h", "--help"]) {
-        return Ok(Order::Help);
+        return Ok(Command::Help);
     }
-    let order = match args.subcommand()?.as_deref() {
+    let command = match args.subcommand()?.as_deref() {
         Some("platform") => {
             let listen = args.opt_value_from_str("--listen")?;
-            Order::Platform {
+            Command::Platform {
                 listen: listen.unwrap_or(([127, 0, 0, 1], 7400).into()),
             }
         }
-        Some("upstream") => Order::Upstream {
-            site: args.value_from_str("--site")?,
+        Some("upstream") => Command::Upstream {
+            site: args.value_from_fn("--site", parse_site)?,
             platform: args.value_from_str("--platform")?,
             data_centres: args.opt_value_from_str("--data-centres")?.unwrap_or(3),
             first_port: args.opt_value_from_str("--first-port")?,
         },
-        Some("load") => Order::Load(drive::Config {
-            site: args.value_from_str("--site")?,
+        Some("load") => Command::Load(drive::Config {
+            site: args.value_from_fn("--site", parse_site)?,
             service: args.value_from_str("--service")?,
             rate: args
                 .opt_value_from_str("--rate")?
@@ -111,50 +112,50 @@
             span: time::Duration::from_secs(args.opt_value_from_str("--seconds")?.unwrap_or(10)),
             records: args.contains("--records"),
         }),
-        Some("demo") => Order::Demo,
-        Some("measure") => return measure(args),
-        Some(other) => return Err(usage(format!("no command {other:?}; see the list below"))),
-        None => return Err(usage("no command; see the list below".to_owned())),
+        Some("demo") => Command::Demo,
+        Some("measure") => return parse_measure(args),
+        Some(other) => return Err(usage(format!("{other:?} is not a command; see below"))),
+        None => return Err(usage("a command is missing; see below".to_owned())),
     };
     match args.finish().first() {
-        Some(rest) => Err(usage(format!(
-            "{} isn't known here",
-            rest.to_string_lossy()
+        Some(extra) => Err(usage(format!(
+            "unexpected argument {:?}",
+            extra.to_string_lossy()
         ))),
-        None => Ok(order),
+        None => Ok(command),
     }
 }
 
-fn measure(mut args: pico_args::Arguments) -> Result<Order, Error> {
+fn parse_measure(mut args: pico_args::Arguments) -> Result<Command, Error> {
     let json = args.contains("--json");
     let seed = args.opt_value_from_str("--seed")?.unwrap_or(1);
     let policy = args
-        .opt_value_from_str("--policy")?
+        .opt_value_from_fn("--policy", parse_policy)?
         .unwrap_or(query::Policy::Full);
     let context = measure::Context { seed, policy };
-    let rest = args.finish();
-    let names: Vec<_> = rest
+    let free = args.finish();
+    let names: Vec<_> = free
         .iter()
         .map(|name| name.to_string_lossy().into_owned())
         .collect();
     let flag = names.iter().find(|name| name.starts_with('-'));
     match (names.first().map(String::as_str), flag) {
-        (_, Some(flag)) => Err(usage(format!("{flag} isn't known here"))),
+        (_, Some(flag)) => Err(usage(format!("unexpected argument {flag:?}"))),
         (None, _) => Err(usage(
-            "measure what? name scenarios, or all, or list".to_owned(),
+            "measure needs a scenario, `all` or `list`".to_owned(),
         )),
-        (Some("list"), _) => Ok(Order::List),
+        (Some("list"), _) => Ok(Command::List),
         (Some("all"), _) => {
             let names = measure::SCENARIOS
                 .iter()
                 .map(|scenario| scenario.name.to_owned());
-            Ok(Order::Measure {
+            Ok(Command::Measure {
                 names: names.collect(),
                 context,
                 json,
             })
         }
-        _ => Ok(Order::Measure {
+        _ => Ok(Command::Measure {
             names,
             context,
             json,
@@ -162,6 +163,16 @@
     }
 }
 
-fn usage(what: String) -> Error {
-    Error::Usage { what }
+fn parse_site(text: &str) -> Result<site::Name, String> {
+    text.parse()
+        .map_err(|_| "not a site; expected kowhai or authority".to_owned())
+}
+
+fn parse_policy(text: &str) -> Result<query::Policy, String> {
+    text.parse()
+        .map_err(|_| "not a policy; expected full, no-hedge or direct".to_owned())
+}
+
+fn usage(message: String) -> Error {
+    Error::Usage { message }
 }
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,5 +1,5 @@
-//! A site of three VMs in one process, shown as a person would try it: one
-//! search, one registration sent twice, one document edited and read back.
+//! A demonstration on a site of three VMs in one process: a search, a registration that
+//! is sent twice, and an edit of a document whose status is read back.
 
 use std::time;
 
@@ -11,7 +11,7 @@
 use crate::measure::load;
 use crate::site;
 
-/// What didn't hold.
+/// Reasons why the demo fails.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
@@ -21,29 +21,30 @@
     /// The HTTP client can't be set up.
     #[display("{_0}")]
     Client(reqwest::Error),
-    /// The store.
+    /// The store can't be read or written.
     #[display("{_0}")]
     Store(store::Error),
-    /// Something went otherwise than it must.
+    /// A result isn't the expected one.
     #[from(ignore)]
-    #[display("demo: {what}")]
+    #[display("demo: {message}")]
     #[error(ignore)]
-    Wrong {
-        /// What was seen.
-        what: String,
+    Unexpected {
+        /// What was expected or seen.
+        message: String,
     },
 }
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 12;
+/// Deadline of each request, and the deadline that the edit sets in the document.
 const DEADLINE: time::Duration = time::Duration::from_secs(2);
-/// Longest wait for an edit to be in force.
-const PATIENCE: time::Duration = time::Duration::from_secs(15);
+/// Time limit for the edit to be in force on all VMs.
+const EDIT_TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
 /// Runs the demo and prints what happens.
 ///
 /// # Errors
-/// The first thing that doesn't hold.
+/// The first step that fails.
 pub async fn run() -> Result<(), Error> {
     println!(
         "Starting a platform, {} upstreams and 3 VMs on loopback ...",
@@ -63,7 +64,7 @@
     search(&site, &caller).await?;
     register(&site, &caller).await?;
     edit(&site).await?;
-    println!("\nAll of it holds.");
+    println!("\nAll steps succeeded.");
     Ok(())
 }
 
@@ -73,13 +74,13 @@
     let service = site.service(SERVICE);
     let sample = caller.search(service.id(), &query, DEADLINE).await;
     if let Some(violation) = check::search(&service.layout, &query, &sample).first() {
-        return wrong(violation.to_string());
+        return unexpected(violation.to_string());
     }
-    let body = answered(&sample)?;
+    let body = expect_ok(&sample)?;
     let coverage = &body["coverage"];
     println!(
-        "   asked {}, request {}",
-        name(sample.vm.as_ref()),
+        "   answered by {}, request {}",
+        vm_name(sample.vm.as_ref()),
         body["request_id"]
     );
     println!(
@@ -92,7 +93,9 @@
     );
     println!("   best hit: {}", body["hits"][0]);
     if coverage["complete"] != true {
-        return wrong(format!("the answer isn't complete: {coverage}"));
+        return unexpected(format!(
+            "the answer isn't complete, its coverage is {coverage}"
+        ));
     }
     Ok(())
 }
@@ -104,28 +107,30 @@
     let first = caller
         .register(service.id(), "sheet-1187", &record, DEADLINE, None)
         .await;
-    let body = answered(&first)?;
+    let body = expect_ok(&first)?;
     println!(
         "   {}: {} {}",
-        name(first.vm.as_ref()),
+        vm_name(first.vm.as_ref()),
         body["outcome"],
         body["result"]
     );
-    let but = first.vm.as_ref();
+    let exclude = first.vm.as_ref();
     let second = caller
-        .register(service.id(), "sheet-1187", &record, DEADLINE, but)
+        .register(service.id(), "sheet-1187", &record, DEADLINE, exclude)
         .await;
-    let repeat = answered(&second)?;
+    let repeat = expect_ok(&second)?;
     println!(
         "   {}: {} {}",
-        name(second.vm.as_ref()),
+        vm_name(second.vm.as_ref()),
         repeat["outcome"],
         repeat["result"]
     );
     let runs = service.runs().len();
-    println!("   upstreams ran it {runs} time(s)");
+    println!("   times run by upstreams: {runs}");
     if runs != 1 || body["result"] != repeat["result"] {
-        return wrong(format!("it ran {runs} times: {body}, then {repeat}"));
+        return unexpected(format!(
+            "the registration ran {runs} times, with the replies {body} and {repeat}"
+        ));
     }
     Ok(())
 }
@@ -146,23 +151,24 @@
         .put(&key, text.into(), store::Condition::Version(before.version))
         .await?;
     println!("   deadline_ms: 1000 -> {}", DEADLINE.as_millis());
-    let until = tokio::time::Instant::now() + PATIENCE;
-    let mut seen = serde_json::Value::Null;
-    while tokio::time::Instant::now() < until {
-        seen = status(&store, service.id()).await.unwrap_or_default();
-        let in_force = seen["generation"] == 2 && seen["in_force"] == seen["vms"];
-        if in_force && seen["vms"] == site.nodes.len() {
+    let timeout_at = tokio::time::Instant::now() + EDIT_TIMEOUT;
+    let mut last_status = serde_json::Value::Null;
+    while tokio::time::Instant::now() < timeout_at {
+        last_status = status(&store, service.id()).await.unwrap_or_default();
+        let in_force =
+            last_status["generation"] == 2 && last_status["in_force"] == last_status["vms"];
+        if in_force && last_status["vms"] == site.nodes.len() {
             println!(
                 "   status: generation 2 in force at {} of {} VMs",
-                seen["in_force"], seen["vms"]
+                last_status["in_force"], last_status["vms"]
             );
             return Ok(());
         }
         tokio::time::sleep(time::Duration::from_millis(100)).await;
     }
-    wrong(format!(
-        "the edit isn't in force after {} s: {seen}",
-        PATIENCE.as_secs()
+    unexpected(format!(
+        "the edit isn't in force on all VMs after {} s; last status: {last_status}",
+        EDIT_TIMEOUT.as_secs()
     ))
 }
 
@@ -171,17 +177,18 @@
     serde_json::from_slice(&object.body).ok()
 }
 
-fn answered(sample: &load::Sample) -> Result<&serde_json::Value, Error> {
+/// Returns the body of a reply with status 200; any other outcome is an error.
+fn expect_ok(sample: &load::Sample) -> Result<&serde_json::Value, Error> {
     match &sample.reply {
         Ok(reply) if reply.status == 200 => Ok(&reply.body),
-        other => wrong(format!("no answer: {other:?}")),
+        other => unexpected(format!("expected a reply with status 200, got {other:?}")),
     }
 }
 
-fn name(vm: Option<&ids::Vm>) -> String {
+fn vm_name(vm: Option<&ids::Vm>) -> String {
     vm.map_or("no VM".to_owned(), ToString::to_string)
 }
 
-fn wrong<T>(what: String) -> Result<T, Error> {
-    Err(Error::Wrong { what })
+fn unexpected<T>(message: String) -> Result<T, Error> {
+    Err(Error::Unexpected { message })
 }
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -1,4 +1,4 @@
-//! Load on a site that `scripts/site` runs as processes of its own.
+//! Sends load to a site that `scripts/site` runs as separate processes.
 
 use std::collections;
 use std::fmt;
@@ -17,47 +17,47 @@
 use crate::measure::tally;
 use crate::site;
 
-/// What is sent, and where to.
+/// Configuration of a load run.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The site.
+    /// Site to send requests to.
     pub site: site::Name,
-    /// Its service.
+    /// Service of the site.
     pub service: ids::Service,
-    /// Requests a second on average.
+    /// Average number of requests per second.
     pub rate: rate::PerSecond,
-    /// For how long.
+    /// Duration of the load.
     pub span: time::Duration,
-    /// Registrations instead of searches.
+    /// Sends registrations instead of searches.
     pub records: bool,
 }
 
-/// Why load can't be put on a site.
+/// Reasons why load can't be sent to a site.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
     /// The HTTP client can't be set up.
     #[display("{_0}")]
     Client(reqwest::Error),
-    /// The layout can't be read.
+    /// The layout can't be read from the store.
     #[display("{_0}; is the site running? see scripts/site")]
     Store(store::Error),
-    /// The store's client can't be set up.
+    /// The metrics of the store's client can't be set up.
     #[display("{_0}")]
     Metrics(metrics::Error),
-    /// The layout isn't one.
-    #[display("the layout can't be read: {_0}")]
+    /// The stored layout can't be parsed.
+    #[display("the stored layout is invalid: {_0}")]
     Layout(serde_json::Error),
 }
 
-/// What came back.
+/// Figures and violations of a load run.
 #[derive(Debug)]
 pub struct Report {
     outcome: outcome::Outcome,
 }
 
 impl Report {
-    /// Whether no promise was seen broken.
+    /// Returns whether no promise was broken.
     pub fn is_sound(&self) -> bool {
         self.outcome.violations.is_empty()
     }
@@ -78,13 +78,13 @@
 
 /// Deadline of each request.
 const DEADLINE: time::Duration = time::Duration::from_secs(2);
-/// Wait for the balancer's first round.
-const FIRST_ROUND: time::Duration = time::Duration::from_millis(500);
+/// Wait for the balancer to finish its first round of probes.
+const FIRST_PROBE_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// Sends requests and sums up what comes back.
+/// Sends requests and summarizes the replies.
 ///
 /// # Errors
-/// Where the site's layout can't be had.
+/// If a client can't be set up or the service's layout can't be read.
 pub async fn run(config: &Config) -> Result<Report, Error> {
     let meter = metrics::Metrics::new()?.meter();
     let store = store::Client::new(config.site.platform_url(), Clock::start(), &meter)?;
@@ -96,7 +96,7 @@
         let vm = site::parse_id(format!("{}-vm-{number}", config.site));
         balancer.add(&vm, callers, operators);
     }
-    tokio::time::sleep(FIRST_ROUND).await;
+    tokio::time::sleep(FIRST_PROBE_DELAY).await;
     let caller = load::Caller::through(balancer)?;
     let outcome = match config.records {
         false => searches(config, &caller, &layout).await,
@@ -122,13 +122,13 @@
     for (query, sample) in samples.await {
         tally.add(layout, &query, &sample);
     }
-    // The upstreams' counts aren't at hand, so there is no figure of extra load.
+    // The extra load can't be computed without the upstreams' counts.
     let mut outcome = tally.outcome(0);
     outcome.figures.remove("extra_load_share");
     outcome
 }
 
-/// Promise of [`records`]: an answer or a refusal comes back.
+/// The promise that [`records`] checks: every request gets an answer or a refusal.
 const ANSWERED: &str = crate::measure::check::ANSWERED;
 
 async fn records(config: &Config, caller: &load::Caller) -> outcome::Outcome {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the platform and of upstreams, and the demo and measurements
-//! that run against them. Nothing here is part of a deployment.
+//! Stand-ins for the platform and for upstreams, and the demo and measurements that run
+//! against them. Nothing here is part of a deployment.
 
 pub mod demo;
 pub mod drive;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the platform and of upstreams, with the demo and the
-//! measurements that run against them.
+//! Command line of the stand-ins for the platform and for upstreams, the demo and the
+//! measurements.
 
 mod args;
 
@@ -11,18 +11,18 @@
 use geraniumgauge_standin::platform;
 use geraniumgauge_standin::site;
 
-/// The command line is wrong.
-const USAGE: u8 = 2;
+/// Exit status for a wrong command line.
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> process::ExitCode {
-    let order = match args::read(std::env::args_os().skip(1).collect()) {
-        Ok(order) => order,
+    let command = match args::parse(std::env::args_os().skip(1).collect()) {
+        Ok(command) => command,
         Err(error) => {
             eprintln!("geraniumgauge-standin: {error}\n\n{}", args::USAGE);
-            return USAGE.into();
+            return EXIT_USAGE.into();
         }
     };
-    logs();
+    init_logging();
     let runtime = match tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
@@ -30,14 +30,14 @@
         Ok(runtime) => runtime,
         Err(error) => return fail(&error),
     };
-    let code = runtime.block_on(obey(order));
+    let code = runtime.block_on(execute(command));
     runtime.shutdown_background();
     code
 }
 
-/// Warnings go to standard error. Set up before rocket, which would install a
-/// logger of its own.
-fn logs() {
+/// Logs warnings to standard error. Must run before rocket starts, which would otherwise
+/// install its own logger.
+fn init_logging() {
     let warnings = fern::Dispatch::new()
         .level(log::LevelFilter::Warn)
         .level_for("rocket", log::LevelFilter::Error)
@@ -45,20 +45,20 @@
     let _ = warnings.apply();
 }
 
-async fn obey(order: args::Order) -> process::ExitCode {
-    match order {
-        args::Order::Help => {
+async fn execute(command: args::Command) -> process::ExitCode {
+    match command {
+        args::Command::Help => {
             println!("{}", args::USAGE);
             process::ExitCode::SUCCESS
         }
-        args::Order::Platform { listen } => match platform::Server::start(listen).await {
+        args::Command::Platform { listen } => match platform::Server::start(listen).await {
             Ok(server) => {
-                println!("platform listens on {}", server.url());
+                println!("the platform listens on {}", server.url());
                 std::future::pending().await
             }
             Err(error) => fail(&error),
         },
-        args::Order::Upstream {
+        args::Command::Upstream {
             site,
             platform,
             data_centres,
@@ -69,7 +69,7 @@
                 Ok(services) => {
                     let count: usize = services.iter().map(|s| s.upstreams.len()).sum();
                     println!(
-                        "{count} upstreams of {} services of {site} listen",
+                        "{count} upstreams of {} services of {site} are listening",
                         services.len()
                     );
                     std::future::pending().await
@@ -77,7 +77,7 @@
                 Err(error) => fail(&error),
             }
         }
-        args::Order::Load(config) => match drive::run(&config).await {
+        args::Command::Load(config) => match drive::run(&config).await {
             Ok(report) => {
                 print!("{report}");
                 if report.is_sound() {
@@ -88,30 +88,31 @@
             }
             Err(error) => fail(&error),
         },
-        args::Order::Demo => match demo::run().await {
+        args::Command::Demo => match demo::run().await {
             Ok(()) => process::ExitCode::SUCCESS,
             Err(error) => fail(&error),
         },
-        args::Order::List => {
+        args::Command::List => {
             for scenario in measure::SCENARIOS {
                 println!("{:<16}{}", scenario.name, scenario.about);
             }
             process::ExitCode::SUCCESS
         }
-        args::Order::Measure {
+        args::Command::Measure {
             names,
             context,
             json,
-        } => measured(&names, context, json).await,
+        } => measure(&names, context, json).await,
     }
 }
 
-async fn measured(names: &[String], context: measure::Context, json: bool) -> process::ExitCode {
+/// Runs the scenarios and prints their reports; fails if a promise was broken.
+async fn measure(names: &[String], context: measure::Context, json: bool) -> process::ExitCode {
     let mut broken = false;
     for name in names {
         let Some(scenario) = measure::find(name) else {
-            eprintln!("geraniumgauge-standin: no scenario {name}; see: measure list");
-            return USAGE.into();
+            eprintln!("geraniumgauge-standin: {name:?} is not a scenario; see `measure list`");
+            return EXIT_USAGE.into();
         };
         let report = match measure::run(scenario, context).await {
             Ok(report) => report,
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,8 +1,8 @@
-//! A small HTTP server with a say over each connection.
+//! A small HTTP server that gives its handler control of each connection.
 //!
-//! Rocket hides connections, and the faults that matter most live there: a
-//! connection that goes silent, one that breaks while a request runs, a limit
-//! on how many there are. So the stand-ins use hyper, which rocket is built on.
+//! Rocket hides connections, but the most important faults affect them: a connection that
+//! goes silent, one that breaks while a request runs, a limit on their number. So the
+//! stand-ins use hyper, which rocket is built on.
 
 use std::io;
 use std::net;
@@ -16,56 +16,56 @@
 use hyper_util::rt;
 use tokio_util::sync::CancellationToken;
 
-/// Largest request body read, in bytes.
-const MAX_BODY: usize = 4 << 20;
+/// Maximum size of a request body; larger ones are refused with 413.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// A request with its body read.
+/// A request with its complete body.
 pub type Request = hyper::Request<Bytes>;
-/// An answer.
+/// A response with its complete body.
 pub type Response = hyper::Response<http_body_util::Full<Bytes>>;
 
-/// What becomes of a request.
+/// How the server reacts to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// It is answered.
+    /// Sends the response.
     Answer(Response),
-    /// It is never answered, and its connection stays open.
+    /// Sends nothing and leaves the connection open.
     Silence,
-    /// Its connection is closed without an answer.
+    /// Closes the connection without a response.
     Close,
 }
 
-/// Decides about connections and requests.
+/// Accepts connections and answers requests.
 #[async_trait::async_trait]
 pub trait Handler: Send + Sync + 'static {
-    /// What a connection carries from its start to its end.
+    /// State of a connection, dropped when the connection ends.
     type Connection: Send + Sync + 'static;
 
-    /// Takes a new connection, or none to close it at once.
+    /// Accepts a new connection, or returns `None` to close it at once.
     async fn connect(&self) -> Option<Self::Connection>;
 
-    /// Answers one request.
+    /// Answers a request.
     async fn answer(&self, connection: &Self::Connection, request: Request) -> Reply;
 }
 
-/// Binds `address`, retrying for a while: the port may still be held by the
-/// life before a restart.
+/// Binds `address`, retrying for about a second: after a restart, the previous server may
+/// still hold the port.
 ///
 /// # Errors
-/// Where the address can't be bound.
+/// If the address can't be bound.
 pub async fn bind(address: net::SocketAddr) -> io::Result<tokio::net::TcpListener> {
-    const TRIES: u32 = 50;
-    const PAUSE: time::Duration = time::Duration::from_millis(20);
-    for _ in 1..TRIES {
+    const MAX_ATTEMPTS: u32 = 50;
+    const RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
+    for _ in 1..MAX_ATTEMPTS {
         if let Ok(listener) = tokio::net::TcpListener::bind(address).await {
             return Ok(listener);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     tokio::net::TcpListener::bind(address).await
 }
 
-/// Serves until `stop` is cancelled; then every connection is dropped at once.
+/// Serves until `stop` is cancelled, then drops every connection at once.
 pub async fn run<H: Handler>(
     listener: tokio::net::TcpListener,
     handler: sync::Arc<H>,
@@ -110,7 +110,7 @@
     request: hyper::Request<body::Incoming>,
 ) -> Result<Response, io::Error> {
     let (head, body) = request.into_parts();
-    let limited = http_body_util::Limited::new(body, MAX_BODY);
+    let limited = http_body_util::Limited::new(body, MAX_BODY_BYTES);
     let Ok(body) = limited.collect().await else {
         return Ok(text(413, "the body is too large"));
     };
@@ -122,12 +122,12 @@
     }
 }
 
-/// A text answer.
+/// Returns a plain text response.
 pub fn text(status: u16, body: impl Into<String>) -> Response {
     build(status, "text/plain", Bytes::from(body.into()))
 }
 
-/// A JSON answer.
+/// Returns a JSON response.
 pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
     match serde_json::to_vec(body) {
         Ok(body) => build(status, "application/json", Bytes::from(body)),
@@ -135,31 +135,31 @@
     }
 }
 
-/// An answer of any kind.
-pub fn build(status: u16, kind: &'static str, body: Bytes) -> Response {
+/// Returns a response with the given content type.
+pub fn build(status: u16, content_type: &'static str, body: Bytes) -> Response {
     let mut response = hyper::Response::new(http_body_util::Full::new(body));
     let code = hyper::StatusCode::from_u16(status);
     *response.status_mut() = code.unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
-    let kind = hyper::header::HeaderValue::from_static(kind);
+    let content_type = hyper::header::HeaderValue::from_static(content_type);
     response
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
+        .insert(hyper::header::CONTENT_TYPE, content_type);
     response
 }
 
-/// Sets a header; a value that can't be one is left out.
+/// Sets a header unless the value isn't a valid header value.
 pub fn set(response: &mut Response, name: &'static str, value: impl ToString) {
     if let Ok(value) = value.to_string().parse() {
         response.headers_mut().insert(name, value);
     }
 }
 
-/// A header of the request as the type wanted.
+/// Returns a header of the request, or `None` if it is missing or can't be parsed.
 pub fn header<T: std::str::FromStr>(request: &Request, name: &str) -> Option<T> {
     request.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// A value of the request's query string, percent-decoded where needed.
+/// Returns the percent-decoded value of a parameter of the query string.
 pub fn query(request: &Request, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     let mut found = pairs.filter_map(|pair| pair.split_once('='));
@@ -167,7 +167,7 @@
     Some(decode(value))
 }
 
-/// Undoes percent-encoding; what isn't encoded stays as it is.
+/// Decodes percent-encoded text; other characters stay as they are.
 pub fn decode(text: &str) -> String {
     percent_encoding::percent_decode_str(text)
         .decode_utf8_lossy()
