--- a/crates/standin/tests/home.rs
+++ b/crates/standin/tests/home.rs
@@ -1,8 +1,8 @@
-//! A VM's homes against a stand-in upstream over real connections.
+//! Tests of a VM's homes with a stand-in upstream over real connections.
 #![expect(
     clippy::unwrap_used,
     clippy::expect_used,
-    reason = "the linter's leave for tests doesn't cover helpers of integration tests"
+    reason = "clippy allows these in tests, but not in helpers of integration tests"
 )]
 
 use std::sync;
@@ -19,19 +19,21 @@
 use geraniumgauge::timer;
 use geraniumgauge_standin::upstream;
 
-const WAIT: time::Duration = time::Duration::from_secs(20);
+/// Time limit for the next frame with replies.
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Collects frames in place of a mesh.
-struct Post(tokio::sync::mpsc::UnboundedSender<message::Body>);
+/// A mesh sender that passes frames to the test.
+struct FrameSender(tokio::sync::mpsc::UnboundedSender<message::Body>);
 
-impl mesh::Sender for Post {
+impl mesh::Sender for FrameSender {
     fn send(&self, _: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         self.0.send(body).unwrap();
         Ok(())
     }
 }
 
-struct Bench {
+/// A stand-in upstream and the home service that calls it.
+struct World {
     server: upstream::Server,
     homes: home::Service,
     frames: tokio::sync::mpsc::UnboundedReceiver<message::Body>,
@@ -59,7 +61,7 @@
     }
 }
 
-async fn bench(slots: u32) -> Bench {
+async fn start(slots: u32) -> World {
     let config = upstream::Config {
         id: "up-1".parse().unwrap(),
         address: "127.0.0.1:0".parse().unwrap(),
@@ -98,12 +100,12 @@
         },
         catalog,
         view,
-        sync::Arc::new(Post(sender)),
+        sync::Arc::new(FrameSender(sender)),
         geraniumgauge::time::Clock::start(),
         timer::Service::new(stop.clone()),
         &metrics::Metrics::new().unwrap().meter(),
     );
-    Bench {
+    World {
         server,
         homes,
         frames,
@@ -114,7 +116,8 @@
     }
 }
 
-impl Bench {
+impl World {
+    /// Sends a batch with one call for each attempt number.
     fn call(&self, attempts: std::ops::Range<u64>, kind: message::Kind) {
         let calls = attempts.map(|attempt| message::Call {
             attempt,
@@ -135,16 +138,16 @@
         self.homes.batch(&self.vm, batch);
     }
 
-    /// Waits for this many replies in all, each to a call of its own.
-    async fn replies(&mut self, count: usize) {
+    /// Waits until `count` replies have been received, at most one for each call.
+    async fn receive(&mut self, count: usize) {
         while self.replies.len() < count {
-            let frame = tokio::time::timeout(WAIT, self.frames.recv()).await;
+            let frame = tokio::time::timeout(REPLY_TIMEOUT, self.frames.recv()).await;
             let Some(message::Body::Replies(frame)) = frame.expect("a reply is missing") else {
                 continue;
             };
             for reply in frame.replies {
-                let doubled = self.replies.insert(reply.attempt, reply.outcome());
-                assert_eq!(doubled, None, "two replies to {}", reply.attempt);
+                let previous = self.replies.insert(reply.attempt, reply.outcome());
+                assert_eq!(previous, None, "two replies to {}", reply.attempt);
             }
         }
     }
@@ -156,50 +159,50 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_fill_the_slots_and_overrun_neither_slots_nor_connections() {
-    let mut bench = bench(2).await;
-    bench.call(0..200, message::Kind::First);
-    bench.replies(200).await;
-    assert_eq!(bench.count(message::Outcome::Hits), 200);
-    let counts = bench.server.state().counts();
+async fn calls_fill_the_slots_and_exceed_neither_slots_nor_connections() {
+    let mut world = start(2).await;
+    world.call(0..200, message::Kind::First);
+    world.receive(200).await;
+    assert_eq!(world.count(message::Outcome::Hits), 200);
+    let counts = world.server.state().counts();
     assert_eq!((counts.shed, counts.running_peak), (0, 2));
     assert!(counts.connections_peak <= 7, "{counts:?}");
 }
 
-/// Story: every open connection goes silent at once, while new ones work. Calls
-/// under way are lost to it; those after them must be answered.
+/// All open connections go silent at the same time, while new ones work. Only the calls
+/// in flight, at most one per slot, may be lost; later ones must be answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_are_answered_after_the_connections_went_silent() {
-    let mut bench = bench(2).await;
-    bench.call(0..50, message::Kind::First);
-    bench.replies(50).await;
-    let state = bench.server.state();
+    let mut world = start(2).await;
+    world.call(0..50, message::Kind::First);
+    world.receive(50).await;
+    let state = world.server.state();
     state.set_faults(|faults| faults.silence_open = true);
-    bench.call(50..60, message::Kind::First);
-    bench.replies(60).await;
-    let hits = bench.count(message::Outcome::Hits);
-    assert!(hits >= 58, "{:?}", bench.replies);
-    assert_eq!(bench.count(message::Outcome::Silent), 60 - hits);
+    world.call(50..60, message::Kind::First);
+    world.receive(60).await;
+    let hits = world.count(message::Outcome::Hits);
+    assert!(hits >= 58, "{:?}", world.replies);
+    assert_eq!(world.count(message::Outcome::Silent), 60 - hits);
 }
 
-/// Story: a caller's query is answered from elsewhere and its calls here are
-/// cancelled. They must not go on holding slots at the upstream.
+/// A query is answered from elsewhere and its calls here are cancelled. They must not
+/// continue to hold slots at the upstream.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelled_calls_are_stopped_at_the_upstream() {
-    let mut bench = bench(2).await;
-    let state = bench.server.state();
+    let mut world = start(2).await;
+    let state = world.server.state();
     state.set_faults(|faults| faults.delay_ms = 60_000);
-    bench.call(0..4, message::Kind::First);
-    while bench.server.state().running() < 2 {
+    world.call(0..4, message::Kind::First);
+    while world.server.state().running() < 2 {
         tokio::task::yield_now().await;
     }
     let attempts = (0..4).collect();
-    bench.homes.cancel(&bench.vm, message::Cancel { attempts });
-    bench.replies(4).await;
-    assert_eq!(bench.count(message::Outcome::Cancelled), 4);
-    while bench.server.state().running() > 0 {
+    world.homes.cancel(&world.vm, message::Cancel { attempts });
+    world.receive(4).await;
+    assert_eq!(world.count(message::Outcome::Cancelled), 4);
+    while world.server.state().running() > 0 {
         tokio::task::yield_now().await;
     }
-    bench.homes.leave();
-    bench.homes.drained().await;
+    world.homes.leave();
+    world.homes.drained().await;
 }
