--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -91,7 +91,7 @@
     let object = store.get(&layout::key(&config.service)).await?;
     let layout: layout::Layout = serde_json::from_slice(&object.body)?;
     let balancer = site::Balancer::start();
-    for number in 0..site::VMS {
+    for number in 0..site::VM_COUNT {
         let (callers, operators) = config.site.vm_addresses(number);
         let vm = site::parse_id(format!("{}-vm-{number}", config.site));
         balancer.add(&vm, callers, operators);
--- a/crates/standin/src/measure/crash_query.rs
+++ b/crates/standin/src/measure/crash_query.rs
@@ -136,7 +136,7 @@
     let query = serde_json::json!({ "text": "crash-the-upstream" });
     let mut answered = 0;
     for _ in 0..RESENDS {
-        let sends = (0..site::VMS).map(|_| caller.search(&id, &query, searches::DEADLINE));
+        let sends = (0..site::VM_COUNT).map(|_| caller.search(&id, &query, searches::DEADLINE));
         let round = future::join_all(sends);
         let samples = tokio::join!(round, tokio::time::sleep(BETWEEN)).0;
         answered += samples.iter().filter(|sample| sample.answered()).count();
--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -88,7 +88,7 @@
         let span = time::Duration::from_secs(10);
         clock::sleep(span).await;
         let after = self.site.platform.state().counts();
-        let per_vm = |count: u64| count as f64 / span.as_secs_f64() / f64::from(site::VMS);
+        let per_vm = |count: u64| count as f64 / span.as_secs_f64() / f64::from(site::VM_COUNT);
         let reads =
             |counts: &crate::platform::Counts| counts.get + counts.list + counts.watch + counts.vms;
         let (reads, writes) = (reads(&after) - reads(&before), after.put - before.put);
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -76,7 +76,7 @@
         let mut config = site::Config::new(vec![spec]);
         config.policy = self.policy;
         config.seed = self.seed;
-        config.vms = usize::from(site::VMS);
+        config.vms = usize::from(site::VM_COUNT);
         Ok(site::Site::start(config).await?)
     }
 }
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -47,7 +47,7 @@
     }
     let mut out = tally.outcome(arrived);
     out.absorb("", cut);
-    out.figure("stops", f64::from(site::VMS + 3));
+    out.figure("stops", f64::from(site::VM_COUNT + 3));
     out.figure("stops_took_ms", took.as_secs_f64() * 1e3);
     Ok(out)
 }
@@ -88,7 +88,7 @@
     let start = tokio::time::Instant::now();
     replace(site, 1).await?;
     replace(site, 2).await?;
-    for _ in 0..site::VMS {
+    for _ in 0..site::VM_COUNT {
         replace(site, 1).await?;
     }
     Ok(start.elapsed())
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -17,7 +17,7 @@
 pub use service::parse_id;
 pub use service::shard_id;
 pub use sites::Name;
-pub use sites::VMS;
+pub use sites::VM_COUNT;
 
 use std::io;
 use std::net;
--- a/crates/standin/src/site/sites.rs
+++ b/crates/standin/src/site/sites.rs
@@ -42,7 +42,7 @@
 }
 
 /// Number of VMs of a site that `scripts/site` runs.
-pub const VMS: u16 = 8;
+pub const VM_COUNT: u16 = 8;
 /// Offset from the platform's port to the first VM's port for callers.
 const CALLERS_PORT_OFFSET: u16 = 10;
 /// Offset from the platform's port to the first VM's port for operators.
