--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -198,7 +198,7 @@
         let started = clock::Instant::now();
         self.site.add().await?;
         self.observer.follow(&self.site);
-        match self.site.ready().await {
+        match self.site.wait_until_ready().await {
             Ok(()) => {
                 let took = started.elapsed().as_secs_f64() * 1000.0;
                 self.outcome.figure("ready_in_outage_ms", took);
@@ -237,7 +237,7 @@
         let generation = self.accepted().map_or(0, |record| record.generation.0);
         self.site.platform.state().objects(|objects| *objects = old);
         self.site.add().await?;
-        self.site.ready().await?;
+        self.site.wait_until_ready().await?;
         self.observer.follow(&self.site);
         clock::sleep(4 * QUIET).await;
         let lowest = self.observer.lowest();
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -98,7 +98,7 @@
     for _ in 0..count {
         site.add().await?;
     }
-    site.ready().await?;
+    site.wait_until_ready().await?;
     let stopping: Vec<_> = (0..count).map(|_| site.stop(0)).collect();
     future::join_all(stopping).await;
     Ok(())
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -215,7 +215,7 @@
     seed: u64,
     out: &mut outcome::Outcome,
 ) -> Result<(), measure::Error> {
-    site.ready().await?;
+    site.wait_until_ready().await?;
     let service = site.service(SERVICE);
     let id = service.id().clone();
     let found = search(caller.clone(), id, AFTERWARDS_RATE, AFTERWARDS, seed + 1).await;
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -133,7 +133,7 @@
         for _ in 0..site.config.vms {
             site.add().await?;
         }
-        site.ready().await?;
+        site.wait_until_ready().await?;
         Ok(site)
     }
 
@@ -155,7 +155,7 @@
     ///
     /// # Errors
     /// If a VM isn't ready in time.
-    pub async fn ready(&self) -> Result<(), Error> {
+    pub async fn wait_until_ready(&self) -> Result<(), Error> {
         let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
         for node in &self.nodes {
             while !self.balancer.is_ready(node.vm()) {
