--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -90,7 +90,7 @@
         let duration = time::Duration::from_secs(10);
         clock::sleep(duration).await;
         let after = self.site.platform.state().counts();
-        let per_vm = |count: u64| count as f64 / duration.as_secs_f64() / f64::from(site::VMS);
+        let per_vm = |count: u64| count as f64 / duration.as_secs_f64() / f64::from(site::VM_COUNT);
         let reads =
             |counts: &crate::platform::Counts| counts.get + counts.list + counts.watch + counts.vms;
         let (reads, writes) = (reads(&after) - reads(&before), after.put - before.put);
@@ -205,7 +205,7 @@
         let started = clock::Instant::now();
         self.site.add().await?;
         self.observer.set_targets(&self.site);
-        match self.site.ready().await {
+        match self.site.wait_until_ready().await {
             Ok(()) => {
                 let took = started.elapsed().as_secs_f64() * 1000.0;
                 self.outcome.figure("ready_in_outage_ms", took);
@@ -245,7 +245,7 @@
         let generation = self.accepted().map_or(0, |record| record.generation.0);
         self.site.platform.state().objects(|objects| *objects = old);
         self.site.add().await?;
-        self.site.ready().await?;
+        self.site.wait_until_ready().await?;
         self.observer.set_targets(&self.site);
         clock::sleep(4 * CHECK_DELAY).await;
         let lowest = self.observer.lowest();
