--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -50,7 +50,7 @@
     }
     let mut out = tally.outcome(arrived);
     out.absorb("", refusals);
-    out.figure("stops", f64::from(site::VMS + 3));
+    out.figure("stops", f64::from(site::VM_COUNT + 3));
     out.figure("stops_took_ms", took.as_secs_f64() * 1e3);
     Ok(out)
 }
@@ -91,7 +91,7 @@
     let start = tokio::time::Instant::now();
     replace(site, 1).await?;
     replace(site, 2).await?;
-    for _ in 0..site::VMS {
+    for _ in 0..site::VM_COUNT {
         replace(site, 1).await?;
     }
     Ok(start.elapsed())
@@ -101,7 +101,7 @@
     for _ in 0..count {
         site.add().await?;
     }
-    site.ready().await?;
+    site.wait_until_ready().await?;
     let stopping: Vec<_> = (0..count).map(|_| site.stop(0)).collect();
     future::join_all(stopping).await;
     Ok(())
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -219,7 +219,7 @@
     seed: u64,
     out: &mut outcome::Outcome,
 ) -> Result<(), measure::Error> {
-    site.ready().await?;
+    site.wait_until_ready().await?;
     let service = site.service(SERVICE);
     let id = service.id().clone();
     let samples = search(
