--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -25,7 +25,7 @@
     let wait = invocation.value::<u64>("--wait")?.unwrap_or(DEFAULT_WAIT_S);
     let file = invocation.argument(1).to_owned();
     let text = check::read(&file)?;
-    let document = document::parse(&file, &text).map_err(failure::Failure::unwritten)?;
+    let document = document::parse(&file, &text).map_err(failure::Failure::from_findings)?;
     let store = invocation.store()?;
     let edit = Edit {
         service,
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -60,7 +60,8 @@
     let rows = report.indicators.iter().map(row).collect();
     let mut lines = vec![
         format!(
-            "{}: burn rates; at 1 the budget is used up exactly",
+            "{}: burn rates (share of bad events divided by the share that the objective \
+             allows); a constant rate of 1 uses up exactly the error budget",
             report.service
         ),
         table::table(&headers, rows),
@@ -71,7 +72,7 @@
     let fast = report.indicators.iter().filter(|indicator| indicator.fast);
     lines.extend(fast.map(|indicator| {
         format!(
-            "{} burns fast: over {} times the budget's rate in 5 min and 1 h; act now",
+            "{}: burn rate of at least {} both in the last 5 min and in the last hour; act now",
             indicator.name,
             slo::FAST_BURN_RATE
         )
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -12,12 +12,13 @@
     let file = invocation.argument(0);
     let text = read(file)?;
     if invocation.has("--layout") {
-        let layout = document::parse_layout(file, &text).map_err(failure::Failure::unwritten)?;
+        let layout =
+            document::parse_layout(file, &text).map_err(failure::Failure::from_findings)?;
         let (version, shards) = (layout.version, layout.shards.len());
-        println!("{file}: no findings; layout version {version} of {shards} shards");
+        println!("{file}: no findings; layout version {version} with {shards} shards");
         return Ok(());
     }
-    let document = document::parse(file, &text).map_err(failure::Failure::unwritten)?;
+    let document = document::parse(file, &text).map_err(failure::Failure::from_findings)?;
     println!("{file}: no findings; a document of team {}", document.team);
     Ok(())
 }
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -42,8 +42,9 @@
 }
 
 impl Failure {
-    /// Returns the failure for a text that was not written because of its findings.
-    pub(crate) fn unwritten(findings: Vec<finding::Finding>) -> Self {
+    /// Returns the failure for a document or a layout that was not written to the store
+    /// because of its findings.
+    pub(crate) fn from_findings(findings: Vec<finding::Finding>) -> Self {
         let consequence = "nothing was written; fix them and try again";
         Self::Findings {
             findings,
@@ -73,6 +74,9 @@
         store::Error::Unconfirmed { .. } => "run `geraniumgauge show` to see what the store holds",
         store::Error::Conflict { .. } => "read the object again and retry",
         store::Error::Missing { .. } => "check the name of the service",
-        store::Error::Refused { .. } => "the stored object is faulty; report it",
+        store::Error::Refused { .. } => {
+            "the store doesn't accept this key or content; check the name of the service and the \
+             size of the document"
+        }
     }
 }
--- a/crates/cli/src/tests/burn.rs
+++ b/crates/cli/src/tests/burn.rs
@@ -17,7 +17,10 @@
     let report = slo::Report::new(service, now, ids::Generation(1), &objectives, series);
     let text = text(&report);
     assert!(text.contains("30.00 (30/100)"), "{text}");
-    assert!(text.contains("complete burns fast"), "{text}");
+    assert!(
+        text.contains("complete: burn rate of at least 14.4"),
+        "{text}"
+    );
     assert!(
         text.contains("by reason: unreachable 40 (80 %), deadline 10 (20 %)"),
         "{text}"
--- a/crates/cli/src/tests/vms.rs
+++ b/crates/cli/src/tests/vms.rs
@@ -23,12 +23,12 @@
     let entries = entries(listed.to_vec(), Some(&reported));
     let descriptions: Vec<_> = entries
         .iter()
-        .map(|entry| describe_report(entry.reports.as_ref()))
+        .map(|entry| describe_report(entry.report.as_ref()))
         .collect();
     assert_eq!(
         descriptions,
         ["not seen by other VMs", "all in force", "no report"]
     );
-    assert_eq!(entries[2].platform, "not listed");
+    assert_eq!(entries[2].listed_state, "not listed");
     assert!(text(&entries, None, time::Wall(0)).contains("no VM has reported"));
 }
--- a/crates/cli/src/unsettled.rs
+++ b/crates/cli/src/unsettled.rs
@@ -8,7 +8,8 @@
 use crate::status;
 use crate::table;
 
-/// Lists claimed registrations whose outcome is unknown.
+/// Lists claims without a known outcome: records that a caller sent under an
+/// idempotency key and that may be running, may have run or may not have run.
 pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
     let service = invocation.service()?;
     let store = invocation.store()?;
@@ -19,7 +20,7 @@
         return Ok(());
     }
     if found.is_empty() {
-        println!("{service}: every claimed registration is settled");
+        println!("{service}: the outcome of every claim is known");
         return Ok(());
     }
     let now = time::Clock::start().wall();
@@ -31,11 +32,11 @@
             claim.upstream.to_string(),
         ]
     });
-    let headers = ["key", "request", "claimed for", "upstream"];
+    let headers = ["key", "request", "claim age", "upstream"];
     println!("{}", table::table(&headers, rows.collect()));
     println!(
-        "{} claimed, outcome unknown: ask the upstream whether the registration ran; nothing \
-         will run again under these keys",
+        "claims without a known outcome: {}; ask the upstream whether the record ran (a retry with \
+         one of these keys won't be run)",
         found.len()
     );
     Ok(())
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -117,7 +117,8 @@
     Verb {
         name: "unsettled",
         arguments: &["SERVICE"],
-        about: "List registrations that were claimed and whose outcome is unknown.",
+        about: "List claims without a known outcome: records sent under an idempotency key that may \
+                or may not have run.",
         flags: &[JSON],
         example: "geraniumgauge unsettled label-printing --json",
         run: |invocation| Box::pin(unsettled::run(invocation)),
--- a/crates/cli/src/vms.rs
+++ b/crates/cli/src/vms.rs
@@ -21,9 +21,12 @@
     data_centre: Option<ids::DataCentre>,
     address: Option<String>,
     /// State of the VM in the platform's list: `live`, `leaving` or `not listed`.
-    platform: &'static str,
-    /// Last report of the VM to the keeper; `None` if the VM isn't in the keeper's view.
-    reports: Option<document::Report>,
+    #[serde(rename = "platform")]
+    listed_state: &'static str,
+    /// The report of the VM in the list that the keeper wrote last; `None` if the VM isn't
+    /// in that list.
+    #[serde(rename = "reports")]
+    report: Option<document::Report>,
     /// Set for the keeper, which collects the reports and writes the status objects.
     keeper: bool,
 }
@@ -54,24 +57,24 @@
             vm: vm.vm.clone(),
             data_centre: Some(vm.data_centre),
             address: Some(vm.address.to_string()),
-            platform: if vm.leaving { "leaving" } else { "live" },
-            reports: None,
+            listed_state: if vm.leaving { "leaving" } else { "live" },
+            report: None,
             keeper: false,
         };
         entries.insert(vm.vm, entry);
     }
     let reports = reported.into_iter().flat_map(|reported| &reported.vms);
     for (vm, report) in reports {
-        // The platform's list lags, so the keeper may see a VM that isn't on it.
+        // The platform's list lags, so the keeper may know a VM that isn't in it.
         let entry = entries.entry(vm.clone()).or_insert_with(|| Entry {
             vm: vm.clone(),
             data_centre: None,
             address: None,
-            platform: "not listed",
-            reports: None,
+            listed_state: "not listed",
+            report: None,
             keeper: false,
         });
-        entry.reports = Some(report.clone());
+        entry.report = Some(report.clone());
         entry.keeper = reported.is_some_and(|reported| reported.keeper == *vm);
     }
     entries.into_values().collect()
@@ -88,8 +91,8 @@
                 .map(ToString::to_string)
                 .unwrap_or_default(),
             entry.address.clone().unwrap_or_default(),
-            entry.platform.to_owned(),
-            describe_report(entry.reports.as_ref()),
+            entry.listed_state.to_owned(),
+            describe_report(entry.report.as_ref()),
             if entry.keeper { "keeper" } else { "" }.to_owned(),
         ]
     });
@@ -107,14 +110,17 @@
         .filter(|entry| entry.address.is_some())
         .count();
     let Some(reported) = reported else {
-        return format!("{table}\n{listed} listed; no VM has reported: none is ready yet");
+        return format!(
+            "{table}\n{listed} VMs in the platform's list; no VM has reported: none is ready yet"
+        );
     };
     let (seen, age) = (
         reported.vms.len(),
         table::duration(now.since(reported.written)),
     );
     format!(
-        "{table}\n{listed} listed, {seen} in the view of {}, {age} ago",
+        "{table}\n{listed} VMs in the platform's list; {seen} VMs in the list that keeper {} wrote \
+         {age} ago",
         reported.keeper
     )
 }
