--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -76,7 +76,8 @@
     Field {
         path: "seeds",
         required: false,
-        doc: "Mesh addresses of VMs to join through while the platform's list is unavailable.",
+        doc: "Mesh addresses of VMs that this VM contacts to join the fleet if the platform's list \
+              of VMs is unavailable.",
         kind: jsonc::Kind::Texts {
             form: "ip:port",
             get: |settings| settings.seeds.iter().map(ToString::to_string).collect(),
@@ -134,7 +135,8 @@
     Field {
         path: "stop.grace_ms",
         required: false,
-        doc: "Time that running requests then have to finish; set it above the longest deadline.",
+        doc: "Time for running requests to finish after stop.balancer_wait_ms; set it above the \
+              longest deadline.",
         kind: jsonc::Kind::Integer {
             min: 100,
             max: 600_000,
@@ -208,8 +210,10 @@
     Field {
         path: "policy",
         required: false,
-        doc: "How the calls of a search are placed and retried; no-hedge and direct are baselines \
-              for measurements.",
+        doc: "How replicas are chosen and calls retried or hedged. full: by load, with canaries, \
+              quarantine and budgeted retries and hedges; no-hedge: the same without hedges; \
+              direct: round robin, with retries until the deadline but no hedges, canaries, \
+              quarantine or budgets. The last two are for comparison in measurements.",
         kind: jsonc::Kind::Text {
             form: "one of full, no-hedge, direct",
             get: |settings| Some(settings.policy.to_string()),
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -33,16 +33,16 @@
     pub(crate) mesh: net::SocketAddr,
     /// Base URL of the platform's object API, without a trailing slash.
     pub(crate) store: String,
-    /// Mesh addresses of VMs to join through while the platform's list of VMs is
-    /// unavailable.
+    /// Mesh addresses of VMs that this VM contacts to join the fleet if the platform's
+    /// list of VMs is unavailable.
     pub(crate) seeds: Vec<net::SocketAddr>,
     /// Logging settings.
     pub(crate) log: Log,
-    /// Waits during a graceful stop.
+    /// Times of a graceful stop.
     pub(crate) stop: Stop,
     /// Limits above which input is refused.
     pub(crate) limits: Limits,
-    /// Policy by which the calls of a search are placed and retried.
+    /// How replicas are chosen for the calls of a search, and calls retried or hedged.
     pub(crate) policy: query::Policy,
 }
 
@@ -55,7 +55,7 @@
     pub(crate) file: Option<path::PathBuf>,
 }
 
-/// Waits during a graceful stop.
+/// Times of a graceful stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Stop {
     /// Time from reporting not ready until new requests are refused, in which the
@@ -147,8 +147,9 @@
     }
 
     /// Adds a finding for listeners that share an address, and for a mesh address
-    /// that other VMs can't connect to. Of two listeners on one address the second
-    /// would fail to bind, or callers would reach the operators' pages.
+    /// that other VMs can't connect to. If two listeners have the same address, the
+    /// second can't be bound and the VM doesn't start. Some systems bind both if one
+    /// has a wildcard address; callers may then get the pages for operators.
     fn check_addresses(&self, reading: &mut jsonc::Reading) {
         let listeners = [
             ("callers", self.callers),
@@ -199,7 +200,8 @@
 /// Bytes reserved in a frame for everything but the caller's body.
 const FRAME_OVERHEAD_BYTES: u64 = 64 << 10;
 
-/// Reports whether sockets can't be bound to both addresses.
+/// Returns whether two listeners with these addresses conflict: the same port, and the
+/// same IP address or a wildcard.
 fn overlap(a: net::SocketAddr, b: net::SocketAddr) -> bool {
     let any = a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() == b.port() && (any || a.ip() == b.ip())
--- a/crates/daemon/src/tests/settings.rs
+++ b/crates/daemon/src/tests/settings.rs
@@ -18,9 +18,10 @@
     found.iter().map(ToString::to_string).collect()
 }
 
-/// An operator copies a listener's line and forgets to change the port: one
-/// listener would fail to bind, or callers would be served the operators' pages.
-/// The check must report this before anything is bound.
+/// An operator copies a listener's line and forgets to change the port. The second
+/// listener can't be bound, or, where the system binds a wildcard address as well,
+/// callers get the pages for operators. The check must report this before anything is
+/// bound.
 #[test]
 fn listeners_on_one_address_are_findings() {
     let text = EXAMPLE.replace("127.0.0.1:7201", "0.0.0.0:7101");
@@ -57,8 +58,8 @@
     assert!(found[0].contains("limits.frame_bytes: a body of 4194304 B"));
 }
 
-/// Every value that the help shows must be accepted: a policy was once shown as
-/// `no-hedge` but only `NoHedge` was accepted.
+/// The help lists `no-hedge`. If the parser accepted only the variant's name `NoHedge`,
+/// an operator who follows the help would get an error.
 #[test]
 fn every_policy_in_the_help_is_accepted() {
     for policy in ["full", "no-hedge", "direct"] {
