--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -121,7 +121,7 @@
         }));
         let poller = store::Poller {
             config: store.config,
-            registrations: store.registrations,
+            registrations: store.registration_lists,
             last: None,
         };
         tokio::task::spawn_local(poller.run(service.clone(), timer.clone()));
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -62,7 +62,7 @@
     /// The configuration.
     pub config: C,
     /// The registrations, for lists.
-    pub registrations: R,
+    pub registration_lists: R,
     /// The registrations, for watches.
     pub watched: R,
     /// The directory.
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -144,7 +144,7 @@
         let state = spread::State::new(own, POLL_INTERVAL, Vec::new(), LINK, 1, clock.now());
         let store = spread::Store {
             config: Config,
-            registrations: registrations.clone(),
+            registration_lists: registrations.clone(),
             watched: registrations,
             pages: Pages,
         };
