--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -130,7 +130,12 @@
             store.pages,
             tasks,
         ));
-        let watch = store::watch(service.clone(), store.watched, rank_changes, timer.clone());
+        let watch = store::watch(
+            service.clone(),
+            store.registration_watches,
+            rank_changes,
+            timer.clone(),
+        );
         tokio::task::spawn_local(watch);
         tokio::task::spawn_local(service.clone().receive(timer.clone()));
         tokio::task::spawn_local(service.clone().run(timer.clone()));
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -64,7 +64,7 @@
     /// The registrations, for lists.
     pub registration_lists: R,
     /// The registrations, for watches.
-    pub watched: R,
+    pub registration_watches: R,
     /// The directory.
     pub pages: P,
 }
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -145,7 +145,7 @@
         let store = spread::Store {
             config: Config,
             registration_lists: registrations.clone(),
-            watched: registrations,
+            registration_watches: registrations,
             pages: Pages,
         };
         let timer = timer::Service::new(sync::CancellationToken::new());
