--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -127,7 +127,7 @@
         tokio::task::spawn_local(poller.run(service.clone(), timer.clone()));
         tokio::task::spawn_local(store::run_directory_tasks(
             service.clone(),
-            store.pages,
+            store.directory,
             tasks,
         ));
         let watch = store::watch(
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -66,7 +66,7 @@
     /// The registrations, for watches.
     pub registration_watches: R,
     /// The directory.
-    pub pages: P,
+    pub directory: P,
 }
 
 /// Polls the store with linearizable reads.
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -146,7 +146,7 @@
             config: Config,
             registration_lists: registrations.clone(),
             registration_watches: registrations,
-            pages: Pages,
+            directory: Pages,
         };
         let timer = timer::Service::new(sync::CancellationToken::new());
         spread::Service::start(state, socket, NullListener, store, clock, &timer);
