--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -180,7 +180,7 @@
             return;
         }
         log::info!(revision:% = revision, before:? = known, source = source; "configuration read");
-        self.0.listener.config(&text);
+        self.0.listener.apply_config(&text);
         self.0.content.borrow_mut().config = Some((revision, text));
         self.publish_position();
     }
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -29,8 +29,8 @@
 /// Receives what is distributed, and sends requests to other VMs.
 #[expect(async_fn_in_trait, reason = "everything runs on one thread")]
 pub trait Listener: 'static {
-    /// Takes a configuration that is newer than the one before.
-    fn config(&self, text: &str);
+    /// Applies a configuration that is newer than the one before.
+    fn apply_config(&self, text: &str);
     /// Takes registrations. Those that are missing from them still existed `lag`
     /// ago, and may have been deleted at any moment since.
     fn registrations(&self, delta: spread::Registrations, lag: time::Duration);
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -104,7 +104,7 @@
 struct NullListener;
 
 impl spread::Listener for NullListener {
-    fn config(&self, _: &str) {}
+    fn apply_config(&self, _: &str) {}
     fn registrations(&self, _: spread::Registrations, _: time::Duration) {}
     fn registration(&self, _: &str) -> Option<registry::Entry> {
         None
