--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -208,7 +208,7 @@
                 "registrations listed"
             );
             let delta = follow::Delta::All(snapshot.items);
-            self.0.listener.registrations(delta, lag);
+            self.0.listener.apply_registrations(delta, lag);
             self.0.watch_missed.notify_waiters();
         }
         self.publish_position();
@@ -255,7 +255,7 @@
         drop(content);
         if !kept.is_empty() {
             let delta = follow::Delta::Changes(kept.clone());
-            self.0.listener.registrations(delta, lag);
+            self.0.listener.apply_registrations(delta, lag);
         }
         self.publish_position();
         kept
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -31,9 +31,9 @@
 pub trait Listener: 'static {
     /// Applies a configuration that is newer than the one before.
     fn apply_config(&self, text: &str);
-    /// Takes registrations. Those that are missing from them still existed `lag`
+    /// Applies registrations. Those that are missing from them still existed `lag`
     /// ago, and may have been deleted at any moment since.
-    fn registrations(&self, delta: spread::Registrations, lag: time::Duration);
+    fn apply_registrations(&self, delta: spread::Registrations, lag: time::Duration);
     /// Returns the registration of this name that was received last, if it names an
     /// upstream.
     fn registration(&self, name: &str) -> Option<registry::Entry>;
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -105,7 +105,7 @@
 
 impl spread::Listener for NullListener {
     fn apply_config(&self, _: &str) {}
-    fn registrations(&self, _: spread::Registrations, _: time::Duration) {}
+    fn apply_registrations(&self, _: spread::Registrations, _: time::Duration) {}
     fn registration(&self, _: &str) -> Option<registry::Entry> {
         None
     }
