--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -80,7 +80,7 @@
         fetch: &spread::Fetch,
     ) -> spread::Registrations {
         let item = |(name, revision): (String, ids::Revision)| follow::Item {
-            value: self.0.listener.registration(&name),
+            value: self.0.listener.find_registration(&name),
             name,
             revision,
         };
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -36,7 +36,7 @@
     fn apply_registrations(&self, delta: spread::Registrations, lag: time::Duration);
     /// Returns the registration of this name that was received last, if it names an
     /// upstream.
-    fn registration(&self, name: &str) -> Option<registry::Entry>;
+    fn find_registration(&self, name: &str) -> Option<registry::Entry>;
     /// Takes a changed view of the fleet.
     fn view(&self, view: spread::View);
     /// Takes a request that another VM suspects of crashing upstreams.
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -106,7 +106,7 @@
 impl spread::Listener for NullListener {
     fn apply_config(&self, _: &str) {}
     fn apply_registrations(&self, _: spread::Registrations, _: time::Duration) {}
-    fn registration(&self, _: &str) -> Option<registry::Entry> {
+    fn find_registration(&self, _: &str) -> Option<registry::Entry> {
         None
     }
     fn view(&self, _: spread::View) {}
