--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -37,8 +37,8 @@
     /// Returns the registration of this name that was received last, if it names an
     /// upstream.
     fn find_registration(&self, name: &str) -> Option<registry::Entry>;
-    /// Takes a changed view of the fleet.
-    fn view(&self, view: spread::View);
+    /// Applies a changed view of the fleet.
+    fn apply_view(&self, view: spread::View);
     /// Takes a request that another VM suspects of crashing upstreams.
     fn crash_suspect(&self, request: ids::Fingerprint);
     /// Sends a request to another VM.
@@ -219,7 +219,7 @@
             spread::Action::WriteDirectory { page, directory } => {
                 self.request_directory(store::DirectoryTask::Write(page, directory));
             }
-            spread::Action::View(view) => self.0.listener.view(view),
+            spread::Action::View(view) => self.0.listener.apply_view(view),
         }
     }
 
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -109,7 +109,7 @@
     fn find_registration(&self, _: &str) -> Option<registry::Entry> {
         None
     }
-    fn view(&self, _: spread::View) {}
+    fn apply_view(&self, _: spread::View) {}
     fn crash_suspect(&self, _: ids::Fingerprint) {}
 
     async fn fetch(&self, _: net::SocketAddr, _: spread::Fetch) -> io::Result<spread::Answer> {
