--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -39,8 +39,8 @@
     fn find_registration(&self, name: &str) -> Option<registry::Entry>;
     /// Applies a changed view of the fleet.
     fn apply_view(&self, view: spread::View);
-    /// Takes a request that another VM suspects of crashing upstreams.
-    fn crash_suspect(&self, request: ids::Fingerprint);
+    /// Adds a request that another VM suspects of crashing upstreams.
+    fn add_crash_suspect(&self, request: ids::Fingerprint);
     /// Sends a request to another VM.
     ///
     /// # Errors
@@ -269,7 +269,7 @@
     fn dispatch(&self, from: net::SocketAddr, datagram: spread::Datagram) {
         match &datagram {
             spread::Datagram::CrashSuspect(request) => {
-                return self.0.listener.crash_suspect(*request);
+                return self.0.listener.add_crash_suspect(*request);
             }
             spread::Datagram::Update(update) => self.apply_update(update),
             spread::Datagram::Hello(_) => {}
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -110,7 +110,7 @@
         None
     }
     fn apply_view(&self, _: spread::View) {}
-    fn crash_suspect(&self, _: ids::Fingerprint) {}
+    fn add_crash_suspect(&self, _: ids::Fingerprint) {}
 
     async fn fetch(&self, _: net::SocketAddr, _: spread::Fetch) -> io::Result<spread::Answer> {
         Err(io::ErrorKind::ConnectionRefused.into())
