--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -145,7 +145,7 @@
 impl Registry {
     /// Replaces the registrations by a complete list. Upstreams missing from it
     /// have vanished, up to `lag` ago.
-    pub fn list(
+    pub fn replace_all(
         &mut self,
         entries: Vec<Entry>,
         lag: time::Duration,
--- a/crates/geraniumgauge/src/registry/tests.rs
+++ b/crates/geraniumgauge/src/registry/tests.rs
@@ -25,7 +25,7 @@
     let mut registry = Registry::default();
     registry.put(entry(0, 1, State::Ready), at(0));
     registry.put(entry(2, 1, State::Ready), at(0));
-    registry.list(Vec::new(), time::Duration::ZERO, at(1000));
+    registry.replace_all(Vec::new(), time::Duration::ZERO, at(1000));
     let handles = registry.of(&"s0".parse().expect("a name")).to_vec();
     for handle in &handles {
         assert_eq!(
@@ -180,7 +180,7 @@
     let mut registry = Registry::default();
     registry.put(entry(0, 0, State::Ready), at(0));
     let lag = time::Duration::from_millis(1200);
-    registry.list(Vec::new(), lag, at(5000));
+    registry.replace_all(Vec::new(), lag, at(5000));
     let eligibility = |now| {
         registry
             .iter()
