--- a/crates/geraniumgauge/src/logs/bounded.rs
+++ b/crates/geraniumgauge/src/logs/bounded.rs
@@ -15,13 +15,13 @@
 /// Delay between the first queued line and the write, so that the writer wakes up
 /// once for many lines.
 const WRITE_DELAY: time::Duration = time::Duration::from_millis(200);
-/// Interval at which [`Bounded::flush`] checks the queue.
+/// Interval at which [`BoundedSink::flush`] checks the queue.
 const FLUSH_POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
 /// Log sink with limits on queue size and rate. Lines over the limits are dropped and
 /// counted; a separate log line reports their number.
 #[derive(Debug, Clone)]
-pub struct Bounded {
+pub struct BoundedSink {
     shared: sync::Arc<Shared>,
 }
 
@@ -40,7 +40,7 @@
     writing: bool,
 }
 
-impl Bounded {
+impl BoundedSink {
     /// Returns a sink that writes to `output` from its own thread.
     ///
     /// # Errors
--- a/crates/geraniumgauge/src/logs/mod.rs
+++ b/crates/geraniumgauge/src/logs/mod.rs
@@ -8,7 +8,7 @@
 
 mod bounded;
 
-pub use bounded::Bounded;
+pub use bounded::BoundedSink;
 
 use std::collections;
 use std::time;
--- a/crates/geraniumgauge/src/logs/tests.rs
+++ b/crates/geraniumgauge/src/logs/tests.rs
@@ -49,7 +49,7 @@
         allowed,
         written: write,
     };
-    let sink = Bounded::start(output).unwrap();
+    let sink = BoundedSink::start(output).unwrap();
     let start = time::Instant::now();
     for second in 0..10 {
         for _ in 0..400 {
