--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -62,11 +62,11 @@
     /// The configuration.
     pub config: C,
     /// The registrations, for lists.
-    pub registrations: R,
+    pub registration_lists: R,
     /// The registrations, for watches.
-    pub watched: R,
+    pub registration_watches: R,
     /// The directory.
-    pub pages: P,
+    pub directory: P,
 }
 
 /// Polls the store with linearizable reads.
