--- a/crates/standin/src/args.rs
+++ b/crates/standin/src/args.rs
@@ -5,9 +5,9 @@
 use std::time;
 
 use geraniumgauge::query;
-use geraniumgauge_standin::drive;
 use geraniumgauge_standin::measure;
 use geraniumgauge_standin::site;
+use geraniumgauge_standin::site_load;
 
 /// The help text.
 pub(crate) const USAGE: &str = "\
@@ -48,13 +48,13 @@
     Platform { listen: net::SocketAddr },
     /// Run a site's upstreams.
     Upstream {
-        site: site::Name,
+        site: site::Preset,
         platform: String,
         data_centres: usize,
         first_port: Option<u16>,
     },
     /// Send requests to a site that `scripts/site` runs.
-    Load(drive::Config),
+    Load(site_load::Config),
     /// Run the demo.
     Demo,
     /// List the scenarios.
@@ -103,14 +103,16 @@
             data_centres: args.opt_value_from_str("--data-centres")?.unwrap_or(3),
             first_port: args.opt_value_from_str("--first-port")?,
         },
-        Some("load") => Command::Load(drive::Config {
+        Some("load") => Command::Load(site_load::Config {
             site: args.value_from_fn("--site", parse_site)?,
             service: args.value_from_str("--service")?,
             rate: args
                 .opt_value_from_str("--rate")?
                 .unwrap_or(geraniumgauge::rate::PerSecond(50.0)),
-            span: time::Duration::from_secs(args.opt_value_from_str("--seconds")?.unwrap_or(10)),
-            records: args.contains("--records"),
+            duration: time::Duration::from_secs(
+                args.opt_value_from_str("--seconds")?.unwrap_or(10),
+            ),
+            send_registrations: args.contains("--records"),
         }),
         Some("demo") => Command::Demo,
         Some("measure") => return parse_measure(args),
@@ -163,7 +165,7 @@
     }
 }
 
-fn parse_site(text: &str) -> Result<site::Name, String> {
+fn parse_site(text: &str) -> Result<site::Preset, String> {
     text.parse()
         .map_err(|_| "not a site; expected kowhai or authority".to_owned())
 }
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,5 +1,6 @@
 //! A demonstration on a site of three VMs in one process: a search, a registration that
-//! is sent twice, and an edit of a document whose status is read back.
+//! is sent twice, and an edit of a document, after which the service's status is read until it
+//! shows the edit in force.
 
 use std::time;
 
@@ -52,12 +53,12 @@
     );
     let site =
         site::Site::start(site::Config::new(vec![site::Spec::small(SERVICE, SHARDS)])).await?;
-    for node in &site.nodes {
+    for vm in &site.vms {
         println!(
             "  {} in {} is ready on {}",
-            node.vm(),
-            node.data_centre(),
-            node.callers()
+            vm.id(),
+            vm.data_centre(),
+            vm.callers_address()
         );
     }
     let caller = load::Caller::new(&site)?;
@@ -136,7 +137,9 @@
 }
 
 async fn edit(site: &site::Site) -> Result<(), Error> {
-    println!("\n3. An edit of the service's document, read back from its status");
+    println!(
+        "\n3. An edit of the service's document, until the service's status shows it in force"
+    );
     let service = site.service(SERVICE);
     let store = site.store()?;
     let key = format!("documents/{}", service.id());
@@ -157,7 +160,7 @@
         last_status = status(&store, service.id()).await.unwrap_or_default();
         let in_force =
             last_status["generation"] == 2 && last_status["in_force"] == last_status["vms"];
-        if in_force && last_status["vms"] == site.nodes.len() {
+        if in_force && last_status["vms"] == site.vms.len() {
             println!(
                 "   status: generation 2 in force at {} of {} VMs",
                 last_status["in_force"], last_status["vms"]
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -2,9 +2,9 @@
 //! against them. Nothing here is part of a deployment.
 
 pub mod demo;
-pub mod drive;
 pub mod measure;
 pub mod platform;
 pub mod serve;
 pub mod site;
+pub mod site_load;
 pub mod upstream;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -6,10 +6,10 @@
 use std::process;
 
 use geraniumgauge_standin::demo;
-use geraniumgauge_standin::drive;
 use geraniumgauge_standin::measure;
 use geraniumgauge_standin::platform;
 use geraniumgauge_standin::site;
+use geraniumgauge_standin::site_load;
 
 /// Exit status for a wrong command line.
 const EXIT_USAGE: u8 = 2;
@@ -64,7 +64,7 @@
             data_centres,
             first_port,
         } => {
-            let started = site::serve(site, &platform, data_centres, first_port).await;
+            let started = site::start_upstreams(site, &platform, data_centres, first_port).await;
             match started {
                 Ok(services) => {
                     let count: usize = services.iter().map(|s| s.upstreams.len()).sum();
@@ -77,10 +77,10 @@
                 Err(error) => fail(&error),
             }
         }
-        args::Command::Load(config) => match drive::run(&config).await {
+        args::Command::Load(config) => match site_load::run(&config).await {
             Ok(report) => {
                 print!("{report}");
-                if report.is_sound() {
+                if report.kept_all_promises() {
                     process::ExitCode::SUCCESS
                 } else {
                     process::ExitCode::FAILURE
--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -22,7 +22,7 @@
 
 use crate::measure;
 use crate::measure::outcome;
-use crate::measure::straggler;
+use crate::measure::searches;
 use crate::measure::usage;
 use crate::site;
 
@@ -54,8 +54,8 @@
     }
     let (first, last) = (costs[0], costs[costs.len() - 1]);
     let slope = (last.1 - first.1) / (last.0 - first.0);
-    out.figure("shard_call_processor_us", slope);
-    out.figure("search_alone_processor_us", first.1 - slope * first.0);
+    out.set_figure("shard_call_processor_us", slope);
+    out.set_figure("search_alone_processor_us", first.1 - slope * first.0);
     if context.policy == query::Policy::Full {
         // Idle threads of the sites end first: if they ended during a measurement, their
         // processor time would be missing from it.
@@ -72,7 +72,7 @@
     width: usize,
 ) -> Result<outcome::Outcome, measure::Error> {
     let site = context.site(site::Spec::small(SERVICE, width)).await?;
-    straggler::tally_searches(
+    searches::send_and_tally(
         &site,
         SERVICE,
         SEARCHES_PER_S,
@@ -85,10 +85,10 @@
     let mut out = outcome::Outcome::default();
     for run in 0..RUNS as u64 {
         let processor_before = usage::processor_time("vm-");
-        let sent = usage::metric_sum(&site.nodes, "mesh_frames_sent").await;
-        let written = usage::metric_sum(&site.nodes, "mesh_bytes_sent").await;
+        let frames_before = usage::metric_sum(&site.vms, "mesh_frames_sent").await;
+        let bytes_before = usage::metric_sum(&site.vms, "mesh_bytes_sent").await;
         let seed = context.seed + 1 + run;
-        let tally = straggler::tally_searches(
+        let tally = searches::send_and_tally(
             &site,
             SERVICE,
             SEARCHES_PER_S,
@@ -101,12 +101,13 @@
         out.violations.extend(tally.outcome(0).violations);
         processor
             .push(usage::processor_time_since("vm-", processor_before).as_secs_f64() * 1e6 / count);
-        frames.push((usage::metric_sum(&site.nodes, "mesh_frames_sent").await - sent) / count);
-        bytes.push((usage::metric_sum(&site.nodes, "mesh_bytes_sent").await - written) / count);
+        frames
+            .push((usage::metric_sum(&site.vms, "mesh_frames_sent").await - frames_before) / count);
+        bytes.push((usage::metric_sum(&site.vms, "mesh_bytes_sent").await - bytes_before) / count);
     }
-    usage::Spread::of(processor).figure("search_processor_us", &mut out);
-    usage::Spread::of(frames).figure("search_frames", &mut out);
-    usage::Spread::of(bytes).figure("search_mesh_bytes", &mut out);
+    usage::Spread::of(processor).set_figure("search_processor_us", &mut out);
+    usage::Spread::of(frames).set_figure("search_frames", &mut out);
+    usage::Spread::of(bytes).set_figure("search_mesh_bytes", &mut out);
     Ok(out)
 }
 
@@ -214,7 +215,7 @@
                     / count as f64,
             );
         }
-        usage::Spread::of(processor).figure(&format!("{name}_processor_us"), &mut out);
+        usage::Spread::of(processor).set_figure(&format!("{name}_processor_us"), &mut out);
     }
     let text = pair[0].metrics.text().unwrap_or_default();
     let bytes = text
@@ -222,7 +223,7 @@
         .find(|line| line.starts_with("mesh_bytes_sent"));
     let bytes = bytes.and_then(|line| line.rsplit_once(' ')?.1.parse::<f64>().ok());
     let sent = pair[1].frames.0.load(atomic::Ordering::Relaxed) as f64;
-    out.figure("bytes", bytes.unwrap_or(0.0) / sent);
+    out.set_figure("bytes", bytes.unwrap_or(0.0) / sent);
     pair.iter().for_each(|peer| peer.stop.cancel());
     Ok(out)
 }
@@ -251,7 +252,7 @@
     const PEERS: usize = 48;
     let mut out = outcome::Outcome::default();
     let all = peers(PEERS).await?;
-    let before = usage::resident_bytes();
+    let memory_before = usage::resident_bytes();
     for (a, b) in all.iter().flat_map(|a| all.iter().map(move |b| (a, b))) {
         if a.member.vm != b.member.vm {
             let _ = a.mesh.send(&b.member.vm, sample_reply());
@@ -265,9 +266,9 @@
     while arrived().sum::<u64>() < links as u64 {
         tokio::time::sleep(time::Duration::from_millis(10)).await;
     }
-    out.figure(
+    out.set_figure(
         "link_memory_kib",
-        (usage::resident_bytes() - before) / 1024.0 / links as f64,
+        (usage::resident_bytes() - memory_before) / 1024.0 / links as f64,
     );
     all.iter().for_each(|peer| peer.stop.cancel());
     Ok(out)
@@ -280,10 +281,10 @@
     // The larger number first, as the second run reuses memory that the first freed.
     let (with_12_vms, with_3_vms) = (memory_per_replica(12).await?, memory_per_replica(3).await?);
     let role = (with_3_vms - with_12_vms) / (1.0 - 3.0 / 12.0);
-    out.figure("replica_with_3_vms_memory_kib", with_3_vms);
-    out.figure("replica_with_12_vms_memory_kib", with_12_vms);
-    out.figure("replica_role_memory_kib", role);
-    out.figure("replica_known_memory_kib", with_3_vms - role);
+    out.set_figure("replica_with_3_vms_memory_kib", with_3_vms);
+    out.set_figure("replica_with_12_vms_memory_kib", with_12_vms);
+    out.set_figure("replica_role_memory_kib", role);
+    out.set_figure("replica_known_memory_kib", with_3_vms - role);
     Ok(())
 }
 
@@ -295,7 +296,7 @@
     config.vms = vms;
     let site = site::Site::start(config).await?;
     tokio::time::sleep(time::Duration::from_secs(2)).await;
-    let before = usage::resident_bytes();
+    let memory_before = usage::resident_bytes();
     for number in 0..SERVICES {
         let id = format!("service-{number}");
         let layout = serde_json::to_vec(&layout_of(number, SHARDS)?).unwrap_or_default();
@@ -307,7 +308,7 @@
         });
     }
     tokio::time::sleep(time::Duration::from_secs(15)).await;
-    let growth = (usage::resident_bytes() - before) / 1024.0;
+    let growth = (usage::resident_bytes() - memory_before) / 1024.0;
     Ok(growth / (vms * SERVICES * SHARDS * 2) as f64)
 }
 
--- a/crates/standin/src/measure/check.rs
+++ b/crates/standin/src/measure/check.rs
@@ -9,11 +9,12 @@
 use crate::measure::outcome;
 use crate::upstream::corpus;
 
-/// Promise that every hit has the index version of the answer's snapshot.
+/// Promise that all hits have the index version of the answer's snapshot.
 pub const ONE_SNAPSHOT: &str = "one snapshot";
 /// Promise that the answer states correctly which shards are covered and missing.
 pub const TRUE_COVERAGE: &str = "true coverage";
-/// Promise that a caller gets all hits of its own query from the covered shards.
+/// Promise that an answer has the best hits of its own query from the covered shards, and no
+/// others.
 pub const OWN_ANSWER: &str = "own whole answer";
 /// Number of hits that each search asks for.
 pub const HIT_LIMIT: u32 = 20;
@@ -30,18 +31,18 @@
     let mut outcome = outcome::Outcome::default();
     let request = sample.request_id();
     match &sample.reply {
-        Err(load::Failure::Unsent(_)) => {}
-        Err(load::Failure::Sent(why)) => outcome.violate(ANSWERED, request, why),
+        Err(load::Failure::NotSent(_)) => {}
+        Err(load::Failure::NoReply(why)) => outcome.add_violation(ANSWERED, request, why),
         Ok(reply) if reply.status == 200 => {
             match serde_json::from_value::<query::Answer>(reply.body.clone()) {
                 Ok(answer) => check_answer(layout, query, &answer, &mut outcome),
-                Err(error) => outcome.violate(OWN_ANSWER, request, error.to_string()),
+                Err(error) => outcome.add_violation(OWN_ANSWER, request, error.to_string()),
             }
         }
         Ok(reply) => {
             if reply.body["error"]["code"].as_str().is_none() {
                 let seen = format!("status {} without an error code", reply.status);
-                outcome.violate(ANSWERED, request, seen);
+                outcome.add_violation(ANSWERED, request, seen);
             }
         }
     }
@@ -62,7 +63,7 @@
         && coverage.shards == layout.shards.len()
         && coverage.complete == missing.is_empty();
     if !consistent {
-        outcome.violate(TRUE_COVERAGE, &request, format!("{coverage:?}"));
+        outcome.add_violation(TRUE_COVERAGE, &request, format!("{coverage:?}"));
     }
     let version = answer.snapshot.version.0;
     let mismatch = answer
@@ -71,7 +72,7 @@
         .find(|hit| hit.rest.get("version") != Some(&version.into()));
     if let Some(hit) = mismatch {
         let seen = format!("hit {} at {:?} under version {version}", hit.id, hit.rest);
-        outcome.violate(ONE_SNAPSHOT, &request, seen);
+        outcome.add_violation(ONE_SNAPSHOT, &request, seen);
     }
     let covered = layout
         .shards
@@ -89,6 +90,6 @@
         .eq(answer.hits.iter().map(|hit| &hit.id));
     if !same {
         let seen = format!("hits {:?}, expected {expected:?}", answer.hits);
-        outcome.violate(OWN_ANSWER, &request, seen);
+        outcome.add_violation(OWN_ANSWER, &request, seen);
     }
 }
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -67,7 +67,7 @@
 
 async fn members(count: usize) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
-    let before = usage::resident_bytes();
+    let memory_before = usage::resident_bytes();
     let mut all = Vec::new();
     let start = tokio::time::Instant::now();
     for number in 0..count {
@@ -75,21 +75,21 @@
         all.push(member(number, seeds).await?);
     }
     if !joined(&all, count).await {
-        out.violate(
+        out.add_violation(
             JOINED,
             "-",
             format!("{count} members, after {CONVERGENCE_TIMEOUT:?}"),
         );
     }
-    out.figure("joined_ms", start.elapsed().as_secs_f64() * 1e3);
-    out.figure(
+    out.set_figure("joined_ms", start.elapsed().as_secs_f64() * 1e3);
+    out.set_figure(
         "settled_ms",
         wait_until_settled(&all).await.as_secs_f64() * 1e3,
     );
     measure_idle(&all, &mut out).await;
-    out.figure(
+    out.set_figure(
         "memory_kib",
-        (usage::resident_bytes() - before) / 1024.0 / count as f64,
+        (usage::resident_bytes() - memory_before) / 1024.0 / count as f64,
     );
     measure_update(&mut all, &mut out).await;
     measure_loss(&mut all, &mut out).await;
@@ -178,8 +178,8 @@
             .push(usage::processor_time_since("", processor_before).as_secs_f64() * 100.0 / each);
         bytes.push((bytes_sent(all) - sent_before) / each);
     }
-    usage::Spread::of(processor).figure("quiet_core_percent", out);
-    usage::Spread::of(bytes).figure("quiet_sent_bytes_per_s", out);
+    usage::Spread::of(processor).set_figure("quiet_core_percent", out);
+    usage::Spread::of(bytes).set_figure("quiet_sent_bytes_per_s", out);
 }
 
 /// Measures an update that is published by one member and received by all, as when a
@@ -198,7 +198,7 @@
             .await
             .is_err()
         {
-            out.violate(
+            out.add_violation(
                 UPDATE_RECEIVED,
                 "-",
                 format!("version {version} after {CONVERGENCE_TIMEOUT:?}"),
@@ -211,10 +211,10 @@
         processor
             .push(usage::processor_time_since("", processor_before).as_secs_f64() * 1e3 / each);
     }
-    usage::Spread::of(took).figure("change_heard_ms", out);
+    usage::Spread::of(took).set_figure("change_heard_ms", out);
     // Includes what an idle member sends in the same time.
-    usage::Spread::of(bytes).figure("change_sent_bytes", out);
-    usage::Spread::of(processor).figure("change_processor_ms", out);
+    usage::Spread::of(bytes).set_figure("change_sent_bytes", out);
+    usage::Spread::of(processor).set_figure("change_processor_ms", out);
 }
 
 fn update(topic: member::Topic, key: &str, version: u64) -> member::Update {
@@ -246,29 +246,29 @@
     let sent_before = bytes_sent(all);
     let start = tokio::time::Instant::now();
     if !joined(all, all.len()).await {
-        out.violate(
+        out.add_violation(
             vm_loss::REMOVED,
             "-",
             format!("after {CONVERGENCE_TIMEOUT:?}"),
         );
     }
     let took = start.elapsed().as_secs_f64();
-    out.figure("quarter_lost_ms", took * 1e3);
+    out.set_figure("quarter_lost_ms", took * 1e3);
     let each = (bytes_sent(all) - sent_before) / all.len() as f64 / took;
-    out.figure("quarter_lost_sent_bytes_per_s", each);
+    out.set_figure("quarter_lost_sent_bytes_per_s", each);
 }
 
 /// Measures complete VMs without load: processor time, memory and store calls.
 async fn complete_vms(count: usize) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
-    let before = usage::resident_bytes();
+    let memory_before = usage::resident_bytes();
     let mut config = site::Config::new(vec![site::Spec::small("wide", 8)]);
     config.vms = count;
     let site = site::Site::start(config).await?;
     tokio::time::sleep(SAMPLE_DURATION).await;
-    out.figure(
+    out.set_figure(
         "memory_kib",
-        (usage::resident_bytes() - before) / 1024.0 / count as f64,
+        (usage::resident_bytes() - memory_before) / 1024.0 / count as f64,
     );
     let (mut processor, mut calls) = (Vec::new(), vec![Vec::new(); 5]);
     for _ in 0..RUNS {
@@ -291,10 +291,10 @@
             rates.push(number as f64 / each);
         }
     }
-    usage::Spread::of(processor).figure("quiet_core_percent", &mut out);
+    usage::Spread::of(processor).set_figure("quiet_core_percent", &mut out);
     let names = ["get", "put", "list", "watch", "vms"];
     for (name, rates) in names.iter().zip(calls) {
-        usage::Spread::of(rates).figure(&format!("store_{name}_per_s"), &mut out);
+        usage::Spread::of(rates).set_figure(&format!("store_{name}_per_s"), &mut out);
     }
     Ok(out)
 }
--- a/crates/standin/src/measure/crash_query.rs
+++ b/crates/standin/src/measure/crash_query.rs
@@ -76,7 +76,7 @@
     };
     searches::send(&site, SERVICE, load).await?;
     let mut out = outcome::Outcome::default();
-    canary_cost(&site, &mut out).await?;
+    measure_canary_cost(&site, &mut out).await?;
     let load = searches::Load {
         duration: LOAD_DURATION,
         seed: context.seed + 1,
@@ -86,13 +86,13 @@
     let (results, answered) = tokio::join!(searches::send(&site, SERVICE, load), crashing);
     let (results, answered) = (results?, answered?);
     check_losses(service, &mut out);
-    out.figure("crash_query_answers", answered as f64);
-    out.figure(
+    out.set_figure("crash_query_answers", answered as f64);
+    out.set_figure(
         "others_whole_share",
         searches::complete_in_time_share(&results),
     );
     let recovered = results.iter().filter(|search| search.at >= RECOVERED_AT);
-    out.figure(
+    out.set_figure(
         "others_whole_once_back_share",
         searches::complete_in_time_share(recovered),
     );
@@ -101,10 +101,13 @@
 
 /// Adds the cost of canaries: compares searches that are new to their VM with a search
 /// that every VM knows, sent one after another on an idle site.
-async fn canary_cost(site: &site::Site, out: &mut outcome::Outcome) -> Result<(), measure::Error> {
+async fn measure_canary_cost(
+    site: &site::Site,
+    out: &mut outcome::Outcome,
+) -> Result<(), measure::Error> {
     let service = site.service(SERVICE);
     let caller = load::Caller::new(site)?;
-    let before = service.counts().arrived();
+    let arrived_before = service.counts().arrived();
     let mut new = Vec::new();
     for number in 0..COST_SEARCHES {
         let query = serde_json::json!({ "text": format!("new {number}") });
@@ -115,9 +118,9 @@
                 .took,
         );
     }
-    let calls = (service.counts().arrived() - before) as f64;
+    let calls = (service.counts().arrived() - arrived_before) as f64;
     let expected = (COST_SEARCHES * service.layout.shards.len()) as f64;
-    out.figure("canary_extra_load_share", calls / expected - 1.0);
+    out.set_figure("canary_extra_load_share", calls / expected - 1.0);
     let mut known = Vec::new();
     let query = serde_json::json!({ "text": "known" });
     for _ in 0..COST_SEARCHES * 2 {
@@ -128,14 +131,17 @@
                 .took,
         );
     }
-    out.figure("new_p50_ms", median(&mut new));
-    out.figure("known_p50_ms", median(&mut known.split_off(COST_SEARCHES)));
+    out.set_figure("new_p50_ms", median_ms(&mut new));
+    out.set_figure(
+        "known_p50_ms",
+        median_ms(&mut known.split_off(COST_SEARCHES)),
+    );
     Ok(())
 }
 
-fn median(spans: &mut [time::Duration]) -> f64 {
-    spans.sort_unstable();
-    let middle = spans.get(spans.len() / 2).copied();
+fn median_ms(durations: &mut [time::Duration]) -> f64 {
+    durations.sort_unstable();
+    let middle = durations.get(durations.len() / 2).copied();
     middle.unwrap_or_default().as_secs_f64() * 1e3
 }
 
@@ -169,12 +175,12 @@
             *by_shard.entry(number / replicas).or_default() += 1;
         }
     }
-    out.figure("crashes", crashes as f64);
-    out.figure("upstreams_lost", names.len() as f64);
+    out.set_figure("crashes", crashes as f64);
+    out.set_figure("upstreams_lost", names.len() as f64);
     if crashes > 2 {
-        out.violate(MAX_TWO_LOST, "-", format!("{crashes} crashes of {names:?}"));
+        out.add_violation(MAX_TWO_LOST, "-", format!("{crashes} crashes of {names:?}"));
     }
     if by_shard.values().any(|lost| *lost == replicas) {
-        out.violate(NO_SHARD_LOST, "-", format!("{names:?}"));
+        out.add_violation(NO_SHARD_LOST, "-", format!("{names:?}"));
     }
 }
--- a/crates/standin/src/measure/crossed.rs
+++ b/crates/standin/src/measure/crossed.rs
@@ -1,5 +1,5 @@
-//! Upstreams send replies that belong to another request or shard, or to another index
-//! version.
+//! Some replies of upstreams carry the id of another request or a wrong index version,
+//! and some calls run 30 times as long.
 
 use std::time;
 
@@ -12,7 +12,7 @@
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "crossed",
-    about: "1 in 50 replies is another request's, 1 in 50 of another version, 1 in 100 late",
+    about: "1 in 50 replies with a wrong id, 1 in 50 with a wrong version; 1 in 100 calls is slow",
     baseline: Some(query::Policy::Direct),
     run: |context| Box::pin(run(context)),
 };
--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -79,24 +79,28 @@
         // Wait until the document that the site starts with is in force.
         let first = editor.accepted().map_or(1, |record| record.generation.0);
         if editor.observer.applied_by_all(first.max(1)).await.is_none() {
-            editor.violate(IN_FORCE, "the first document is not in force on all VMs");
+            editor.add_violation(IN_FORCE, "the first document is not in force on all VMs");
         }
         Ok(editor)
     }
 
     /// Measures the store calls of a site without requests.
     async fn idle_store_calls(&mut self) {
-        let before = self.site.platform.state().counts();
+        let counts_before = self.site.platform.state().counts();
         let duration = time::Duration::from_secs(10);
         clock::sleep(duration).await;
-        let after = self.site.platform.state().counts();
+        let counts_after = self.site.platform.state().counts();
         let per_vm = |count: u64| count as f64 / duration.as_secs_f64() / f64::from(site::VM_COUNT);
         let reads =
             |counts: &crate::platform::Counts| counts.get + counts.list + counts.watch + counts.vms;
-        let (reads, writes) = (reads(&after) - reads(&before), after.put - before.put);
-        self.outcome.figure("idle_store_reads_per_s", per_vm(reads));
+        let (reads, writes) = (
+            reads(&counts_after) - reads(&counts_before),
+            counts_after.put - counts_before.put,
+        );
         self.outcome
-            .figure("idle_store_writes_per_s", per_vm(writes));
+            .set_figure("idle_store_reads_per_s", per_vm(reads));
+        self.outcome
+            .set_figure("idle_store_writes_per_s", per_vm(writes));
     }
 
     /// Lets two operators replace the same version; one of them must get a conflict.
@@ -113,7 +117,7 @@
                 (Err(store::Error::Conflict { .. }), Ok(_)) => second_text.0,
                 _ => {
                     let seen = format!("over version {base}: {first:?} and {second:?}");
-                    self.violate(RACE_CONFLICT, seen);
+                    self.add_violation(RACE_CONFLICT, seen);
                     continue;
                 }
             };
@@ -138,13 +142,13 @@
                 .map_err(store_error)?;
             clock::sleep(CHECK_DELAY).await;
             if self.accepted() != before {
-                self.violate(REFUSED, format!("{text} changed the accepted record"));
+                self.add_violation(REFUSED, format!("{text} changed the accepted record"));
             }
             let verdict = self.status().map(|status| status.document);
             let refused = matches!(&verdict, Some(document::Verdict::Refused { version: of, findings })
                 if *of == version && !findings.is_empty());
             if !refused {
-                self.violate(REFUSED, format!("status after {text}: {verdict:?}"));
+                self.add_violation(REFUSED, format!("status after {text}: {verdict:?}"));
             }
         }
         let (deadline, text) = self.next_text();
@@ -188,7 +192,7 @@
             let after = self.accepted().map_or(0, |record| record.generation.0);
             if after != before + 1 {
                 let seen = format!("one edit changed the generation from {before} to {after}");
-                self.violate("an edit is accepted once", seen);
+                self.add_violation("an edit is accepted once", seen);
             }
         }
         Ok(())
@@ -200,7 +204,7 @@
         state.set_faults(|faults| faults.down = true);
         clock::sleep(time::Duration::from_secs(2)).await;
         let generation = self.accepted().map_or(0, |record| record.generation.0);
-        let index = self.random.random_range(0..self.site.nodes.len());
+        let index = self.random.random_range(0..self.site.vms.len());
         self.site.kill(index);
         let started = clock::Instant::now();
         self.site.add().await?;
@@ -208,13 +212,15 @@
         match self.site.wait_until_ready().await {
             Ok(()) => {
                 let took = started.elapsed().as_secs_f64() * 1000.0;
-                self.outcome.figure("ready_in_outage_ms", took);
+                self.outcome.set_figure("ready_in_outage_ms", took);
+            }
+            Err(error) => {
+                self.add_violation("a new VM starts while the store is out", error.to_string())
             }
-            Err(error) => self.violate("a new VM starts while the store is out", error.to_string()),
         }
         if self.observer.applied_by_all(generation).await.is_none() {
             let seen = format!("the new VM does not apply generation {generation}");
-            self.violate(NEVER_REVERTS, seen);
+            self.add_violation(NEVER_REVERTS, seen);
         }
         clock::sleep(OUTAGE_DURATION.saturating_sub(started.elapsed())).await;
         let state = self.site.platform.state();
@@ -251,7 +257,7 @@
         let lowest = self.observer.lowest();
         if lowest < generation {
             let seen = format!("generation {generation} was in force, but a VM applies {lowest}");
-            self.violate(NEVER_REVERTS, seen);
+            self.add_violation(NEVER_REVERTS, seen);
         }
         let (deadline, text) = self.next_text();
         self.put(&text, store::Condition::Any)
@@ -263,7 +269,7 @@
 
     fn end(mut self) -> outcome::Outcome {
         for (vm, before, after) in self.observer.regressions() {
-            self.violate(
+            self.add_violation(
                 NEVER_REVERTS,
                 format!("{vm} went from generation {before} to {after}"),
             );
@@ -277,13 +283,13 @@
         let written = clock::Instant::now();
         let Some(record) = self.await_accepted(deadline).await else {
             let seen = format!("the edit to deadline {deadline} ms ({kind}) was not accepted");
-            return self.violate("no accepted edit is lost", seen);
+            return self.add_violation("no accepted edit is lost", seen);
         };
         let accepted = clock::Instant::now();
         let generation = record.generation.0;
         let Some(at) = self.observer.applied_by_all(generation).await else {
             let seen = format!("generation {generation} ({kind}) is not in force on all VMs");
-            return self.violate(IN_FORCE, seen);
+            return self.add_violation(IN_FORCE, seen);
         };
         let took = at.saturating_duration_since(accepted);
         self.keep_max(&format!("{kind}_accepted_max_ms"), accepted - written);
@@ -294,7 +300,7 @@
     fn keep_max(&mut self, name: &str, took: time::Duration) {
         let millis = took.as_secs_f64() * 1000.0;
         let before = self.outcome.figures.get(name).copied().unwrap_or(0.0);
-        self.outcome.figure(name, millis.max(before));
+        self.outcome.set_figure(name, millis.max(before));
     }
 
     async fn await_accepted(&self, deadline: u64) -> Option<keeper::Accepted> {
@@ -354,8 +360,8 @@
         serde_json::from_slice(&object.body).ok()
     }
 
-    fn violate(&mut self, promise: &'static str, seen: impl Into<String>) {
-        self.outcome.violate(promise, "-", seen);
+    fn add_violation(&mut self, promise: &'static str, seen: impl Into<String>) {
+        self.outcome.add_violation(promise, "-", seen);
     }
 }
 
--- a/crates/standin/src/measure/drain.rs
+++ b/crates/standin/src/measure/drain.rs
@@ -13,7 +13,7 @@
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "drain",
-    about: "two upstreams drain under load; one report lags, one lies",
+    about: "two upstreams drain under load; one health report lags, the other always says up",
     baseline: Some(query::Policy::Direct),
     run: |context| Box::pin(run(context)),
 };
@@ -99,10 +99,10 @@
             tokio::time::sleep(time::Duration::from_millis(1)).await;
         }
         let running = running();
-        let before = service.counts().cancelled;
+        let cancelled_before = service.counts().cancelled;
         drained().for_each(|state| state.set_faults(|faults| faults.draining = true));
         tokio::time::sleep(LONG_CALL_DURATION).await;
-        let cancelled = service.counts().cancelled - before;
+        let cancelled = service.counts().cancelled - cancelled_before;
         RunningCalls { running, cancelled }
     };
     let duration = time::Duration::from_secs(3);
@@ -143,25 +143,25 @@
 
 impl DrainedUpstream {
     fn add_to(self, name: &str, out: &mut outcome::Outcome) {
-        out.figure(format!("{name}_arrived_after_2s"), self.arrived_late as f64);
-        out.figure(
+        out.set_figure(format!("{name}_arrived_after_2s"), self.arrived_late as f64);
+        out.set_figure(
             format!("{name}_started_once_back"),
             self.started_after as f64,
         );
         if self.arrived_late > 0 {
             let seen = format!("{}: {} calls arrived", self.upstream, self.arrived_late);
-            out.violate(NO_NEW_WORK, "-", seen);
+            out.add_violation(NO_NEW_WORK, "-", seen);
         }
     }
 }
 
 impl RunningCalls {
     fn add_to(self, out: &mut outcome::Outcome) {
-        out.figure("running_at_drain", self.running as f64);
-        out.figure("cancelled_at_drain", self.cancelled as f64);
+        out.set_figure("running_at_drain", self.running as f64);
+        out.set_figure("cancelled_at_drain", self.cancelled as f64);
         if self.cancelled > 0 {
             let seen = format!("{} of {} calls", self.cancelled, self.running);
-            out.violate(NOT_CANCELLED, "-", seen);
+            out.add_violation(NOT_CANCELLED, "-", seen);
         }
     }
 }
--- a/crates/standin/src/measure/fanout.rs
+++ b/crates/standin/src/measure/fanout.rs
@@ -1,11 +1,11 @@
-//! Like `straggler`, but each query asks 240 shards.
+//! One in a hundred shard calls runs thirty times as long; each query asks 240 shards.
 
 use std::time;
 
 use geraniumgauge::query;
 
 use crate::measure;
-use crate::measure::straggler;
+use crate::measure::searches;
 use crate::site;
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
@@ -18,20 +18,20 @@
 const SERVICE: &str = "wide";
 const SHARDS: usize = 240;
 const SEARCHES_PER_S: f64 = 10.0;
-/// Long enough that the stand-ins' own processing on the same machine doesn't distort
-/// the latencies.
-const WORK_MS: f64 = 10.0;
+/// Median running time of a call at an upstream. It must be much longer than the stand-ins'
+/// own processing of a call, which would distort the latencies otherwise.
+const MEDIAN_RUNNING_TIME_MS: f64 = 10.0;
 const LOAD_DURATION: time::Duration = time::Duration::from_secs(15);
 const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(3);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<measure::outcome::Outcome, measure::Error> {
     let mut spec = site::Spec::small(SERVICE, SHARDS);
-    spec.work_ms = WORK_MS;
+    spec.median_running_time_ms = MEDIAN_RUNNING_TIME_MS;
     let site = context.site(spec).await?;
     let service = site.service(SERVICE);
     service.set_faults(|faults| faults.straggler_share = 0.01);
-    straggler::tally_searches(
+    searches::send_and_tally(
         &site,
         SERVICE,
         SEARCHES_PER_S,
@@ -40,9 +40,9 @@
         DEADLINE,
     )
     .await?;
-    let before = service.counts().arrived();
+    let arrived_before = service.counts().arrived();
     let seed = context.seed + 1;
-    let tally = straggler::tally_searches(
+    let tally = searches::send_and_tally(
         &site,
         SERVICE,
         SEARCHES_PER_S,
@@ -51,5 +51,5 @@
         DEADLINE,
     )
     .await?;
-    Ok(tally.outcome(service.counts().arrived() - before))
+    Ok(tally.outcome(service.counts().arrived() - arrived_before))
 }
--- a/crates/standin/src/measure/generations.rs
+++ b/crates/standin/src/measure/generations.rs
@@ -79,8 +79,8 @@
 
     /// Replaces the observed VMs by those that `site` has now.
     pub(super) fn set_targets(&self, site: &site::Site) {
-        let target = |node: &site::Node| (node.vm().clone(), node.operators());
-        lock(&self.shared).targets = site.nodes.iter().map(target).collect();
+        let target = |vm: &site::RunningVm| (vm.id().clone(), vm.operators_address());
+        lock(&self.shared).targets = site.vms.iter().map(target).collect();
     }
 
     /// Waits until every VM has applied `generation` or a higher one and returns when
--- a/crates/standin/src/measure/load.rs
+++ b/crates/standin/src/measure/load.rs
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone)]
 pub enum Failure {
     /// Nothing was sent: no VM was ready, or the connection could not be opened.
-    Unsent(String),
+    NotSent(String),
     /// The request was sent, but the connection broke or no reply came in time.
-    Sent(String),
+    NoReply(String),
 }
 
 impl Sample {
@@ -132,7 +132,7 @@
     ) -> Sample {
         let start = tokio::time::Instant::now();
         let Some((vm, address)) = self.balancer.pick(exclude) else {
-            let reply = Err(Failure::Unsent("no VM is ready".to_owned()));
+            let reply = Err(Failure::NotSent("no VM is ready".to_owned()));
             return Sample {
                 vm: None,
                 took: start.elapsed(),
@@ -165,14 +165,14 @@
         .send()
         .await
         .map_err(|error| match error.is_connect() {
-            true => Failure::Unsent(format!("{error:?}")),
-            false => Failure::Sent(format!("{error:?}")),
+            true => Failure::NotSent(format!("{error:?}")),
+            false => Failure::NoReply(format!("{error:?}")),
         })?;
     let status = response.status().as_u16();
     let body = response
         .bytes()
         .await
-        .map_err(|error| Failure::Sent(format!("{error:?}")))?;
+        .map_err(|error| Failure::NoReply(format!("{error:?}")))?;
     Ok(Reply {
         status,
         body: serde_json::from_slice(&body).unwrap_or_default(),
@@ -205,9 +205,9 @@
     done.into_iter().filter_map(Result::ok).collect()
 }
 
-/// Open-loop load of searches.
+/// Open-loop load of searches with query texts and a deadline of the scenario's choice.
 #[derive(Debug, Clone, Copy)]
-pub struct Searches {
+pub struct SearchLoad {
     /// Start of each query's text; the seed and a number from 0 to 49 follow.
     pub text: &'static str,
     /// Mean number of searches a second.
@@ -220,7 +220,7 @@
     pub deadline: time::Duration,
 }
 
-impl Searches {
+impl SearchLoad {
     /// Sends the searches, waits for all and returns each query with its sample.
     pub async fn send(
         self,
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -4,7 +4,7 @@
 pub mod check;
 pub mod load;
 pub mod outcome;
-pub mod records;
+pub mod registration_load;
 pub mod tally;
 
 mod calls;
@@ -68,8 +68,8 @@
 }
 
 impl Context {
-    /// Starts a site of one service on [`site::VMS`] VMs, as many as each user has
-    /// today.
+    /// Starts a site of one service on [`site::VM_COUNT`] VMs, as many as each of
+    /// the real sites has.
     ///
     /// # Errors
     /// Returns an error if the site can't be started.
@@ -92,7 +92,7 @@
     pub name: &'static str,
     /// One-line description.
     pub about: &'static str,
-    /// Policy to compare with; `None` if the scenario isn't about searches.
+    /// Policy to compare with; `None` if the scenario doesn't compare policies.
     pub baseline: Option<query::Policy>,
     /// Runs the scenario once.
     pub run: fn(Context) -> Run,
--- a/crates/standin/src/measure/outage.rs
+++ b/crates/standin/src/measure/outage.rs
@@ -5,13 +5,13 @@
 
 use crate::measure;
 use crate::measure::load;
-use crate::measure::records;
-use crate::measure::straggler;
+use crate::measure::registration_load;
+use crate::measure::searches;
 use crate::site;
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "store-outage",
-    about: "the store is down, then slow, then back; searches and registrations go on",
+    about: "the store is down, then slow, then back; registrations are refused while it is down",
     baseline: None,
     run: |context| Box::pin(run(context)),
 };
@@ -22,10 +22,10 @@
 const SEARCHES_PER_S: f64 = 60.0;
 const REGISTRATIONS_PER_S: f64 = 40.0;
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
-/// Extra time that each call to the slow store takes.
-const SLOW_CALL_MS: u64 = 2500;
-/// Promise that registrations are refused while the store is down, rather than held
-/// until their deadlines.
+/// Delay added to each call to the store while it is slow.
+const STORE_DELAY_MS: u64 = 2500;
+/// Promise that registrations which aren't answered while the store is down are refused as
+/// not run. How soon they are refused is reported by figures, without a limit.
 const REFUSED: &str = "the store's outage refuses registrations as not run";
 
 /// State of the store during a part of the scenario.
@@ -47,7 +47,7 @@
         site.platform.state().set_faults(|faults| {
             faults.down = phase == Phase::Down;
             faults.slow_ms = if phase == Phase::Slow {
-                SLOW_CALL_MS
+                STORE_DELAY_MS
             } else {
                 0
             };
@@ -63,7 +63,7 @@
     phase: Phase,
     seed: u64,
 ) -> Result<measure::outcome::Outcome, measure::Error> {
-    let plan = records::Plan {
+    let load = registration_load::Load {
         prefix: phase.to_string(),
         rate: REGISTRATIONS_PER_S,
         duration: PHASE_DURATION,
@@ -71,9 +71,9 @@
         duplicate_share: 0.0,
         max_attempts: 1,
     };
-    let before = site.platform.state().counts();
-    let arrived = site.service(SERVICE).counts().arrived();
-    let searches = straggler::tally_searches(
+    let store_counts_before = site.platform.state().counts();
+    let arrived_before = site.service(SERVICE).counts().arrived();
+    let searches = searches::send_and_tally(
         site,
         SERVICE,
         SEARCHES_PER_S,
@@ -81,56 +81,60 @@
         seed,
         DEADLINE,
     );
-    let records = records::send(site, SERVICE, &plan, seed + 1);
-    let (searches, records) = tokio::join!(searches, records);
-    let (searches, records) = (searches?, records?);
-    let after = site.platform.state().counts();
-    let arrived = site.service(SERVICE).counts().arrived() - arrived;
+    let registrations = registration_load::send(site, SERVICE, &load, seed + 1);
+    let (searches, registrations) = tokio::join!(searches, registrations);
+    let (searches, registrations) = (searches?, registrations?);
+    let store_counts_after = site.platform.state().counts();
+    let arrived = site.service(SERVICE).counts().arrived() - arrived_before;
     let mut out = measure::outcome::Outcome::default();
     out.absorb("search_", searches.outcome(arrived));
-    let mut records_out = records.outcome(site.service(SERVICE));
-    refusals(&records, phase, &mut records_out);
-    out.absorb("record_", records_out);
-    let refused = after.refused - before.refused;
-    out.figure(
+    let mut registrations_out = registrations.outcome(site.service(SERVICE));
+    check_refusals(&registrations, phase, &mut registrations_out);
+    out.absorb("record_", registrations_out);
+    let refused = store_counts_after.refused - store_counts_before.refused;
+    out.set_figure(
         "store_calls_refused_per_s",
         refused as f64 / PHASE_DURATION.as_secs_f64(),
     );
     Ok(out)
 }
 
-/// Adds the durations of refusals. Checks that every registration is refused as not
-/// run while the store is down.
-fn refusals(records: &records::Tally, phase: Phase, out: &mut measure::outcome::Outcome) {
-    let refused = records
+/// Adds the durations of refusals as figures. Checks that every registration is refused as
+/// not run while the store is down.
+fn check_refusals(
+    registrations: &registration_load::Registrations,
+    phase: Phase,
+    out: &mut measure::outcome::Outcome,
+) {
+    let refused = registrations
         .samples()
         .filter(|sample| sample.ran() == Some("no"));
     let mut took: Vec<_> = refused.map(|sample| sample.took).collect();
     took.sort_unstable();
     for (name, share) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
-        out.figure(
+        out.set_figure(
             format!("refused_{name}_ms"),
-            records::quantile(&took, share),
+            registration_load::quantile_ms(&took, share),
         );
     }
     // A registration may only run under a claim, and there are no claims without the
     // store.
-    for sample in records.samples().filter(|sample| sample.answered()) {
+    for sample in registrations.samples().filter(|sample| sample.answered()) {
         if phase == Phase::Down {
-            out.violate(
-                records::AT_MOST_ONCE,
+            out.add_violation(
+                registration_load::AT_MOST_ONCE,
                 sample.request_id(),
                 "done without a claim",
             );
         }
     }
     let not_refused = |sample: &&load::Sample| !sample.answered() && sample.ran() != Some("no");
-    for sample in records
+    for sample in registrations
         .samples()
         .filter(not_refused)
         .filter(|_| phase == Phase::Down)
     {
-        out.violate(REFUSED, sample.request_id(), reply_text(sample));
+        out.add_violation(REFUSED, sample.request_id(), reply_text(sample));
     }
 }
 
--- a/crates/standin/src/measure/outcome.rs
+++ b/crates/standin/src/measure/outcome.rs
@@ -39,12 +39,12 @@
 
 impl Outcome {
     /// Sets a figure, replacing any earlier value of that name.
-    pub fn figure(&mut self, name: impl Into<String>, value: f64) {
+    pub fn set_figure(&mut self, name: impl Into<String>, value: f64) {
         self.figures.insert(name.into(), value);
     }
 
     /// Adds a violation.
-    pub fn violate(
+    pub fn add_violation(
         &mut self,
         promise: &'static str,
         request: impl Into<String>,
--- a/crates/standin/src/measure/overload.rs
+++ b/crates/standin/src/measure/overload.rs
@@ -18,15 +18,16 @@
 
 const SERVICE: &str = "assessor-desk";
 const SHARDS: usize = 8;
-/// Slow enough that the machine itself can send twice the capacity of all upstreams.
-const WORK_MS: f64 = 40.0;
+/// Median running time of a call at an upstream, long enough that one machine can send twice
+/// the searches that all upstreams can run.
+const MEDIAN_RUNNING_TIME_MS: f64 = 40.0;
 /// Load as a share of the upstreams' capacity.
 const LOAD_SHARE: f64 = 2.0;
 const LOAD_DURATION: time::Duration = time::Duration::from_secs(12);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let spec = site::Spec {
-        work_ms: WORK_MS,
+        median_running_time_ms: MEDIAN_RUNNING_TIME_MS,
         ..site::Spec::small(SERVICE, SHARDS)
     };
     let bench = searches::Bench::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
@@ -38,6 +39,6 @@
         .filter(|search| search.is_complete_in_time())
         .count() as f64;
     let goodput = complete / LOAD_DURATION.as_secs_f64() / service.capacity();
-    out.figure("goodput_of_capacity_share", goodput);
+    out.set_figure("goodput_of_capacity_share", goodput);
     Ok(out)
 }
--- a/crates/standin/src/measure/records.rs
+++ b/crates/standin/src/measure/registration_load.rs
@@ -13,18 +13,19 @@
 use crate::measure::outcome;
 use crate::site;
 
-/// Promise that a record runs at most once.
+/// Promise that a registration runs at most once.
 pub const AT_MOST_ONCE: &str = "at most once";
-/// Promise that a registration which is refused as not run has not run.
+/// Promise that a registration which is refused as not run hasn't run.
 pub const NOT_RUN: &str = "not run means not run";
-/// Promise that a repeated registration is answered with the same result.
+/// Promise that an answer to a registration is the result of its run, and that repeats get
+/// the same result.
 pub const SAME_RESULT: &str = "repeats get the same result";
 /// Time that a caller waits before it sends an unanswered registration again.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(150);
 
 /// Open-loop load of registrations.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct Load {
     /// Start of each key.
     pub prefix: String,
     /// Mean number of keys a second.
@@ -35,8 +36,9 @@
     pub deadline: time::Duration,
     /// Share of keys that are sent twice, 5 ms apart.
     pub duplicate_share: f64,
-    /// Highest number of requests for a key without an answer, each to a VM other
-    /// than the last. A key that is sent twice has as many for each of the two.
+    /// Maximum number of times that a registration is sent until it is answered, each time
+    /// to another VM than the time before. If a key is sent twice, this limits each of the
+    /// two separately.
     pub max_attempts: usize,
 }
 
@@ -47,59 +49,64 @@
     samples: Vec<load::Sample>,
 }
 
-/// All registrations that were sent.
+/// All registrations that were sent, with the results of their requests.
 #[derive(Debug)]
-pub struct Tally {
+pub struct Registrations {
     registrations: Vec<Registration>,
 }
 
-/// Sends registrations as planned and waits for all.
+/// Sends the registrations of `load` and waits for all.
 ///
 /// # Errors
 /// Returns an error if the HTTP client can't be built.
 pub async fn send(
     site: &site::Site,
     service: &str,
-    plan: &Plan,
+    load: &Load,
     seed: u64,
-) -> Result<Tally, measure::Error> {
+) -> Result<Registrations, measure::Error> {
     let caller = load::Caller::new(site)?;
     let service = site.service(service).id().clone();
-    Ok(send_by(caller, service, plan.clone(), seed).await)
+    Ok(send_through(caller, service, load.clone(), seed).await)
 }
 
-/// Sends registrations as planned through `caller` and waits for all.
-pub async fn send_by(caller: load::Caller, service: ids::Service, plan: Plan, seed: u64) -> Tally {
-    let sent = load::open_loop(plan.rate, plan.duration, seed, |number| {
-        let key = format!("{}-{seed}-{number}", plan.prefix);
+/// Sends the registrations of `load` through `caller` and waits for all.
+pub async fn send_through(
+    caller: load::Caller,
+    service: ids::Service,
+    load: Load,
+    seed: u64,
+) -> Registrations {
+    let registrations = load::open_loop(load.rate, load.duration, seed, |number| {
+        let key = format!("{}-{seed}-{number}", load.prefix);
         let mut random = rand::rngs::StdRng::seed_from_u64(seed ^ number);
-        let duplicate = random.random_bool(plan.duplicate_share);
+        let duplicate = random.random_bool(load.duplicate_share);
         send_key(
             caller.clone(),
             service.clone(),
-            plan.clone(),
+            load.clone(),
             key,
             duplicate,
         )
     });
-    Tally {
-        registrations: sent.await,
+    Registrations {
+        registrations: registrations.await,
     }
 }
 
 async fn send_key(
     caller: load::Caller,
     service: ids::Service,
-    plan: Plan,
+    load: Load,
     key: String,
     duplicate: bool,
 ) -> Registration {
     let record = serde_json::json!({ "label": key });
-    let first = send_until_answered(&caller, &service, &plan, &key, &record);
+    let first = send_until_answered(&caller, &service, &load, &key, &record);
     let samples = if duplicate {
         let second = async {
             tokio::time::sleep(time::Duration::from_millis(5)).await;
-            send_until_answered(&caller, &service, &plan, &key, &record).await
+            send_until_answered(&caller, &service, &load, &key, &record).await
         };
         let (mut first, second) = tokio::join!(first, second);
         first.extend(second);
@@ -110,27 +117,27 @@
     Registration { key, samples }
 }
 
-/// Sends a registration until it is answered, at most `plan.max_attempts` times and each
-/// time to a VM other than the last.
+/// Sends a registration until it is answered, at most `load.max_attempts` times and each
+/// time to another VM than the time before.
 async fn send_until_answered(
     caller: &load::Caller,
     service: &ids::Service,
-    plan: &Plan,
+    load: &Load,
     key: &str,
     record: &serde_json::Value,
 ) -> Vec<load::Sample> {
     let mut samples: Vec<load::Sample> = Vec::new();
-    for _ in 0..plan.max_attempts {
+    for _ in 0..load.max_attempts {
         let last = samples.last().and_then(|sample| sample.vm.clone());
         let sample = caller
-            .register(service, key, record, plan.deadline, last.as_ref())
+            .register(service, key, record, load.deadline, last.as_ref())
             .await;
         let answered = sample.answered();
         samples.push(sample);
         if answered {
             break;
         }
-        if samples.len() < plan.max_attempts {
+        if samples.len() < load.max_attempts {
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
@@ -152,50 +159,55 @@
         let last = self.samples.last().map(load::Sample::request_id);
         let request = last.unwrap_or_default();
         if runs.len() > 1 {
-            out.violate(
+            out.add_violation(
                 AT_MOST_ONCE,
                 &request,
                 format!("{} ran {} times", self.key, runs.len()),
             );
         }
         if self.not_run() && !runs.is_empty() {
-            out.violate(NOT_RUN, &request, format!("{} ran: {runs:?}", self.key));
+            out.add_violation(NOT_RUN, &request, format!("{} ran: {runs:?}", self.key));
         }
-        // The name of a call at an upstream starts with the id of its request.
+        // `run.request` is the id of a call: `{id of the caller's request}.{vm}.{attempt}`.
         for sample in self
             .samples
             .iter()
             .filter(|sample| sample.ran() == Some("no"))
         {
-            let name = format!("{}.", sample.request_id());
-            if runs.iter().any(|run| run.request.starts_with(&name)) {
-                out.violate(NOT_RUN, sample.request_id(), format!("{} ran", self.key));
+            let call_id_prefix = format!("{}.", sample.request_id());
+            if runs
+                .iter()
+                .any(|run| run.request.starts_with(&call_id_prefix))
+            {
+                out.add_violation(NOT_RUN, sample.request_id(), format!("{} ran", self.key));
             }
         }
         let results: Vec<_> = self.results().collect();
         if !results.is_empty() && runs.is_empty() {
-            out.violate(
+            out.add_violation(
                 SAME_RESULT,
                 &request,
                 format!("{} was answered but never ran", self.key),
             );
         }
         if results.windows(2).any(|pair| pair[0] != pair[1]) {
-            out.violate(SAME_RESULT, &request, format!("{}: {results:?}", self.key));
+            out.add_violation(SAME_RESULT, &request, format!("{}: {results:?}", self.key));
         }
     }
 }
 
-impl Tally {
-    /// Returns the number of keys that were answered.
-    pub fn done(&self) -> usize {
-        let answered = |sent: &&Registration| sent.results().next().is_some();
+impl Registrations {
+    /// Returns the number of registrations that were answered.
+    pub fn answered_count(&self) -> usize {
+        let answered = |registration: &&Registration| registration.results().next().is_some();
         self.registrations.iter().filter(answered).count()
     }
 
     /// Returns the samples of all requests.
     pub fn samples(&self) -> impl Iterator<Item = &load::Sample> {
-        self.registrations.iter().flat_map(|sent| &sent.samples)
+        self.registrations
+            .iter()
+            .flat_map(|registration| &registration.samples)
     }
 
     /// Returns the figures and all broken promises.
@@ -208,10 +220,12 @@
         }
         let mut took = Vec::new();
         let mut counts = collections::BTreeMap::<_, u64>::new();
-        for sent in &self.registrations {
-            let runs = by_key.get(sent.key.as_str()).map_or(&[][..], Vec::as_slice);
-            sent.check(runs, &mut out);
-            for sample in &sent.samples {
+        for registration in &self.registrations {
+            let runs = by_key
+                .get(registration.key.as_str())
+                .map_or(&[][..], Vec::as_slice);
+            registration.check(runs, &mut out);
+            for sample in &registration.samples {
                 *counts.entry(outcome_name(sample)).or_default() += 1;
                 if sample.answered() {
                     took.push(sample.took);
@@ -222,24 +236,24 @@
         let requests: usize = self
             .registrations
             .iter()
-            .map(|sent| sent.samples.len())
+            .map(|registration| registration.samples.len())
             .sum();
-        out.figure("keys", self.registrations.len() as f64);
-        out.figure("requests", requests as f64);
-        out.figure(
+        out.set_figure("keys", self.registrations.len() as f64);
+        out.set_figure("requests", requests as f64);
+        out.set_figure(
             "done_share",
-            self.done() as f64 / self.registrations.len().max(1) as f64,
+            self.answered_count() as f64 / self.registrations.len().max(1) as f64,
         );
-        out.figure("p50_ms", quantile(&took, 0.5));
-        out.figure("p99_ms", quantile(&took, 0.99));
+        out.set_figure("p50_ms", quantile_ms(&took, 0.5));
+        out.set_figure("p99_ms", quantile_ms(&took, 0.99));
         for (name, count) in counts {
-            out.figure(name, count as f64);
+            out.set_figure(name, count as f64);
         }
         out
     }
 
-    /// Compares the ledger's state of each key with the runs at the upstreams. Keys
-    /// in `unsettled` may have run or not; every other key must agree.
+    /// Checks that the ledger's state of each key agrees with the runs at the upstreams. Keys
+    /// in `unsettled` may or may not have run.
     ///
     /// # Errors
     /// Returns an error if a VM doesn't answer.
@@ -256,8 +270,8 @@
         let Some((_, address)) = site.balancer.pick(None) else {
             return Ok(());
         };
-        for sent in &self.registrations {
-            let key = &sent.key;
+        for registration in &self.registrations {
+            let key = &registration.key;
             let url = format!(
                 "http://{address}/v1/services/{}/records/{key}",
                 service.id()
@@ -271,7 +285,7 @@
             };
             if !agrees {
                 let seen = format!("state of {key}: {status}, ran: {}", ran.contains(key));
-                out.violate(NOT_RUN, "-", seen);
+                out.add_violation(NOT_RUN, "-", seen);
             }
         }
         Ok(())
@@ -280,8 +294,8 @@
 
 fn outcome_name(sample: &load::Sample) -> String {
     match &sample.reply {
-        Err(load::Failure::Unsent(_)) => "unsent".to_owned(),
-        Err(load::Failure::Sent(_)) => "lost".to_owned(),
+        Err(load::Failure::NotSent(_)) => "unsent".to_owned(),
+        Err(load::Failure::NoReply(_)) => "lost".to_owned(),
         Ok(reply) if reply.status == 200 => "answered".to_owned(),
         Ok(reply) => {
             let error = &reply.body["error"];
@@ -291,9 +305,9 @@
     }
 }
 
-/// Returns the quantile `share` of sorted durations in milliseconds; 0 if there are
-/// none.
-pub(super) fn quantile(sorted: &[time::Duration], share: f64) -> f64 {
+/// Returns the quantile `share` (0 to 1) of sorted durations, in milliseconds, or 0 if there
+/// are no durations.
+pub(super) fn quantile_ms(sorted: &[time::Duration], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let index = (last as f64 * share).round() as usize;
     sorted
--- a/crates/standin/src/measure/registrations.rs
+++ b/crates/standin/src/measure/registrations.rs
@@ -8,7 +8,7 @@
 use geraniumgauge::ledger;
 
 use crate::measure;
-use crate::measure::records;
+use crate::measure::registration_load;
 use crate::site;
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
@@ -69,9 +69,9 @@
 ) -> Result<(), measure::Error> {
     let mut points = Vec::new();
     for (number, rate) in REGISTRATIONS_PER_S.into_iter().enumerate() {
-        let before = store_writes(site);
+        let writes_before = store_writes(site);
         let start = tokio::time::Instant::now();
-        let plan = records::Plan {
+        let load = registration_load::Load {
             prefix: format!("step-{number}"),
             rate,
             duration: LOAD_DURATION,
@@ -79,19 +79,23 @@
             duplicate_share: 0.0,
             max_attempts: 1,
         };
-        let tally = records::send(site, SERVICE, &plan, context.seed + number as u64).await?;
+        let registrations =
+            registration_load::send(site, SERVICE, &load, context.seed + number as u64).await?;
         let took = start.elapsed().as_secs_f64();
-        let (claims, writes) = (tally.done() as f64 / took, store_writes(site) - before);
+        let (claims, writes) = (
+            registrations.answered_count() as f64 / took,
+            store_writes(site) - writes_before,
+        );
         let writes = writes as f64 / took;
         points.push((claims, writes));
-        let mut outcome = tally.outcome(site.service(SERVICE));
-        outcome.figure("claims_per_s", claims);
-        outcome.figure("store_writes_per_s", writes);
-        outcome.figure("store_writes_a_claim", writes / claims.max(1e-9));
-        outcome.figure("plain_writes_a_claim", PLAIN_WRITES_PER_CLAIM);
+        let mut outcome = registrations.outcome(site.service(SERVICE));
+        outcome.set_figure("claims_per_s", claims);
+        outcome.set_figure("store_writes_per_s", writes);
+        outcome.set_figure("store_writes_a_claim", writes / claims.max(1e-9));
+        outcome.set_figure("plain_writes_a_claim", PLAIN_WRITES_PER_CLAIM);
         out.absorb(&format!("at_{rate:03}_"), outcome);
     }
-    out.figure("slope_store_writes_a_claim", slope(&points));
+    out.set_figure("slope_store_writes_a_claim", slope(&points));
     Ok(())
 }
 
@@ -125,7 +129,7 @@
         faults.lose_replies = 0.02;
         faults.shed_share = 0.05;
     });
-    let plan = records::Plan {
+    let load = registration_load::Load {
         prefix: "faulty".to_owned(),
         rate: FAULTY_REGISTRATIONS_PER_S,
         duration: FAULTY_DURATION,
@@ -133,26 +137,26 @@
         duplicate_share: 0.3,
         max_attempts: 4,
     };
-    let before = read_counters(site).await?;
+    let counters_before = read_counters(site).await?;
     let pausing = pause_vms(site);
-    let sent = records::send(site, SERVICE, &plan, context.seed + 100);
-    let (pauses, tally) = tokio::join!(pausing, sent);
-    let tally = tally?;
+    let sending = registration_load::send(site, SERVICE, &load, context.seed + 100);
+    let (pauses, registrations) = tokio::join!(pausing, sending);
+    let registrations = registrations?;
     site.platform
         .state()
         .set_faults(|faults| faults.lose_replies = 0.0);
     tokio::time::sleep(time::Duration::from_secs(3)).await;
     let unsettled = unsettled(site).await?;
-    let mut outcome = tally.outcome(site.service(SERVICE));
-    outcome.figure("freezes", pauses as f64);
-    outcome.figure("unsettled", unsettled.len() as f64);
+    let mut outcome = registrations.outcome(site.service(SERVICE));
+    outcome.set_figure("freezes", pauses as f64);
+    outcome.set_figure("unsettled", unsettled.len() as f64);
     for ((name, _), (before, now)) in COUNTERS
         .iter()
-        .zip(before.iter().zip(read_counters(site).await?))
+        .zip(counters_before.iter().zip(read_counters(site).await?))
     {
-        outcome.figure(*name, now - before);
+        outcome.set_figure(*name, now - before);
     }
-    tally
+    registrations
         .check_ledger(site, SERVICE, &unsettled, &mut outcome)
         .await?;
     out.absorb("faulty_", outcome);
@@ -163,8 +167,8 @@
 async fn read_counters(site: &site::Site) -> Result<Vec<f64>, measure::Error> {
     let client = reqwest::Client::new();
     let mut text = String::new();
-    for node in &site.nodes {
-        let url = format!("http://{}/metrics", node.operators());
+    for vm in &site.vms {
+        let url = format!("http://{}/metrics", vm.operators_address());
         text.push_str(&client.get(url).send().await?.text().await?);
     }
     let sum = |prefix: &str| {
@@ -182,7 +186,7 @@
     let rounds = usize::try_from(rounds).unwrap_or(0);
     for round in 0..rounds {
         tokio::time::sleep(PAUSE_INTERVAL).await;
-        site.nodes[round % site.nodes.len()].freeze(PAUSE_DURATION);
+        site.vms[round % site.vms.len()].freeze(PAUSE_DURATION);
     }
     rounds as u64
 }
--- a/crates/standin/src/measure/replica_loss.rs
+++ b/crates/standin/src/measure/replica_loss.rs
@@ -50,12 +50,12 @@
     let first_second = results
         .iter()
         .filter(|s| s.at >= LOSS_AT && s.at < LOSS_AT + RECOVERY_TIME);
-    out.figure(
+    out.set_figure(
         "whole_in_first_second_share",
         searches::complete_in_time_share(first_second),
     );
     let later = results.iter().filter(|s| s.at >= LOSS_AT + RECOVERY_TIME);
-    out.figure(
+    out.set_figure(
         "whole_afterwards_share",
         searches::complete_in_time_share(later),
     );
--- a/crates/standin/src/measure/searches.rs
+++ b/crates/standin/src/measure/searches.rs
@@ -11,9 +11,9 @@
 use crate::measure::tally;
 use crate::site;
 
-/// Promise that the homes open no more connections than an upstream accepts.
+/// Promise that the homes of an upstream open no more connections to it than it accepts.
 pub const WITHIN_CONNECTIONS: &str = "within the upstreams' connections";
-/// Promise that a request which never crashed an upstream isn't quarantined.
+/// Promise that requests which crashed no upstream aren't quarantined.
 pub const NO_FALSE_QUARANTINE: &str = "innocent requests aren't quarantined";
 
 /// Deadline of each search.
@@ -42,7 +42,8 @@
     }
 }
 
-/// Open-loop load of searches on a site.
+/// Open-loop load of searches whose query texts are chosen by [`send`] and whose deadline is
+/// [`DEADLINE`]. [`load::SearchLoad`] leaves both to the scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     /// Mean number of searches a second.
@@ -74,6 +75,32 @@
     Ok(searches.await)
 }
 
+/// Sends searches at random times, waits for all and tallies them.
+pub(super) async fn send_and_tally(
+    site: &site::Site,
+    service: &str,
+    rate: f64,
+    duration: time::Duration,
+    seed: u64,
+    deadline: time::Duration,
+) -> Result<tally::Tally, measure::Error> {
+    let caller = load::Caller::new(site)?;
+    let service = site.service(service);
+    let searches = load::SearchLoad {
+        text: "query",
+        rate,
+        duration,
+        seed,
+        deadline,
+    };
+    let samples = searches.send(caller, service.id().clone());
+    let mut tally = tally::Tally::default();
+    for (query, sample) in samples.await {
+        tally.add(&service.layout, &query, &sample);
+    }
+    Ok(tally)
+}
+
 /// A warmed-up site, the load to measure on it, and the counters of its homes and
 /// upstreams before that load.
 #[derive(Debug)]
@@ -81,8 +108,10 @@
     site: site::Site,
     service: ids::Service,
     load: Load,
-    arrived: u64,
-    sent: Attempts,
+    /// Shard calls that had reached the upstreams before the load.
+    arrived_before: u64,
+    /// Calls that the homes had sent before the load.
+    sent_before: Attempts,
 }
 
 impl Bench {
@@ -107,8 +136,8 @@
             seed: context.seed,
         };
         send(&site, id.as_str(), warm_up).await?;
-        let arrived = site.service(id.as_str()).counts().arrived();
-        let sent = Attempts::read(&site).await?;
+        let arrived_before = site.service(id.as_str()).counts().arrived();
+        let sent_before = Attempts::read(&site).await?;
         let load = Load {
             rate,
             duration,
@@ -118,8 +147,8 @@
             site,
             service: id,
             load,
-            arrived,
-            sent,
+            arrived_before,
+            sent_before,
         })
     }
 
@@ -141,8 +170,8 @@
     /// # Errors
     /// Returns an error if a VM's metrics can't be read.
     pub async fn summarize(&self, searches: &[Search]) -> Result<outcome::Outcome, measure::Error> {
-        let sent = Attempts::read(&self.site).await?.since(self.sent);
-        let arrived = self.service().counts().arrived() - self.arrived;
+        let sent = Attempts::read(&self.site).await?.since(self.sent_before);
+        let arrived = self.service().counts().arrived() - self.arrived_before;
         Ok(summarize(self.service(), searches, arrived, sent))
     }
 }
@@ -163,8 +192,8 @@
     pub async fn read(site: &site::Site) -> Result<Self, measure::Error> {
         let client = reqwest::Client::new();
         let mut sent = Self::default();
-        for node in &site.nodes {
-            let url = format!("http://{}/metrics", node.operators());
+        for vm in &site.vms {
+            let url = format!("http://{}/metrics", vm.operators_address());
             let text = client.get(url).send().await?.text().await?;
             sent.first += attempts_of_kind(&text, "First") + attempts_of_kind(&text, "Canary");
             sent.hedges += attempts_of_kind(&text, "Hedge");
@@ -183,10 +212,10 @@
     }
 
     /// Adds hedges and retries as shares of first attempts.
-    pub fn figures(self, out: &mut outcome::Outcome) {
+    pub fn set_figures(self, out: &mut outcome::Outcome) {
         let first = self.first.max(1.0);
-        out.figure("hedge_load_share", self.hedges / first);
-        out.figure("retry_load_share", self.retries / first);
+        out.set_figure("hedge_load_share", self.hedges / first);
+        out.set_figure("retry_load_share", self.retries / first);
     }
 }
 
@@ -214,19 +243,19 @@
         tally.add(&service.layout, &search.query, &search.sample);
     }
     let mut out = tally.outcome(arrived);
-    out.figure("whole_share", complete_in_time_share(searches));
-    sent.figures(&mut out);
+    out.set_figure("whole_share", complete_in_time_share(searches));
+    sent.set_figures(&mut out);
     for upstream in &service.upstreams {
         let counts = upstream.state().counts();
         if counts.connections_refused > 0 {
             let seen = format!("{}: {counts:?}", upstream.state().config().id);
-            out.violate(WITHIN_CONNECTIONS, "-", seen);
+            out.add_violation(WITHIN_CONNECTIONS, "-", seen);
         }
     }
     let quarantined = searches.iter().filter(|search| is_quarantined(search));
     for search in quarantined {
         let request = search.sample.request_id();
-        out.violate(NO_FALSE_QUARANTINE, request, "answered as quarantined");
+        out.add_violation(NO_FALSE_QUARANTINE, request, "answered as quarantined");
     }
     out
 }
--- a/crates/standin/src/measure/silent.rs
+++ b/crates/standin/src/measure/silent.rs
@@ -25,10 +25,10 @@
 /// Times at which the open connections become silent, from the start of the load.
 const SILENCES_AT: [time::Duration; 2] =
     [time::Duration::from_secs(3), time::Duration::from_secs(6)];
-/// Searches sent from this long before a silence until `AFTER_SILENCE` after it count
-/// as affected.
-const BEFORE_SILENCE: time::Duration = time::Duration::from_millis(100);
-const AFTER_SILENCE: time::Duration = time::Duration::from_millis(1000);
+/// A search sent less than this before a silence counts as affected.
+const AFFECTED_BEFORE: time::Duration = time::Duration::from_millis(100);
+/// A search sent less than this after a silence counts as affected.
+const AFFECTED_AFTER: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let bench = searches::Bench::start(
@@ -49,31 +49,31 @@
     let (results, ()) = tokio::join!(bench.send(), silence);
     let results = results?;
     let mut out = bench.summarize(&results).await?;
-    affected_figures(&results, &mut out);
+    set_affected_figures(&results, &mut out);
     Ok(out)
 }
 
-/// Adds figures of the searches that a silence may have affected and of the others.
-fn affected_figures(results: &[searches::Search], out: &mut outcome::Outcome) {
+/// Sets the figures of the searches that a silence may have affected and of the others.
+fn set_affected_figures(results: &[searches::Search], out: &mut outcome::Outcome) {
     let is_affected = |search: &&searches::Search| {
         SILENCES_AT
             .iter()
-            .any(|at| (*at - BEFORE_SILENCE..*at + AFTER_SILENCE).contains(&search.at))
+            .any(|at| (*at - AFFECTED_BEFORE..*at + AFFECTED_AFTER).contains(&search.at))
     };
     let (affected, others): (Vec<_>, Vec<_>) = results.iter().partition(is_affected);
-    out.figure(
+    out.set_figure(
         "met_whole_share",
         searches::complete_in_time_share(affected.iter().copied()),
     );
     for (name, searches) in [("met", affected), ("others", others)] {
         let mut took: Vec<_> = searches.iter().map(|search| search.sample.took).collect();
         took.sort();
-        let at = |share: f64| {
+        let quantile_ms = |share: f64| {
             let index = (took.len() as f64 * share) as usize;
             let duration = took.get(index.min(took.len().saturating_sub(1)));
             duration.copied().unwrap_or_default().as_secs_f64() * 1e3
         };
-        out.figure(format!("{name}_p99_ms"), at(0.99));
-        out.figure(format!("{name}_worst_ms"), at(1.0));
+        out.set_figure(format!("{name}_p99_ms"), quantile_ms(0.99));
+        out.set_figure(format!("{name}_worst_ms"), quantile_ms(1.0));
     }
 }
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -37,11 +37,11 @@
     send(&site, rate, WARM_UP_DURATION, context.seed)
         .await?
         .await;
-    let before = site.service(SERVICE).counts().arrived();
+    let arrived_before = site.service(SERVICE).counts().arrived();
     let sending = send(&site, rate, LOAD_DURATION, context.seed + 1).await?;
     let (samples, stops) = future::join(sending, replace_vms(&mut site)).await;
     let took = stops?;
-    let arrived = site.service(SERVICE).counts().arrived() - before;
+    let arrived = site.service(SERVICE).counts().arrived() - arrived_before;
     let mut tally = tally::Tally::default();
     let mut refusals = outcome::Outcome::default();
     for (query, sample) in &samples {
@@ -50,8 +50,8 @@
     }
     let mut out = tally.outcome(arrived);
     out.absorb("", refusals);
-    out.figure("stops", f64::from(site::VM_COUNT + 3));
-    out.figure("stops_took_ms", took.as_secs_f64() * 1e3);
+    out.set_figure("stops", f64::from(site::VM_COUNT + 3));
+    out.set_figure("stops_took_ms", took.as_secs_f64() * 1e3);
     Ok(out)
 }
 
@@ -65,7 +65,7 @@
 ) -> Result<impl Future<Output = Vec<SearchSample>> + use<>, measure::Error> {
     let caller = load::Caller::new(site)?;
     let service = site.service(SERVICE).id().clone();
-    let searches = load::Searches {
+    let searches = load::SearchLoad {
         text: "query",
         rate,
         duration,
@@ -79,11 +79,11 @@
 /// to it. [`tally::Tally`] already reports broken connections.
 fn check_not_refused(sample: &load::Sample, out: &mut outcome::Outcome) {
     let seen = match &sample.reply {
-        Err(load::Failure::Unsent(why)) => format!("not sent: {why}"),
+        Err(load::Failure::NotSent(why)) => format!("not sent: {why}"),
         Ok(reply) if reply.body["error"]["code"] == "stopping" => "refused: stopping".to_owned(),
         _ => return,
     };
-    out.violate(GRACEFUL, sample.request_id(), seen);
+    out.add_violation(GRACEFUL, sample.request_id(), seen);
 }
 
 /// Replaces one VM, then two at once, then as many as the site had, one by one.
--- a/crates/standin/src/measure/straggler.rs
+++ b/crates/standin/src/measure/straggler.rs
@@ -5,8 +5,7 @@
 use geraniumgauge::query;
 
 use crate::measure;
-use crate::measure::load;
-use crate::measure::tally;
+use crate::measure::searches;
 use crate::site;
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
@@ -32,7 +31,7 @@
         faults.straggler_factor = 30.0;
     });
     let rate = service.capacity() * LOAD_SHARE;
-    tally_searches(
+    searches::send_and_tally(
         &site,
         SERVICE,
         rate,
@@ -41,8 +40,8 @@
         DEADLINE,
     )
     .await?;
-    let before = service.counts().arrived();
-    let tally = tally_searches(
+    let arrived_before = service.counts().arrived();
+    let tally = searches::send_and_tally(
         &site,
         SERVICE,
         rate,
@@ -51,31 +50,5 @@
         DEADLINE,
     )
     .await?;
-    Ok(tally.outcome(service.counts().arrived() - before))
-}
-
-/// Sends searches at random times, waits for all and tallies them.
-pub(super) async fn tally_searches(
-    site: &site::Site,
-    service: &str,
-    rate: f64,
-    duration: time::Duration,
-    seed: u64,
-    deadline: time::Duration,
-) -> Result<tally::Tally, measure::Error> {
-    let caller = load::Caller::new(site)?;
-    let service = site.service(service);
-    let searches = load::Searches {
-        text: "query",
-        rate,
-        duration,
-        seed,
-        deadline,
-    };
-    let samples = searches.send(caller, service.id().clone());
-    let mut tally = tally::Tally::default();
-    for (query, sample) in samples.await {
-        tally.add(&service.layout, &query, &sample);
-    }
-    Ok(tally)
+    Ok(tally.outcome(service.counts().arrived() - arrived_before))
 }
--- a/crates/standin/src/measure/tally.rs
+++ b/crates/standin/src/measure/tally.rs
@@ -100,23 +100,23 @@
         let mut out = outcome::Outcome::default();
         let share = |part: u64, total: u64| part as f64 / total.max(1) as f64;
         for (name, quantile) in [("p50_ms", 0.5), ("p99_ms", 0.99), ("p999_ms", 0.999)] {
-            out.figure(name, self.latency.value_at_quantile(quantile) as f64 / 1e3);
+            out.set_figure(name, self.latency.value_at_quantile(quantile) as f64 / 1e3);
         }
-        out.figure("sent", self.sent as f64);
-        out.figure("answered_share", share(self.answered, self.sent));
-        out.figure("in_time_share", share(self.in_time, self.sent));
-        out.figure("complete_share", share(self.complete, self.answered));
-        out.figure("coverage_share", share(self.covered, self.shards));
-        out.figure("lost", self.lost as f64);
-        out.figure(
+        out.set_figure("sent", self.sent as f64);
+        out.set_figure("answered_share", share(self.answered, self.sent));
+        out.set_figure("in_time_share", share(self.in_time, self.sent));
+        out.set_figure("complete_share", share(self.complete, self.answered));
+        out.set_figure("coverage_share", share(self.covered, self.shards));
+        out.set_figure("lost", self.lost as f64);
+        out.set_figure(
             "extra_load_share",
             arrived as f64 / self.shards.max(1) as f64 - 1.0,
         );
         for (code, count) in &self.refused {
-            out.figure(format!("refused_{code}"), *count as f64);
+            out.set_figure(format!("refused_{code}"), *count as f64);
         }
         for (reason, count) in &self.missing {
-            out.figure(format!("missing_{reason}"), *count as f64);
+            out.set_figure(format!("missing_{reason}"), *count as f64);
         }
         out.violations = self.violations;
         out
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -11,14 +11,14 @@
 use crate::measure;
 use crate::measure::load;
 use crate::measure::outcome;
-use crate::measure::records;
+use crate::measure::registration_load;
 use crate::measure::searches;
 use crate::site;
 use crate::upstream;
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "together",
-    about: "VMs lost, paused, stopped; store down; upstreams crash, drain, cross replies: at once",
+    about: "at once: VMs lost, paused, stopped; store down; upstreams crash, drain, mix up replies",
     baseline: None,
     run: |context| Box::pin(run(context)),
 };
@@ -56,10 +56,10 @@
         LOAD_DURATION,
         context.seed,
     ));
-    let registering = tokio::spawn(records::send_by(
+    let registering = tokio::spawn(registration_load::send_through(
         caller.clone(),
         id.clone(),
-        plan(),
+        registration_load(),
         context.seed,
     ));
     let killed = cause_faults(&mut site, context.seed).await?;
@@ -77,13 +77,13 @@
     out.absorb("searches_", tally.outcome(0));
     out.figures.remove("searches_extra_load_share");
     out.absorb("registrations_", registered.outcome(site.service(SERVICE)));
-    out.figure("vms_killed", killed.len() as f64);
+    out.set_figure("vms_killed", killed.len() as f64);
     check_recovery(&site, &caller, context.seed, &mut out).await?;
     Ok(out)
 }
 
-fn plan() -> records::Plan {
-    records::Plan {
+fn registration_load() -> registration_load::Load {
+    registration_load::Load {
         prefix: "together".to_owned(),
         rate: REGISTRATIONS_PER_S,
         duration: LOAD_DURATION,
@@ -107,7 +107,7 @@
     seed: u64,
 ) -> Vec<(serde_json::Value, load::Sample)> {
     let deadline = searches::DEADLINE;
-    let searches = load::Searches {
+    let searches = load::SearchLoad {
         text: "together",
         rate,
         duration,
@@ -139,19 +139,19 @@
             set_platform_fault(site, |_| {});
         }
         match random.random_range(0..10) {
-            0 if site.nodes.len() > MIN_VMS => {
-                let index = random.random_range(0..site.nodes.len());
+            0 if site.vms.len() > MIN_VMS => {
+                let index = random.random_range(0..site.vms.len());
                 killed.insert(site.kill(index));
                 site.add().await?;
             }
-            1 if site.nodes.len() > MIN_VMS => {
-                let index = random.random_range(0..site.nodes.len());
+            1 if site.vms.len() > MIN_VMS => {
+                let index = random.random_range(0..site.vms.len());
                 drop(site.stop(index));
                 site.add().await?;
             }
             2 | 3 => {
-                let index = random.random_range(0..site.nodes.len());
-                site.nodes[index].freeze(FAULT_DURATION.mul_f64(random.random::<f64>()));
+                let index = random.random_range(0..site.vms.len());
+                site.vms[index].freeze(FAULT_DURATION.mul_f64(random.random::<f64>()));
             }
             4 => {
                 platform_until = tokio::time::Instant::now() + FAULT_DURATION;
@@ -237,10 +237,10 @@
             complete += 1;
         } else {
             let seen = reply.map_or("no answer".to_owned(), |reply| reply.body.to_string());
-            out.violate(RECOVERS, sample.request_id(), seen);
+            out.add_violation(RECOVERS, sample.request_id(), seen);
         }
     }
-    out.figure(
+    out.set_figure(
         "afterwards_whole_share",
         f64::from(complete) / samples.len().max(1) as f64,
     );
--- a/crates/standin/src/measure/usage.rs
+++ b/crates/standin/src/measure/usage.rs
@@ -32,10 +32,10 @@
 
     /// Adds the median as figure `name`, the minimum as `{name}_least` and the maximum
     /// as `{name}_most`.
-    pub(super) fn figure(self, name: &str, out: &mut outcome::Outcome) {
-        out.figure(name, self.median);
-        out.figure(format!("{name}_least"), self.min);
-        out.figure(format!("{name}_most"), self.max);
+    pub(super) fn set_figure(self, name: &str, out: &mut outcome::Outcome) {
+        out.set_figure(name, self.median);
+        out.set_figure(format!("{name}_least"), self.min);
+        out.set_figure(format!("{name}_most"), self.max);
     }
 }
 
@@ -73,8 +73,8 @@
 
 /// Reads one VM's `/metrics`, with each metric summed over its labels and named without
 /// the suffix `_total`. Empty if the VM doesn't answer.
-pub(super) async fn metrics(node: &site::Node) -> collections::BTreeMap<String, f64> {
-    let url = format!("http://{}/metrics", node.operators());
+pub(super) async fn metrics(vm: &site::RunningVm) -> collections::BTreeMap<String, f64> {
+    let url = format!("http://{}/metrics", vm.operators_address());
     let mut sums = collections::BTreeMap::new();
     let Ok(response) = reqwest::get(url).await else {
         return sums;
@@ -92,9 +92,9 @@
     sums
 }
 
-/// Returns the sum of one metric over all `nodes`.
-pub(super) async fn metric_sum(nodes: &[site::Node], name: &str) -> f64 {
-    let all_metrics = futures_util::future::join_all(nodes.iter().map(metrics)).await;
+/// Returns the sum of one metric over all `vms`.
+pub(super) async fn metric_sum(vms: &[site::RunningVm], name: &str) -> f64 {
+    let all_metrics = futures_util::future::join_all(vms.iter().map(metrics)).await;
     all_metrics
         .iter()
         .filter_map(|metrics| metrics.get(name))
--- a/crates/standin/src/measure/versions.rs
+++ b/crates/standin/src/measure/versions.rs
@@ -59,7 +59,7 @@
     };
     searches::send(&site, SERVICE, load).await?;
     let service = site.service(SERVICE);
-    let (before, sent) = (
+    let (arrived_before, sent_before) = (
         service.counts().arrived(),
         searches::Attempts::read(&site).await?,
     );
@@ -76,10 +76,10 @@
         (results, ()) = async { tokio::join!(searches::send(&site, SERVICE, load), repartition) } => results?,
         () = roll_out_versions(service) => Vec::new(),
     };
-    let sent = searches::Attempts::read(&site).await?.since(sent);
-    let arrived = service.counts().arrived() - before;
+    let sent = searches::Attempts::read(&site).await?.since(sent_before);
+    let arrived = service.counts().arrived() - arrived_before;
     let mut out = summarize(&results, &old_layout, &new_layout, arrived);
-    sent.figures(&mut out);
+    sent.set_figures(&mut out);
     Ok(out)
 }
 
@@ -103,11 +103,11 @@
         tally.add(layout, &search.query, &search.sample);
     }
     let mut out = tally.outcome(arrived);
-    out.figure("whole_share", searches::complete_in_time_share(results));
-    out.figure("at_old_layout", at_old);
-    out.figure("at_new_layout", at_new);
+    out.set_figure("whole_share", searches::complete_in_time_share(results));
+    out.set_figure("at_old_layout", at_old);
+    out.set_figure("at_new_layout", at_new);
     if at_new == 0.0 {
-        out.violate(check::ONE_SNAPSHOT, "-", "no search used the new layout");
+        out.add_violation(check::ONE_SNAPSHOT, "-", "no search used the new layout");
     }
     out
 }
--- a/crates/standin/src/measure/vm_loss.rs
+++ b/crates/standin/src/measure/vm_loss.rs
@@ -16,7 +16,7 @@
 
 pub(super) const SCENARIO: measure::Scenario = measure::Scenario {
     name: "vm-loss",
-    about: "one of 8 VMs dies under load, then two at once; searches touch 20 shards",
+    about: "one of 8 VMs dies under load, then two at once; searches ask 20 shards",
     baseline: Some(query::Policy::Direct),
     run: |context| Box::pin(run(context)),
 };
@@ -57,7 +57,7 @@
         .get("complete_share")
         .is_none_or(|share| *share == 0.0)
     {
-        out.violate(TAKEN_OVER, "-", "no answer was complete after the losses");
+        out.add_violation(TAKEN_OVER, "-", "no answer was complete after the losses");
     }
     out.absorb("after_", after);
     out.figures
@@ -74,7 +74,7 @@
     duration: time::Duration,
     seed: u64,
 ) -> Vec<SearchSample> {
-    let searches = load::Searches {
+    let searches = load::SearchLoad {
         text: "query",
         rate,
         duration,
@@ -94,8 +94,8 @@
     let service = site.service(SERVICE);
     let mut tally = tally::Tally::default();
     for (query, sample) in samples {
-        let at_dead = sample.vm.as_ref().is_some_and(|vm| dead.contains(vm));
-        if sample.reply.is_ok() || !at_dead {
+        let was_sent_to_dead = sample.vm.as_ref().is_some_and(|vm| dead.contains(vm));
+        if sample.reply.is_ok() || !was_sent_to_dead {
             tally.add(&service.layout, query, sample);
         }
     }
@@ -118,16 +118,16 @@
     };
     let (samples, (dead, removed)) = future::join(sending, losing).await;
     let mut out = tally_samples(site, &samples, &dead).outcome(0);
-    let at_dead = |(_, sample): &&SearchSample| {
+    let was_sent_to_dead = |(_, sample): &&SearchSample| {
         sample.reply.is_err() && sample.vm.as_ref().is_some_and(|vm| dead.contains(vm))
     };
-    out.figure(
+    out.set_figure(
         "lost_with_vm",
-        samples.iter().filter(at_dead).count() as f64,
+        samples.iter().filter(was_sent_to_dead).count() as f64,
     );
     match removed {
-        Some(took) => out.figure("removed_ms", took.as_secs_f64() * 1e3),
-        None => out.violate(REMOVED, "-", format!("{dead:?} after {REMOVAL_TIMEOUT:?}")),
+        Some(took) => out.set_figure("removed_ms", took.as_secs_f64() * 1e3),
+        None => out.add_violation(REMOVED, "-", format!("{dead:?} after {REMOVAL_TIMEOUT:?}")),
     }
     out
 }
@@ -136,9 +136,9 @@
 /// that took, or `None` after `REMOVAL_TIMEOUT`.
 pub(super) async fn wait_until_removed(site: &site::Site) -> Option<time::Duration> {
     let start = tokio::time::Instant::now();
-    let expected = site.nodes.len() as f64;
+    let expected = site.vms.len() as f64;
     while start.elapsed() < REMOVAL_TIMEOUT {
-        let metrics = future::join_all(site.nodes.iter().map(usage::metrics)).await;
+        let metrics = future::join_all(site.vms.iter().map(usage::metrics)).await;
         let has_all = |figures: &collections::BTreeMap<String, f64>| {
             figures.get("member_live").copied() == Some(expected)
         };
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -137,7 +137,7 @@
         match self.state.objects(|objects| objects.get(key)) {
             Ok(object) => {
                 let mut response = serve::build(200, "application/octet-stream", object.body);
-                serve::set(&mut response, OBJECT_VERSION, object.version);
+                serve::set_header(&mut response, OBJECT_VERSION, object.version);
                 response
             }
             Err(error) => error_response(&error),
@@ -156,7 +156,7 @@
         {
             Ok(version) => {
                 let mut response = serve::text(200, "");
-                serve::set(&mut response, OBJECT_VERSION, version);
+                serve::set_header(&mut response, OBJECT_VERSION, version);
                 response
             }
             Err(error) => error_response(&error),
@@ -254,7 +254,7 @@
     match error {
         store::Error::Conflict { current, .. } => {
             let mut response = serve::text(412, error.to_string());
-            serve::set(&mut response, OBJECT_VERSION, *current);
+            serve::set_header(&mut response, OBJECT_VERSION, *current);
             response
         }
         store::Error::Missing { .. } => serve::text(404, error.to_string()),
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -147,8 +147,8 @@
     response
 }
 
-/// Sets a header unless the value isn't a valid header value.
-pub fn set(response: &mut Response, name: &'static str, value: impl ToString) {
+/// Sets a header; does nothing if the value isn't valid in a header.
+pub fn set_header(response: &mut Response, name: &'static str, value: impl ToString) {
     if let Ok(value) = value.to_string().parse() {
         response.headers_mut().insert(name, value);
     }
--- a/crates/standin/src/site/balancer.rs
+++ b/crates/standin/src/site/balancer.rs
@@ -22,8 +22,8 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Target {
-    callers: net::SocketAddr,
-    operators: net::SocketAddr,
+    callers_address: net::SocketAddr,
+    operators_address: net::SocketAddr,
     ready: bool,
 }
 
@@ -36,10 +36,15 @@
     }
 
     /// Adds a VM, if it isn't known yet; it gets requests once a probe finds it ready.
-    pub fn add(&self, vm: &ids::Vm, callers: net::SocketAddr, operators: net::SocketAddr) {
+    pub fn add(
+        &self,
+        vm: &ids::Vm,
+        callers_address: net::SocketAddr,
+        operators_address: net::SocketAddr,
+    ) {
         let target = Target {
-            callers,
-            operators,
+            callers_address,
+            operators_address,
             ready: false,
         };
         self.write().entry(vm.clone()).or_insert(target);
@@ -61,10 +66,12 @@
         let ready = targets
             .iter()
             .filter(|(vm, target)| target.ready && Some(*vm) != exclude);
-        let ready: Vec<_> = ready.map(|(vm, target)| (vm, target.callers)).collect();
+        let ready: Vec<_> = ready
+            .map(|(vm, target)| (vm, target.callers_address))
+            .collect();
         ready
             .choose(&mut rand::rng())
-            .map(|(vm, callers)| ((*vm).clone(), *callers))
+            .map(|(vm, address)| ((*vm).clone(), *address))
     }
 
     fn read(&self) -> sync::RwLockReadGuard<'_, collections::BTreeMap<ids::Vm, Target>> {
@@ -105,7 +112,7 @@
 }
 
 async fn probe(client: &reqwest::Client, vm: ids::Vm, target: Target) -> (ids::Vm, bool) {
-    let url = format!("http://{}/readyz", target.operators);
+    let url = format!("http://{}/readyz", target.operators_address);
     let response = client.get(url).send().await;
     (
         vm,
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -4,20 +4,20 @@
 //! frozen like a paused machine.
 
 mod balancer;
-mod node;
-mod serve;
+mod preset;
+mod running_vm;
 mod service;
-mod sites;
+mod upstreams;
 
 pub use balancer::Balancer;
-pub use node::Node;
-pub use serve::serve;
+pub use preset::Preset;
+pub use preset::VM_COUNT;
+pub use running_vm::RunningVm;
 pub use service::Service;
 pub use service::Spec;
 pub use service::parse_id;
 pub use service::shard_id;
-pub use sites::Name;
-pub use sites::VM_COUNT;
+pub use upstreams::start_upstreams;
 
 use std::io;
 use std::net;
@@ -93,7 +93,7 @@
     /// Services with their upstreams.
     pub services: Vec<Service>,
     /// VMs that were started and neither stopped nor killed.
-    pub nodes: Vec<Node>,
+    pub vms: Vec<RunningVm>,
     /// Load balancer that picks the VM for a caller's request.
     pub balancer: sync::Arc<Balancer>,
     config: Config,
@@ -125,7 +125,7 @@
         let mut site = Self {
             platform,
             services,
-            nodes: Vec::new(),
+            vms: Vec::new(),
             balancer,
             config,
             started: 0,
@@ -145,8 +145,8 @@
         let number = self.started;
         self.started += 1;
         let config = self.vm_config(number);
-        let node = Node::start(config).await?;
-        self.nodes.push(node);
+        let vm = RunningVm::start(config).await?;
+        self.vms.push(vm);
         self.publish_vms();
         Ok(())
     }
@@ -157,11 +157,11 @@
     /// If a VM isn't ready in time.
     pub async fn wait_until_ready(&self) -> Result<(), Error> {
         let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
-        for node in &self.nodes {
-            while !self.balancer.is_ready(node.vm()) {
+        for vm in &self.vms {
+            while !self.balancer.is_ready(vm.id()) {
                 if tokio::time::Instant::now() > deadline {
                     return Err(Error::NotReady {
-                        vm: node.vm().clone(),
+                        vm: vm.id().clone(),
                     });
                 }
                 tokio::time::sleep(time::Duration::from_millis(20)).await;
@@ -170,26 +170,26 @@
         Ok(())
     }
 
-    /// Kills the VM at index `at` abruptly and removes it from the site. The platform lists
+    /// Kills the VM at `index` abruptly and removes it from the site. The platform lists
     /// the change after its lag, and the balancer notices at its next probe.
-    pub fn kill(&mut self, at: usize) -> ids::Vm {
-        let node = self.nodes.remove(at);
-        let vm = node.vm().clone();
-        node.kill();
+    pub fn kill(&mut self, index: usize) -> ids::Vm {
+        let vm = self.vms.remove(index);
+        let id = vm.id().clone();
+        vm.kill();
         self.publish_vms();
-        vm
+        id
     }
 
-    /// Removes the VM at index `at` and stops it gracefully; the returned task ends when it
+    /// Removes the VM at `index` and stops it gracefully; the returned task ends when it
     /// has stopped.
-    pub fn stop(&mut self, at: usize) -> tokio::task::JoinHandle<()> {
-        let node = self.nodes.remove(at);
+    pub fn stop(&mut self, index: usize) -> tokio::task::JoinHandle<()> {
+        let vm = self.vms.remove(index);
         self.publish_vms();
         let balancer = sync::Arc::clone(&self.balancer);
         tokio::spawn(async move {
-            let vm = node.vm().clone();
-            node.stop().await;
-            balancer.remove(&vm);
+            let id = vm.id().clone();
+            vm.stop().await;
+            balancer.remove(&id);
         })
     }
 
@@ -232,7 +232,7 @@
         config.callers = any;
         config.operators = any;
         config.mesh = any;
-        config.seeds = self.nodes.iter().map(Node::mesh).collect();
+        config.seeds = self.vms.iter().map(RunningVm::mesh_address).collect();
         config.policy = self.config.policy;
         config.balancer_wait = self.config.balancer_wait;
         config
@@ -240,18 +240,18 @@
 
     /// Sends the current list of VMs to the platform and adds new ones to the balancer.
     fn publish_vms(&self) {
-        let entry = |node: &Node| store::Vm {
-            vm: node.vm().clone(),
-            address: node.mesh(),
-            data_centre: node.data_centre().clone(),
+        let entry = |vm: &RunningVm| store::Vm {
+            vm: vm.id().clone(),
+            address: vm.mesh_address(),
+            data_centre: vm.data_centre().clone(),
             leaving: false,
         };
         self.platform
             .state()
-            .set_vms(self.nodes.iter().map(entry).collect());
-        for node in &self.nodes {
+            .set_vms(self.vms.iter().map(entry).collect());
+        for vm in &self.vms {
             self.balancer
-                .add(node.vm(), node.callers(), node.operators());
+                .add(vm.id(), vm.callers_address(), vm.operators_address());
         }
     }
 }
--- a/crates/standin/src/site/sites.rs
+++ b/crates/standin/src/site/preset.rs
@@ -1,4 +1,4 @@
-//! The users' current sites, with the sizes that the users gave.
+//! Predefined sites, with the services and sizes of real ones.
 
 use std::net;
 use std::time;
@@ -8,21 +8,22 @@
 
 use crate::site;
 
-/// One of the users' sites.
+/// A predefined site, with the services and sizes of a real one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::FromStr)]
 #[display(rename_all = "lowercase")]
 #[from_str(rename_all = "lowercase")]
-pub enum Name {
+pub enum Preset {
     /// A site that values coverage most.
     Kowhai,
     /// A site that values tail latency most.
     Authority,
 }
 
-impl Name {
-    /// Returns the site's services. What the users call a service of a workload is a shard
-    /// here, because a query of the workload calls all of them.
+impl Preset {
+    /// Returns the site's services. A service here is a workload of the real site, and its
+    /// shards are what the real site calls the services of the workload: a query of the
+    /// workload calls all of them.
     pub fn services(self) -> Vec<site::Spec> {
         match self {
             Self::Kowhai => vec![
@@ -48,8 +49,8 @@
 /// Offset from the platform's port to the first VM's port for operators.
 const OPERATORS_PORT_OFFSET: u16 = 30;
 
-/// Addresses of the processes that `scripts/site` starts; it contains the same numbers.
-impl Name {
+// Addresses of the processes that `scripts/site` starts; it contains the same numbers.
+impl Preset {
     /// Returns the platform's port; the other processes have higher ones.
     pub fn platform_port(self) -> u16 {
         match self {
@@ -74,8 +75,8 @@
     }
 }
 
-/// Number of shards of the workloads for which the users gave none.
-const LARGE_SHARDS: usize = 8;
+/// Number of shards of the services for which the real number isn't known.
+const DEFAULT_SHARD_COUNT: usize = 8;
 
 fn small(id: &str, shards: usize, objective: document::Objective) -> site::Spec {
     site::Spec::small(id, shards).with_document(|document| {
@@ -86,7 +87,7 @@
 }
 
 fn large(id: &str, replicas: usize, slots: u32, connections: u32) -> site::Spec {
-    let spec = site::Spec::small(id, LARGE_SHARDS);
+    let spec = site::Spec::small(id, DEFAULT_SHARD_COUNT);
     site::Spec {
         replicas,
         slots,
--- a/crates/standin/src/site/node.rs
+++ b/crates/standin/src/site/running_vm.rs
@@ -13,8 +13,8 @@
 
 /// A running VM; dropping it kills it.
 #[derive(Debug)]
-pub struct Node {
-    vm: ids::Vm,
+pub struct RunningVm {
+    id: ids::Vm,
     data_centre: ids::DataCentre,
     addresses: vm::Addresses,
     commands: mpsc::UnboundedSender<Command>,
@@ -28,7 +28,7 @@
     Stop(oneshot::Sender<()>),
 }
 
-impl Node {
+impl RunningVm {
     /// Starts a VM and returns once it listens, before it is ready.
     ///
     /// # Errors
@@ -36,13 +36,13 @@
     pub async fn start(config: vm::Config) -> Result<Self, site::Error> {
         let (commands, receiver) = mpsc::unbounded_channel();
         let (started_sender, started) = oneshot::channel();
-        let (vm, data_centre) = (config.vm.clone(), config.data_centre.clone());
+        let (id, data_centre) = (config.vm.clone(), config.data_centre.clone());
         let run = move || run_thread(config, receiver, started_sender);
-        thread::Builder::new().name(vm.to_string()).spawn(run)?;
+        thread::Builder::new().name(id.to_string()).spawn(run)?;
         let thread_ended = || std::io::Error::other("the VM's thread ended while starting");
         let addresses = started.await.map_err(|_| thread_ended())??;
         Ok(Self {
-            vm,
+            id,
             data_centre,
             addresses,
             commands,
@@ -50,8 +50,8 @@
     }
 
     /// Returns the VM's name.
-    pub fn vm(&self) -> &ids::Vm {
-        &self.vm
+    pub fn id(&self) -> &ids::Vm {
+        &self.id
     }
 
     /// Returns the data centre that it runs in.
@@ -60,17 +60,17 @@
     }
 
     /// Returns the address for callers.
-    pub fn callers(&self) -> net::SocketAddr {
+    pub fn callers_address(&self) -> net::SocketAddr {
         self.addresses.callers
     }
 
     /// Returns the address for operators.
-    pub fn operators(&self) -> net::SocketAddr {
+    pub fn operators_address(&self) -> net::SocketAddr {
         self.addresses.operators
     }
 
     /// Returns the address for other VMs.
-    pub fn mesh(&self) -> net::SocketAddr {
+    pub fn mesh_address(&self) -> net::SocketAddr {
         self.addresses.mesh
     }
 
@@ -79,9 +79,9 @@
         let _ = self.commands.send(Command::Kill);
     }
 
-    /// Pauses the VM for `span`: none of its tasks run, its sockets stay open.
-    pub fn freeze(&self, span: time::Duration) {
-        let _ = self.commands.send(Command::Freeze(span));
+    /// Pauses the VM for `duration`: none of its tasks run, its sockets stay open.
+    pub fn freeze(&self, duration: time::Duration) {
+        let _ = self.commands.send(Command::Freeze(duration));
     }
 
     /// Stops the VM gracefully and returns when it has ended.
@@ -122,7 +122,7 @@
     let _ = started.send(Ok(vm.addresses()));
     loop {
         match commands.recv().await {
-            Some(Command::Freeze(span)) => thread::sleep(span),
+            Some(Command::Freeze(duration)) => thread::sleep(duration),
             Some(Command::Stop(done)) => {
                 vm.stop().await;
                 let _ = done.send(());
--- a/crates/standin/src/site/service.rs
+++ b/crates/standin/src/site/service.rs
@@ -28,13 +28,14 @@
     /// Time to set up a connection to an upstream, in milliseconds.
     pub connect_ms: u32,
     /// Median running time of a request at an upstream, in milliseconds.
-    pub work_ms: f64,
+    pub median_running_time_ms: f64,
     /// Document of the service's team.
     pub document: document::Document,
 }
 
 impl Spec {
-    /// Returns a service like the users' small ones: 2 replicas with 2 slots.
+    /// Returns the specification of a small service: 2 replicas of each shard, each with 2
+    /// slots and a median running time of 4 ms.
     pub fn small(id: &str, shards: usize) -> Self {
         Self {
             id: parse_id(id.to_owned()),
@@ -43,7 +44,7 @@
             slots: 2,
             connections: 25,
             connect_ms: 6,
-            work_ms: 4.0,
+            median_running_time_ms: 4.0,
             document: document::Document::default(),
         }
     }
@@ -151,7 +152,7 @@
         sum
     }
 
-    /// Returns the records that any upstream ran.
+    /// Returns the registrations that ran at any upstream.
     pub fn runs(&self) -> Vec<upstream::Run> {
         self.upstreams
             .iter()
@@ -163,7 +164,7 @@
     /// calls every shard once.
     pub fn capacity(&self) -> f64 {
         let slots = f64::from(self.spec.slots) * self.spec.replicas as f64;
-        slots * 1000.0 / self.spec.work_ms
+        slots * 1000.0 / self.spec.median_running_time_ms
     }
 }
 
@@ -178,22 +179,24 @@
             queue: self.slots,
             connections: self.connections,
             connect_ms: u64::from(self.connect_ms),
-            work_ms: self.work_ms,
+            median_running_time_ms: self.median_running_time_ms,
             seed: seed.wrapping_mul(7919).wrapping_add(number),
         }
     }
 
     fn layout(&self, upstreams: &[upstream::Server], data_centres: usize) -> layout::Layout {
-        let upstream = |(number, server): (usize, &upstream::Server)| layout::Upstream {
-            id: server.state().config().id.clone(),
-            address: server.address(),
-            data_centre: site::data_centre(
-                number / self.replicas + number % self.replicas,
-                data_centres,
-            ),
-            slots: self.slots,
-            connections: self.connections,
-            connect_ms: self.connect_ms,
+        // The replicas of a shard are in successive data centres, which start one further for
+        // each shard.
+        let upstream = |(number, server): (usize, &upstream::Server)| {
+            let (shard, replica) = (number / self.replicas, number % self.replicas);
+            layout::Upstream {
+                id: server.state().config().id.clone(),
+                address: server.address(),
+                data_centre: site::data_centre(shard + replica, data_centres),
+                slots: self.slots,
+                connections: self.connections,
+                connect_ms: self.connect_ms,
+            }
         };
         let replicas = |shard: usize| {
             let first = shard * self.replicas;
--- a/crates/standin/src/site/serve.rs
+++ b/crates/standin/src/site/upstreams.rs
@@ -1,4 +1,5 @@
-//! Runs a site's upstreams in one process and publishes them to a platform elsewhere.
+//! Runs a site's upstreams in one process, and writes the layouts and documents of its
+//! services to the store of a platform in another process.
 
 use geraniumgauge::ids;
 use geraniumgauge::layout;
@@ -9,7 +10,7 @@
 
 use crate::site;
 
-/// Reasons why a site's upstreams can't be served.
+/// Reasons why a site's upstreams can't be started.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::From, derive_more::Error)]
 pub enum Error {
@@ -29,17 +30,17 @@
 ///
 /// # Errors
 /// If an upstream can't listen or the store fails.
-pub async fn serve(
-    name: site::Name,
-    platform: &str,
+pub async fn start_upstreams(
+    site: site::Preset,
+    platform_url: &str,
     data_centres: usize,
     first_port: Option<u16>,
 ) -> Result<Vec<site::Service>, Error> {
     let meter = metrics::Metrics::new()?.meter();
-    let store = store::Client::new(platform.to_owned(), Clock::start(), &meter)?;
+    let store = store::Client::new(platform_url.to_owned(), Clock::start(), &meter)?;
     let mut services = Vec::new();
     let mut port = first_port;
-    for (number, spec) in name.services().into_iter().enumerate() {
+    for (number, spec) in site.services().into_iter().enumerate() {
         let mut service = site::Service::start(spec, data_centres, number as u64, port).await?;
         service.layout.version = next_version(&store, service.id()).await?;
         let used = u16::try_from(service.upstreams.len()).unwrap_or(u16::MAX);
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/site_load.rs
@@ -21,15 +21,15 @@
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Site to send requests to.
-    pub site: site::Name,
+    pub site: site::Preset,
     /// Service of the site.
     pub service: ids::Service,
     /// Average number of requests per second.
     pub rate: rate::PerSecond,
     /// Duration of the load.
-    pub span: time::Duration,
+    pub duration: time::Duration,
     /// Sends registrations instead of searches.
-    pub records: bool,
+    pub send_registrations: bool,
 }
 
 /// Reasons why load can't be sent to a site.
@@ -58,7 +58,7 @@
 
 impl Report {
     /// Returns whether no promise was broken.
-    pub fn is_sound(&self) -> bool {
+    pub fn kept_all_promises(&self) -> bool {
         self.outcome.violations.is_empty()
     }
 }
@@ -78,8 +78,8 @@
 
 /// Deadline of each request.
 const DEADLINE: time::Duration = time::Duration::from_secs(2);
-/// Wait for the balancer to finish its first round of probes.
-const FIRST_PROBE_DELAY: time::Duration = time::Duration::from_millis(500);
+/// Time given to the balancer to probe every VM once before load is sent.
+const FIRST_PROBES_DURATION: time::Duration = time::Duration::from_millis(500);
 
 /// Sends requests and summarizes the replies.
 ///
@@ -92,25 +92,25 @@
     let layout: layout::Layout = serde_json::from_slice(&object.body)?;
     let balancer = site::Balancer::start();
     for number in 0..site::VM_COUNT {
-        let (callers, operators) = config.site.vm_addresses(number);
+        let (callers_address, operators_address) = config.site.vm_addresses(number);
         let vm = site::parse_id(format!("{}-vm-{number}", config.site));
-        balancer.add(&vm, callers, operators);
+        balancer.add(&vm, callers_address, operators_address);
     }
-    tokio::time::sleep(FIRST_PROBE_DELAY).await;
+    tokio::time::sleep(FIRST_PROBES_DURATION).await;
     let caller = load::Caller::with_balancer(balancer)?;
-    let outcome = match config.records {
-        false => searches(config, &caller, &layout).await,
-        true => records(config, &caller).await,
+    let outcome = match config.send_registrations {
+        false => send_searches(config, &caller, &layout).await,
+        true => send_registrations(config, &caller).await,
     };
     Ok(Report { outcome })
 }
 
-async fn searches(
+async fn send_searches(
     config: &Config,
     caller: &load::Caller,
     layout: &layout::Layout,
 ) -> outcome::Outcome {
-    let samples = load::open_loop(config.rate.0, config.span, 1, |number| {
+    let samples = load::open_loop(config.rate.0, config.duration, 1, |number| {
         let (caller, service) = (caller.clone(), config.service.clone());
         let query = serde_json::json!({ "text": format!("load {}", number % 50) });
         async move {
@@ -122,18 +122,19 @@
     for (query, sample) in samples.await {
         tally.add(layout, &query, &sample);
     }
-    // The extra load can't be computed without the upstreams' counts.
+    // The number of calls that reached the upstreams isn't known here: it is passed as 0,
+    // and `extra_load_share`, which is computed from it, is removed.
     let mut outcome = tally.outcome(0);
     outcome.figures.remove("extra_load_share");
     outcome
 }
 
-/// The promise that [`records`] checks: every request gets an answer or a refusal.
+/// Promise that [`send_registrations`] checks: every request that was sent gets a reply.
 const ANSWERED: &str = crate::measure::check::ANSWERED;
 
-async fn records(config: &Config, caller: &load::Caller) -> outcome::Outcome {
+async fn send_registrations(config: &Config, caller: &load::Caller) -> outcome::Outcome {
     let run = rand::random::<u32>();
-    let samples = load::open_loop(config.rate.0, config.span, 1, |number| {
+    let samples = load::open_loop(config.rate.0, config.duration, 1, |number| {
         let (caller, service) = (caller.clone(), config.service.clone());
         let key = format!("load-{run:x}-{number}");
         let record = serde_json::json!({ "number": number });
@@ -152,16 +153,16 @@
                 "refused_ran_{}",
                 reply.body["error"]["ran"].as_str().unwrap_or("-")
             ),
-            Err(load::Failure::Unsent(_)) => "unsent".to_owned(),
-            Err(load::Failure::Sent(why)) => {
-                outcome.violate(ANSWERED, sample.request_id(), why);
+            Err(load::Failure::NotSent(_)) => "unsent".to_owned(),
+            Err(load::Failure::NoReply(why)) => {
+                outcome.add_violation(ANSWERED, sample.request_id(), why);
                 "lost".to_owned()
             }
         };
         *counts.entry(name).or_default() += 1;
     }
     for (name, count) in counts {
-        outcome.figure(name, count as f64);
+        outcome.set_figure(name, count as f64);
     }
     outcome
 }
--- a/crates/standin/src/upstream/config.rs
+++ b/crates/standin/src/upstream/config.rs
@@ -22,7 +22,7 @@
     /// Delay before the first request of a new connection is read, in milliseconds.
     pub connect_ms: u64,
     /// Median running time of a request, in milliseconds.
-    pub work_ms: f64,
+    pub median_running_time_ms: f64,
     /// Seed of its random number generator.
     pub seed: u64,
 }
--- a/crates/standin/src/upstream/corpus.rs
+++ b/crates/standin/src/upstream/corpus.rs
@@ -3,8 +3,8 @@
 
 use geraniumgauge::ids;
 
-/// Number of hits that a shard returns for a query.
-pub const HITS: u64 = 5;
+/// Number of hits that each shard returns for a query.
+pub const HITS_PER_SHARD: u64 = 5;
 
 /// A record that matches a query.
 #[derive(Debug, Clone, PartialEq)]
@@ -21,7 +21,7 @@
 /// Returns the hits of `shard` for `query` (as JSON text) at index version `version`.
 pub fn hits(shard: &ids::Shard, query: &str, version: u64) -> Vec<Hit> {
     let seed = xxhash_rust::xxh3::xxh3_64(query.as_bytes());
-    (0..HITS)
+    (0..HITS_PER_SHARD)
         .map(|number| hit(shard, seed, version, number))
         .collect()
 }
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-in for an upstream server, with limited slots and connections, index versions,
-//! and the faults that the product must tolerate.
+//! and the faults that the query tier must tolerate.
 
 mod config;
 pub mod corpus;
@@ -22,7 +22,8 @@
 use crate::serve;
 
 /// A running upstream; dropping it stops it. A crash closes its port and all its
-/// connections; it restarts cold at the same address after its restart time.
+/// connections; it listens again at the same address after `restart_ms`, and runs requests
+/// more slowly at first (`cold_factor`).
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -57,7 +58,7 @@
         self.address
     }
 
-    /// Returns its faults, counts and log of records run.
+    /// Returns its faults, counts and log of registrations that ran.
     pub fn state(&self) -> &State {
         &self.state
     }
--- a/crates/standin/src/upstream/routes.rs
+++ b/crates/standin/src/upstream/routes.rs
@@ -83,20 +83,20 @@
         }
     }
 
-    /// Handles a search or record. Every reply carries the id of its request, including
-    /// refusals: one without an id is no proof that a record was not run.
+    /// Handles a search or registration. Every reply carries the id of its request, including
+    /// refusals: one without an id is no proof that a registration was not run.
     async fn handle_work(
         &self,
         request: serve::Request,
         shard: ids::Shard,
-        record: bool,
+        is_registration: bool,
     ) -> serve::Reply {
         let id: Option<String> = serve::header(&request, contract::REQUEST_ID);
-        let mut reply = self.admit_and_run(request, shard, record).await;
+        let mut reply = self.admit_and_run(request, shard, is_registration).await;
         if let (serve::Reply::Answer(response), Some(id)) = (&mut reply, id)
             && !response.headers().contains_key(contract::REQUEST_ID)
         {
-            serve::set(response, contract::REQUEST_ID, id);
+            serve::set_header(response, contract::REQUEST_ID, id);
         }
         reply
     }
@@ -106,7 +106,7 @@
         &self,
         request: serve::Request,
         shard: ids::Shard,
-        record: bool,
+        is_registration: bool,
     ) -> serve::Reply {
         let faults = self.state.faults();
         if faults.draining {
@@ -121,7 +121,7 @@
         }
         let requested = serve::header(&request, contract::INDEX_VERSION);
         let version = requested.unwrap_or(faults.newest);
-        if !record && !(faults.oldest..=faults.newest).contains(&version) {
+        if !is_registration && !(faults.oldest..=faults.newest).contains(&version) {
             return serve::Reply::Answer(version_unavailable(&faults));
         }
         let id: String = serve::header(&request, contract::REQUEST_ID).unwrap_or_default();
@@ -138,7 +138,7 @@
             id,
             shard,
             version,
-            record,
+            is_registration,
             faults,
             request,
         };
@@ -175,8 +175,8 @@
         let crossed = self.state.chance(job.faults.crossed_share);
         let wrong = self.state.chance(job.faults.wrong_version_share);
         let version = if wrong { job.version + 1 } else { job.version };
-        let mut response = if job.record {
-            job.record_response()
+        let mut response = if job.is_registration {
+            job.registration_response()
         } else {
             job.search_response(version)
         };
@@ -185,18 +185,18 @@
         } else {
             job.id.clone()
         };
-        serve::set(&mut response, contract::REQUEST_ID, id);
-        serve::set(&mut response, contract::SHARD, &job.shard);
-        serve::set(&mut response, contract::INDEX_VERSION, version);
+        serve::set_header(&mut response, contract::REQUEST_ID, id);
+        serve::set_header(&mut response, contract::SHARD, &job.shard);
+        serve::set_header(&mut response, contract::INDEX_VERSION, version);
         let requested = serve::header::<u64>(&job.request, contract::LAYOUT_VERSION);
-        serve::set(
+        serve::set_header(
             &mut response,
             contract::LAYOUT_VERSION,
             requested.unwrap_or(job.faults.layout),
         );
         let current = self.state.faults();
-        serve::set(&mut response, contract::INDEX_OLDEST, current.oldest);
-        serve::set(&mut response, contract::INDEX_NEWEST, current.newest);
+        serve::set_header(&mut response, contract::INDEX_OLDEST, current.oldest);
+        serve::set_header(&mut response, contract::INDEX_NEWEST, current.newest);
         serve::Reply::Answer(response)
     }
 
@@ -300,12 +300,12 @@
     }
 }
 
-/// A search or record that was admitted.
+/// A search or registration that was admitted.
 struct Job {
     id: String,
     shard: ids::Shard,
     version: u64,
-    record: bool,
+    is_registration: bool,
     faults: upstream::Faults,
     request: serve::Request,
 }
@@ -325,7 +325,7 @@
         serve::json(200, &serde_json::json!({ "hits": hits }))
     }
 
-    fn record_response(&self) -> serve::Response {
+    fn registration_response(&self) -> serve::Response {
         let result = serde_json::json!({ "shard": self.shard, "number": self.id });
         serve::json(200, &serde_json::json!({ "result": result }))
     }
@@ -340,7 +340,7 @@
     }
 }
 
-/// Waits for a slot and runs the job. A record counts as run once it has a slot: from
+/// Waits for a slot and runs the job. A registration counts as run once it has a slot: from
 /// then on its effect can't be undone.
 async fn run_job(state: &upstream::State, job: &Job, cancel: &CancellationToken) -> End {
     let slot = tokio::select! {
@@ -348,7 +348,7 @@
         () = cancel.cancelled() => return cancelled(state),
     };
     let Ok(_slot) = slot else { return End::Crashed };
-    if job.record {
+    if job.is_registration {
         state.log_run(job.log_entry());
     } else {
         state.count(|counts| counts.started += 1);
@@ -361,7 +361,7 @@
         () = tokio::time::sleep(state.running_time()) => {}
         () = cancel.cancelled() => return cancelled(state),
     }
-    if !job.record {
+    if !job.is_registration {
         state.count(|counts| counts.finished += 1);
     }
     End::Done
@@ -389,7 +389,7 @@
 /// Sets the request id in a reply unless it has one, as a crossed reply does.
 fn set_request_id(response: &mut serve::Response, id: String) {
     if !response.headers().contains_key(contract::REQUEST_ID) {
-        serve::set(response, contract::REQUEST_ID, id);
+        serve::set_header(response, contract::REQUEST_ID, id);
     }
 }
 
--- a/crates/standin/src/upstream/state.rs
+++ b/crates/standin/src/upstream/state.rs
@@ -1,4 +1,5 @@
-//! State of an upstream: slots, running requests, faults, counts and the log of records run.
+//! State of an upstream: slots, running requests, faults, counts and the log of
+//! registrations that ran.
 
 use std::collections;
 use std::sync;
@@ -18,17 +19,17 @@
     pub started: u64,
     /// Searches that ran to their end.
     pub finished: u64,
-    /// Searches and records stopped by `DELETE /requests/{id}`.
+    /// Searches and registrations stopped by `DELETE /requests/{id}`.
     pub cancelled: u64,
-    /// Searches and records refused as shed.
+    /// Searches and registrations refused as shed.
     pub shed: u64,
-    /// Searches and records refused while draining.
+    /// Searches and registrations refused while draining.
     pub refused_draining: u64,
-    /// Searches and records that arrived while draining.
+    /// Searches and registrations that arrived while draining.
     pub arrived_draining: u64,
     /// Number of crashes.
     pub crashes: u64,
-    /// Requests that a crash ended, waiting or running.
+    /// Waiting and running requests that were ended by a crash.
     pub cut: u64,
     /// Connections accepted.
     pub connections: u64,
@@ -57,20 +58,20 @@
         self.running_peak = self.running_peak.max(other.running_peak);
     }
 
-    /// Returns the number of searches that started to run, plus all searches and records
-    /// that were refused as shed or draining.
+    /// Returns the number of searches that started to run, plus all searches and
+    /// registrations that were refused as shed or draining.
     pub fn arrived(&self) -> u64 {
         self.started + self.shed + self.refused_draining
     }
 }
 
-/// A record that the upstream ran.
+/// A registration that ran at the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Run {
-    /// The record's idempotency key; empty if the request had none.
+    /// The registration's idempotency key; empty if the request had none.
     pub key: String,
-    /// The request's id.
+    /// Id of the call (`Request-Id`), which the VM makes from the id of the caller's request.
     pub request: String,
     /// The shard that it ran on.
     pub shard: String,
@@ -159,7 +160,7 @@
         lock(&self.counts).clone()
     }
 
-    /// Returns the records that ran, in the order in which they started.
+    /// Returns the registrations that ran, in the order in which they started.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.runs).clone()
     }
@@ -288,8 +289,10 @@
         } else {
             1.0
         };
-        let millis =
-            self.config.work_ms * spread * straggler_factor * self.cold_start_factor(&faults);
+        let millis = self.config.median_running_time_ms
+            * spread
+            * straggler_factor
+            * self.cold_start_factor(&faults);
         time::Duration::from_secs_f64((millis + faults.delay_ms as f64) / 1e3)
     }
 
--- a/crates/standin/tests/home.rs
+++ b/crates/standin/tests/home.rs
@@ -70,7 +70,7 @@
         queue: 0,
         connections: 25,
         connect_ms: 1,
-        work_ms: 5.0,
+        median_running_time_ms: 5.0,
         seed: 1,
     };
     let server = upstream::Server::start(config).await.unwrap();
