--- a/crates/geraniumgauge/src/document/catalog.rs
+++ b/crates/geraniumgauge/src/document/catalog.rs
@@ -20,21 +20,21 @@
 
 /// Documents and layouts in force; clones share one state. Generations and
 /// layout versions only grow: an older one from a lagging peer, or from a store
-/// that was set back, is ignored.
+/// that was restored to an older state, is ignored.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
     services: sync::Arc<sync::RwLock<Services>>,
 }
 
-type Services = collections::BTreeMap<ids::Service, Parts>;
+type Services = collections::BTreeMap<ids::Service, Entry>;
 
 #[derive(Debug, Default)]
-struct Parts {
+struct Entry {
     document: Option<(ids::Generation, sync::Arc<document::Document>)>,
     layout: Option<layout::Shared>,
 }
 
-impl Parts {
+impl Entry {
     fn in_force(&self) -> Option<InForce> {
         let (generation, document) = self.document.clone()?;
         let layout = self.layout.clone()?;
@@ -70,7 +70,7 @@
         let services = self.read();
         let known = services
             .iter()
-            .filter_map(|(id, parts)| Some((id.clone(), parts.in_force()?)));
+            .filter_map(|(id, entry)| Some((id.clone(), entry.in_force()?)));
         known.collect()
     }
 
@@ -83,13 +83,13 @@
         document: document::Document,
     ) -> bool {
         let mut services = self.write();
-        let parts = services.entry(service.clone()).or_default();
-        let newer = parts
+        let entry = services.entry(service.clone()).or_default();
+        let newer = entry
             .document
             .as_ref()
             .is_none_or(|(present, _)| *present < generation);
         if newer {
-            parts.document = Some((generation, sync::Arc::new(document)));
+            entry.document = Some((generation, sync::Arc::new(document)));
         }
         newer
     }
@@ -98,13 +98,13 @@
     /// whether it was.
     pub fn put_layout(&self, service: &ids::Service, layout: layout::Layout) -> bool {
         let mut services = self.write();
-        let parts = services.entry(service.clone()).or_default();
-        let newer = parts
+        let entry = services.entry(service.clone()).or_default();
+        let newer = entry
             .layout
             .as_ref()
             .is_none_or(|present| present.version < layout.version);
         if newer {
-            parts.layout = Some(sync::Arc::new(layout));
+            entry.layout = Some(sync::Arc::new(layout));
         }
         newer
     }
--- a/crates/geraniumgauge/src/document/held.rs
+++ b/crates/geraniumgauge/src/document/held.rs
@@ -7,18 +7,18 @@
 use crate::layout;
 use crate::mesh::message;
 
-/// One versioned part of a service: its document or its layout.
+/// A service's document or layout as JSON, with its version.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(super) struct Part {
+pub(super) struct VersionedBody {
     /// Generation of the document or version of the layout; 0 if there is none.
     pub(super) version: u64,
-    /// The part as JSON.
+    /// The document or layout as JSON.
     pub(super) body: bytes::Bytes,
     /// Version of the store object that it was read from; 0 if unknown.
     pub(super) object: ids::ObjectVersion,
 }
 
-/// Kind of a service's part.
+/// Whether a [`VersionedBody`] is a document or a layout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(derive_more::Display)]
 pub(super) enum Kind {
@@ -32,12 +32,12 @@
 
 /// The document and the layout of a service.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Parts {
-    pub(super) document: Part,
-    pub(super) layout: Part,
+pub(super) struct Entry {
+    pub(super) document: VersionedBody,
+    pub(super) layout: VersionedBody,
 }
 
-/// A part, parsed from its JSON.
+/// A document or layout, parsed from its JSON.
 #[derive(Debug, Clone)]
 pub(super) enum Content {
     /// A document with its generation.
@@ -49,18 +49,18 @@
 /// All documents and layouts that a VM holds, by service.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Held {
-    services: collections::BTreeMap<ids::Service, Parts>,
+    services: collections::BTreeMap<ids::Service, Entry>,
 }
 
-impl Parts {
-    pub(super) fn get(&self, kind: Kind) -> &Part {
+impl Entry {
+    pub(super) fn get(&self, kind: Kind) -> &VersionedBody {
         match kind {
             Kind::Document => &self.document,
             Kind::Layout => &self.layout,
         }
     }
 
-    fn get_mut(&mut self, kind: Kind) -> &mut Part {
+    fn get_mut(&mut self, kind: Kind) -> &mut VersionedBody {
         match kind {
             Kind::Document => &mut self.document,
             Kind::Layout => &mut self.layout,
@@ -69,34 +69,37 @@
 }
 
 impl Held {
-    /// Stores `part` and returns its content if it is newer than the held one and
+    /// Stores `offered` and returns its content if it is newer than the held one and
     /// can be parsed.
     pub(super) fn offer(
         &mut self,
         service: &ids::Service,
         kind: Kind,
-        part: Part,
+        offered: VersionedBody,
     ) -> Option<Content> {
         let present = self.version(service, kind);
-        if part.version == present && part.version > 0 && part.object > ids::ObjectVersion(0) {
-            let parts = self.services.entry(service.clone()).or_default();
-            parts.get_mut(kind).object = part.object;
+        if offered.version == present
+            && offered.version > 0
+            && offered.object > ids::ObjectVersion(0)
+        {
+            let entry = self.services.entry(service.clone()).or_default();
+            entry.get_mut(kind).object = offered.object;
         }
-        if part.version <= present {
+        if offered.version <= present {
             return None;
         }
-        let content = match parse(kind, &part) {
+        let content = match parse(kind, &offered) {
             Ok(content) => content,
             Err(error) => {
                 log::error!(
                     "failed to parse {kind} version {} of {service}: {error}",
-                    part.version
+                    offered.version
                 );
                 return None;
             }
         };
-        let parts = self.services.entry(service.clone()).or_default();
-        *parts.get_mut(kind) = part;
+        let entry = self.services.entry(service.clone()).or_default();
+        *entry.get_mut(kind) = offered;
         Some(content)
     }
 
@@ -104,15 +107,15 @@
     pub(super) fn version(&self, service: &ids::Service, kind: Kind) -> u64 {
         self.services
             .get(service)
-            .map_or(0, |parts| parts.get(kind).version)
+            .map_or(0, |entry| entry.get(kind).version)
     }
 
-    /// Returns the store object's version of the part held; 0 if unknown.
+    /// Returns the store object's version of the document or layout held; 0 if unknown.
     pub(super) fn object(&self, service: &ids::Service, kind: Kind) -> ids::ObjectVersion {
         let none = ids::ObjectVersion(0);
         self.services
             .get(service)
-            .map_or(none, |parts| parts.get(kind).object)
+            .map_or(none, |entry| entry.get(kind).object)
     }
 
     /// Returns the services with a document or a layout.
@@ -122,15 +125,15 @@
 
     /// Returns the held versions of all services, for reports and comparisons.
     pub(super) fn have(&self) -> Vec<message::Have> {
-        let have = |(service, parts): (&ids::Service, &Parts)| message::Have {
+        let have = |(service, entry): (&ids::Service, &Entry)| message::Have {
             service: service.to_string(),
-            generation: parts.document.version,
-            layout: parts.layout.version,
+            generation: entry.document.version,
+            layout: entry.layout.version,
         };
         self.services.iter().map(have).collect()
     }
 
-    /// Returns the held versions of one service; 0 for a missing part.
+    /// Returns the held versions of one service; 0 for a missing document or layout.
     pub(super) fn have_of(&self, service: &ids::Service) -> message::Have {
         message::Have {
             service: service.to_string(),
@@ -152,10 +155,10 @@
     pub(super) fn exceeds(&self, theirs: &[message::Have]) -> bool {
         let by_service = theirs.iter().map(|have| (have.service.as_str(), have));
         let theirs: collections::BTreeMap<_, _> = by_service.collect();
-        self.services.iter().any(|(service, parts)| {
+        self.services.iter().any(|(service, entry)| {
             let theirs = theirs.get(service.as_str());
             theirs.is_none_or(|theirs| {
-                parts.document.version > theirs.generation || parts.layout.version > theirs.layout
+                entry.document.version > theirs.generation || entry.layout.version > theirs.layout
             })
         })
     }
@@ -165,17 +168,18 @@
         digest(&self.have())
     }
 
-    /// Returns both parts of `service` as an entry of an answer to a peer.
+    /// Returns the document and the layout of `service` as an entry of an answer to a
+    /// peer.
     pub(super) fn entry(&self, service: &ids::Service) -> Option<message::Entry> {
-        let parts = self.services.get(service)?;
+        let entry = self.services.get(service)?;
         Some(message::Entry {
             service: service.to_string(),
-            generation: parts.document.version,
-            document: parts.document.body.clone(),
-            layout: parts.layout.body.clone(),
-            document_object: parts.document.object.0,
-            layout_version: parts.layout.version,
-            layout_object: parts.layout.object.0,
+            generation: entry.document.version,
+            document: entry.document.body.clone(),
+            layout: entry.layout.body.clone(),
+            document_object: entry.document.object.0,
+            layout_version: entry.layout.version,
+            layout_object: entry.layout.object.0,
         })
     }
 }
@@ -191,13 +195,13 @@
 }
 
 /// Splits an entry that a peer sent into its document and layout.
-pub(super) fn parts(entry: message::Entry) -> [(Kind, Part); 2] {
-    let document = Part {
+pub(super) fn split(entry: message::Entry) -> [(Kind, VersionedBody); 2] {
+    let document = VersionedBody {
         version: entry.generation,
         body: entry.document,
         object: ids::ObjectVersion(entry.document_object),
     };
-    let layout = Part {
+    let layout = VersionedBody {
         version: entry.layout_version,
         body: entry.layout,
         object: ids::ObjectVersion(entry.layout_object),
@@ -205,15 +209,15 @@
     [(Kind::Document, document), (Kind::Layout, layout)]
 }
 
-fn parse(kind: Kind, part: &Part) -> Result<Content, serde_json::Error> {
+fn parse(kind: Kind, versioned: &VersionedBody) -> Result<Content, serde_json::Error> {
     match kind {
         Kind::Document => {
-            let document = serde_json::from_slice(&part.body)?;
+            let document = serde_json::from_slice(&versioned.body)?;
             Ok(Content::Document(
-                ids::Generation(part.version),
+                ids::Generation(versioned.version),
                 Box::new(document),
             ))
         }
-        Kind::Layout => serde_json::from_slice(&part.body).map(Content::Layout),
+        Kind::Layout => serde_json::from_slice(&versioned.body).map(Content::Layout),
     }
 }
--- a/crates/geraniumgauge/src/document/keeper.rs
+++ b/crates/geraniumgauge/src/document/keeper.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Restores the accepted record if the store was set back to an older state.
+/// Restores the accepted record if the store was restored to an older state.
 ///
 /// The record in such a store is missing or has a lower generation than the VMs
 /// apply. A VM that starts would apply it, and the fleet would stay at two
--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -88,9 +88,9 @@
 
 /// Lists and watches a prefix while this VM is a watcher.
 ///
-/// If the connection of a watch dies silently, edits would reach no VM. So each
-/// watch has a timeout, and after a few watches the prefix is listed. It is also
-/// listed if the revision is lower, because the store was set back.
+/// If the connection of a watch dies silently, edits would reach no VM. So each watch
+/// has a timeout, and after a few watches the prefix is listed. It is also listed if
+/// the revision is lower, because the store was restored to an older state.
 pub(super) async fn follow(
     inner: sync::Arc<service::Inner>,
     prefix: &'static str,
@@ -242,7 +242,7 @@
     let _ = inner.checks.try_send(service);
 }
 
-/// Reads one part and passes it to the state machine.
+/// Reads one document or layout and passes it to the state machine.
 async fn fetch(
     inner: &service::Inner,
     kind: held::Kind,
@@ -280,14 +280,14 @@
     record: &keeper::Accepted,
     object: ids::ObjectVersion,
 ) {
-    let part = held::Part {
+    let versioned = held::VersionedBody {
         version: record.generation.0,
         body: serde_json::to_vec(&record.document)
             .unwrap_or_default()
             .into(),
         object,
     };
-    let event = spread::Event::Stored(service.clone(), held::Kind::Document, part);
+    let event = spread::Event::Stored(service.clone(), held::Kind::Document, versioned);
     inner.handle(event);
 }
 
@@ -305,12 +305,12 @@
         Some(present) => vec![document::stale_layout(&file, &text, &layout, &present)],
     };
     inner.reads.set_layout_findings(service, findings);
-    let part = held::Part {
+    let versioned = held::VersionedBody {
         version: layout.version.0,
         body: serde_json::to_vec(&layout).unwrap_or_default().into(),
         object: object.version,
     };
-    let event = spread::Event::Stored(service.clone(), held::Kind::Layout, part);
+    let event = spread::Event::Stored(service.clone(), held::Kind::Layout, versioned);
     inner.handle(event);
 }
 
--- a/crates/geraniumgauge/src/document/missing.rs
+++ b/crates/geraniumgauge/src/document/missing.rs
@@ -68,11 +68,11 @@
             requests: 0,
             next: now,
         });
-        let part = match kind {
+        let wanted = match kind {
             held::Kind::Document => &mut entry.document,
             held::Kind::Layout => &mut entry.layout,
         };
-        *part = version.max(*part);
+        *wanted = version.max(*wanted);
     }
 
     /// Removes the versions that are held by now.
--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -85,7 +85,8 @@
     pub store: sync::Arc<dyn store::Api>,
     /// Wall clock and monotonic clock.
     pub clock: clock::Clock,
-    /// Stops the service when it is stopped itself.
+    /// Provides the service's ticks. When the timer service is stopped, this service
+    /// stops too.
     pub timer: timer::Service,
 }
 
--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -45,8 +45,8 @@
     Pull(ids::Vm, message::Pull),
     /// A peer sent an answer.
     Pulled(ids::Vm, message::Pulled),
-    /// A part was read from the store.
-    Stored(ids::Service, held::Kind, held::Part),
+    /// A document or layout was read from the store.
+    Stored(ids::Service, held::Kind, held::VersionedBody),
     /// Everything that the store lists was read.
     Loaded,
     /// Reading the store failed.
@@ -64,7 +64,7 @@
     Send(ids::Vm, message::Body),
     /// Publish a gossip update.
     Publish(member::Update),
-    /// Read both parts of a service from the store.
+    /// Read the document and the layout of a service from the store.
     Fetch(ids::Service),
     /// This VM may take requests.
     Ready(join::Source),
@@ -118,7 +118,7 @@
             Event::Update(update) => self.update(&update, now),
             Event::Pull(from, pull) => self.pull(&from, pull, now),
             Event::Pulled(from, pulled) => self.pulled(&from, pulled, now),
-            Event::Stored(service, kind, part) => self.offer(&service, kind, part, now),
+            Event::Stored(service, kind, versioned) => self.offer(&service, kind, versioned, now),
             Event::Loaded => {
                 self.join.loaded();
                 self.report.schedule(now);
@@ -198,11 +198,11 @@
         &mut self,
         service: &ids::Service,
         kind: held::Kind,
-        part: held::Part,
+        versioned: held::VersionedBody,
         now: clock::Moment,
     ) {
-        let version = part.version;
-        let Some(content) = self.held.offer(service, kind, part) else {
+        let version = versioned.version;
+        let Some(content) = self.held.offer(service, kind, versioned) else {
             return;
         };
         self.actions.push(Action::Apply(service.clone(), content));
@@ -243,8 +243,8 @@
         self.send(from, message::Body::Pulled(reply));
     }
 
-    /// Sends the requested parts that are newer than the sender's. A sender that
-    /// gets no answer asks another VM.
+    /// Sends the requested documents and layouts that are newer than the sender's. A
+    /// sender that gets no answer asks another VM.
     fn answer(&mut self, from: &ids::Vm, pull: &message::Pull) {
         let newer = |name: &&String| {
             let theirs = pull.have.iter().find(|have| have.service == **name);
@@ -263,8 +263,8 @@
             let Ok(service) = entry.service.parse::<ids::Service>() else {
                 continue;
             };
-            for (kind, part) in held::parts(entry) {
-                self.offer(&service, kind, part, now);
+            for (kind, versioned) in held::split(entry) {
+                self.offer(&service, kind, versioned, now);
             }
         }
         if pulled.digest == 0 {
--- a/crates/geraniumgauge/src/document/status.rs
+++ b/crates/geraniumgauge/src/document/status.rs
@@ -90,7 +90,7 @@
     },
     /// The text was deleted; the document accepted before stays in force.
     Vanished,
-    /// The store was set back to an older state; the document in force stays.
+    /// The store was restored to an older state; the document in force stays.
     SetBack {
         /// Version of `documents/{service}` that isn't treated as an edit.
         version: ids::ObjectVersion,
--- a/crates/geraniumgauge/src/document/tests/scale.rs
+++ b/crates/geraniumgauge/src/document/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet's state machines on one clock. Frames take a millisecond,
-//! and gossip updates up to two seconds.
+//! Simulates the document distribution ([`Spread`]) of a whole fleet in virtual time.
+//! A frame takes a millisecond, a gossip update up to two seconds.
 
 use super::*;
 use crate::events;
@@ -20,7 +20,8 @@
     served: Vec<u64>,
     /// Number of frames that each VM received.
     frames: Vec<u64>,
-    fetched: u64,
+    /// Number of reads of the store that all VMs requested.
+    store_reads: u64,
 }
 
 fn vm(index: usize) -> ids::Vm {
@@ -50,7 +51,7 @@
             applied: vec![None; VMS],
             served: vec![0; VMS],
             frames: vec![0; VMS],
-            fetched: 0,
+            store_reads: 0,
         };
         for index in 0..VMS {
             let seed = seed.wrapping_mul(VMS as u64) + index as u64;
@@ -59,9 +60,12 @@
             let roles = roles::Roles::of(&view, &data_centre(index));
             spread.handle(Event::View(roles), fleet.now);
             for service in 0..SERVICES {
-                let part = part(1);
+                let document = stored_document(1);
                 let name = format!("service-{service}").parse().unwrap();
-                spread.handle(Event::Stored(name, held::Kind::Document, part), fleet.now);
+                spread.handle(
+                    Event::Stored(name, held::Kind::Document, document),
+                    fleet.now,
+                );
             }
             spread.handle(Event::Loaded, fleet.now);
             fleet.vms.push(spread);
@@ -76,18 +80,18 @@
         self.queue.push(at, (vm, event));
     }
 
-    fn run(&mut self, until: clock::Moment, lose_updates: f64) {
+    fn run(&mut self, until: clock::Moment, update_loss_probability: f64) {
         while let Some((at, (vm, event))) = self.queue.pop(until) {
             self.now = at;
             if matches!(event, Event::Tick) {
                 self.schedule(100 * MICROS_PER_MILLI, vm, Event::Tick);
             }
-            self.event(vm, event, lose_updates);
+            self.event(vm, event, update_loss_probability);
         }
         self.now = until;
     }
 
-    fn event(&mut self, index: usize, event: Event, lose_updates: f64) {
+    fn event(&mut self, index: usize, event: Event, update_loss_probability: f64) {
         for action in self.vms[index].handle(event, self.now) {
             match action {
                 Action::Apply(..) => self.applied[index] = Some(self.now),
@@ -95,20 +99,20 @@
                 Action::Publish(update) => {
                     for vm in 0..VMS {
                         let delay = self.random.random_range(0..2000 * MICROS_PER_MILLI);
-                        if !self.random.random_bool(lose_updates) {
+                        if !self.random.random_bool(update_loss_probability) {
                             self.schedule(delay, vm, Event::Update(update.clone()));
                         }
                     }
                 }
-                Action::Fetch(_) => self.fetched += 1,
+                Action::Fetch(_) => self.store_reads += 1,
                 Action::Ready(_) => {}
             }
         }
     }
 
     fn send(&mut self, from: usize, to: &ids::Vm, body: message::Body) {
-        let at = self.indices[to];
-        self.frames[at] += 1;
+        let receiver = self.indices[to];
+        self.frames[receiver] += 1;
         let event = match body {
             message::Body::Pull(pull) => Event::Pull(vm(from), pull),
             message::Body::Pulled(pulled) => {
@@ -117,13 +121,13 @@
             }
             _ => unreachable!("only pulls are sent"),
         };
-        self.schedule(MICROS_PER_MILLI, at, event);
+        self.schedule(MICROS_PER_MILLI, receiver, event);
     }
 }
 
-fn part(version: u64) -> held::Part {
+fn stored_document(version: u64) -> held::VersionedBody {
     let document = crate::document::Document::default();
-    held::Part {
+    held::VersionedBody {
         version,
         body: serde_json::to_vec(&document).unwrap().into(),
         object: ids::ObjectVersion(version),
@@ -135,7 +139,7 @@
 /// within six seconds, and no VM may serve more than a small part of the fleet.
 #[test]
 fn an_edit_reaches_the_largest_fleet_in_time_and_overloads_no_vm() {
-    let lose_updates = 0.3;
+    let update_loss_probability = 0.3;
     let mut fleet = Fleet::new(2);
     let edited = clock::Moment(12_000 * MICROS_PER_MILLI);
     fleet.run(edited, 0.0);
@@ -145,11 +149,14 @@
     // All watchers read the accepted record when their watches report it.
     for watcher in fleet.vms[0].roles().watchers.clone() {
         let service = "service-3".parse().unwrap();
-        let edit = Event::Stored(service, held::Kind::Document, part(2));
+        let edit = Event::Stored(service, held::Kind::Document, stored_document(2));
         let delay = fleet.random.random_range(0..100 * MICROS_PER_MILLI);
         fleet.schedule(delay, fleet.indices[&watcher], edit);
     }
-    fleet.run(edited + time::Duration::from_secs(6), lose_updates);
+    fleet.run(
+        edited + time::Duration::from_secs(6),
+        update_loss_probability,
+    );
     let last = fleet.applied.iter().copied().collect::<Option<Vec<_>>>();
     let last = last
         .and_then(|all| all.into_iter().max())
@@ -158,12 +165,12 @@
     let frames = fleet.frames.iter().max().unwrap();
     let mean = fleet.frames.iter().sum::<u64>() / VMS as u64;
     println!(
-        "lost updates {lose_updates}: last after {:?}, most contents served by one VM \
+        "lost updates {update_loss_probability}: last after {:?}, most entries sent by one VM \
          {served}, frames in 6 s: most at one VM {frames}, mean {mean}, store reads {}",
         last.since(edited),
-        fleet.fetched
+        fleet.store_reads
     );
-    assert!(*served < VMS as u64 / 10, "{served} contents from one VM");
+    assert!(*served < VMS as u64 / 10, "{served} entries sent by one VM");
     assert!(*frames < 2 * VMS as u64, "{frames} frames at one VM");
-    assert!(fleet.fetched < 10, "VMs had to ask the store");
+    assert!(fleet.store_reads < 10, "VMs had to read the store");
 }
--- a/crates/geraniumgauge/src/document/tests/spread.rs
+++ b/crates/geraniumgauge/src/document/tests/spread.rs
@@ -11,7 +11,7 @@
     vms: Vec<Spread>,
     frames: Vec<(usize, ids::Vm, message::Body)>,
     updates: Vec<(usize, member::Update)>,
-    stored: collections::BTreeMap<(ids::Service, held::Kind), held::Part>,
+    stored: collections::BTreeMap<(ids::Service, held::Kind), held::VersionedBody>,
     applied: Vec<collections::BTreeMap<(ids::Service, held::Kind), u64>>,
     version_decreased: bool,
     now: clock::Moment,
@@ -97,8 +97,8 @@
 
     fn read(&mut self, index: usize, service: &ids::Service) {
         for kind in [held::Kind::Document, held::Kind::Layout] {
-            if let Some(part) = self.stored.get(&(service.clone(), kind)).cloned() {
-                self.event(index, Event::Stored(service.clone(), kind, part));
+            if let Some(versioned) = self.stored.get(&(service.clone(), kind)).cloned() {
+                self.event(index, Event::Stored(service.clone(), kind, versioned));
             }
         }
     }
@@ -115,12 +115,12 @@
                 serde_json::to_vec(&layout)
             }
         };
-        let part = held::Part {
+        let versioned = held::VersionedBody {
             version,
             body: body.unwrap().into(),
             object: ids::ObjectVersion(version),
         };
-        self.stored.insert((service, kind), part);
+        self.stored.insert((service, kind), versioned);
     }
 
     /// Delivers one frame and one gossip update in transit; `lossy` loses some and
