--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether a call to an upstream could be sent at once.
-    pub(super) fn has_idle(&mut self, upstream: registry::Handle) -> bool {
+    pub(super) fn has_idle_connection(&mut self, upstream: registry::Handle) -> bool {
         !self.pool(upstream).idle.is_empty()
     }
 
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -13,9 +13,9 @@
 use crate::ids;
 use crate::time as clock;
 
-/// How long before calls are hedged a relay sends its report of merged replies,
-/// to allow for the report's way back.
-const MERGE_MARGIN: time::Duration = time::Duration::from_millis(4);
+/// A relay reports its merged replies this long before the requester would hedge,
+/// so that the report arrives in time.
+const REPORT_TRAVEL_TIME: time::Duration = time::Duration::from_millis(4);
 /// Minimum delay before a relay merges replies, however early calls are hedged.
 const MIN_MERGE_DELAY: time::Duration = time::Duration::from_millis(5);
 
@@ -66,8 +66,9 @@
         else {
             return sends;
         };
-        let (_, all) = running.job.progress();
-        let crowded = self.relays.exceeds_own_capacity(all);
+        let (_, part_count) = running.job.progress();
+        // Set if this VM has too few cores to make all calls of the search in time.
+        let exceeds_own_capacity = self.relays.exceeds_own_capacity(part_count);
         let mut own = Vec::new();
         let mut groups: Vec<(Group, Vec<forward::Send>)> = Vec::new();
         for send in sends {
@@ -78,8 +79,14 @@
                 payer: send.payer,
                 mandatory: send.mandatory,
             };
-            let paid = send.payer == forward::Payer::Own;
-            if !group.first && paid && (!crowded || self.has_idle(send.upstream)) {
+            // An extra call that is charged to this VM's budget is made directly if
+            // this VM can make the search's calls itself or has an idle connection to
+            // the upstream.
+            let charged_here = send.payer == forward::Payer::Own;
+            if !group.first
+                && charged_here
+                && (!exceeds_own_capacity || self.has_idle_connection(send.upstream))
+            {
                 own.push(send);
                 continue;
             }
@@ -89,13 +96,14 @@
             }
         }
         for (group, sends) in groups {
-            // Relaying a single first call saves nothing, except for a small VM: it
-            // would have to open a connection, while the relay has one open.
-            let single = group.first && sends.len() == 1 && !crowded;
+            // A single first call is made directly, unless this VM has too few cores
+            // for the search: then the relay, which already has a connection open,
+            // saves it from opening one.
+            let single = group.first && sends.len() == 1 && !exceeds_own_capacity;
             let relay = if single {
                 None
             } else {
-                self.relays.choose(&group.data_centre, all, now)
+                self.relays.choose(&group.data_centre, part_count, now)
             };
             let remaining = match relay {
                 Some(address) => self.send_batch(job, address, sends, &group, now),
@@ -142,7 +150,7 @@
         let merge_after = running
             .job
             .hedge_after()
-            .saturating_sub(MERGE_MARGIN)
+            .saturating_sub(REPORT_TRAVEL_TIME)
             .max(MIN_MERGE_DELAY);
         // Extra calls are late already, so their replies are reported at once.
         let merge_after = if group.first {
