--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -63,11 +63,11 @@
         }
         let own = budget::Share {
             fixed: even.fixed * OWN_SHARE,
-            share: OWN_SHARE,
+            proportional: OWN_SHARE,
         };
         let lent = budget::Share {
             fixed: (1.0 - OWN_SHARE) / large.max(1) as f64,
-            share: 1.0 - OWN_SHARE,
+            proportional: 1.0 - OWN_SHARE,
         };
         Self {
             own,
--- a/crates/geraniumgauge/src/forward/budget.rs
+++ b/crates/geraniumgauge/src/forward/budget.rs
@@ -19,13 +19,14 @@
 /// Share of the fleet's allowance that one budget may spend.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(derive_more::Debug)]
-#[debug("Part {{ fixed: {fixed:?}, share: {share:?} }}")]
+#[debug("Part {{ fixed: {fixed:?}, share: {proportional:?} }}")]
 pub struct Share {
-    /// Share of the calls that are allowed at any load.
+    /// This budget's fraction of [`forward::Policy::extra_calls`], which are allowed
+    /// at any load.
     pub fixed: f64,
-    /// Share of the calls that are allowed in proportion to the requests
-    /// counted in the budget.
-    pub share: f64,
+    /// This budget's factor on [`forward::Policy::extra_share`], which is applied to
+    /// the requests that the budget counted.
+    pub proportional: f64,
 }
 
 impl Share {
@@ -34,7 +35,7 @@
     pub fn of(vms: usize) -> Self {
         Self {
             fixed: 1.0 / vms.max(1) as f64,
-            share: 1.0,
+            proportional: 1.0,
         }
     }
 }
@@ -47,12 +48,13 @@
 /// other.
 ///
 /// The allowance of a window is a share of the requests in that window or in
-/// the previous one, whichever has more. Before each extra call, the budget
-/// checks every window that contains the call and counts half of the requests
-/// in that window and the previous one together. Half of a sum never exceeds
-/// the larger part, also when the shares of several VMs are added. Counting all
-/// requests of the last ten seconds exceeded the allowance when requests came
-/// in two bursts ten seconds apart: 192 extra calls where 136 were allowed.
+/// the previous one, whichever has more. A window may begin at any time, so
+/// each extra call is checked against every window that contains it. The
+/// requests counted are the mean of that window and the previous one, which is
+/// never more than the larger of the two, not even after adding up all VMs.
+/// Counting all requests of the last ten seconds would allow too many extra
+/// calls when requests come in two bursts ten seconds apart, e.g. 192 where 136
+/// are allowed.
 #[derive(Debug, Clone)]
 pub struct Budget {
     requests: [u32; BUCKETS],
@@ -108,7 +110,7 @@
     fn has_capacity(&mut self, policy: &forward::Policy, share: Share, now: clock::Moment) -> bool {
         self.advance(policy.extra_window, now);
         let fixed = policy.extra_calls * share.fixed;
-        let ratio = policy.extra_share.get() * share.share;
+        let ratio = policy.extra_share.get() * share.proportional;
         let mut extras = 1;
         let mut within = 0;
         let mut before: u32 = (1..WINDOW_BUCKETS)
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -100,7 +100,7 @@
         let part = &mut self.parts[index];
         part.may_have_run -= 1;
         part.not_run += 1;
-        if part.not_run > part::MAX_NOT_RUN {
+        if part.not_run > part::MAX_NOT_RUN_CALLS {
             return self.fail_unless_called(index, forward::Reason::NoCapacity);
         }
         self.retry(index, forward::Why::NotRun, fleet, now, actions);
--- a/crates/geraniumgauge/src/forward/lag.rs
+++ b/crates/geraniumgauge/src/forward/lag.rs
@@ -23,9 +23,9 @@
     earlier: f64,
 }
 
-/// Moving estimate of a high quantile of lateness: of this process's turns
-/// after their timers' due time, or of another VM's messages. On a fraction of
-/// a core, a turn has to wait for other processes.
+/// Moving estimate of a high quantile of delays: how late this process acts on its
+/// timers, or how late another VM's messages arrive. A process that has only a
+/// fraction of a core must wait until it is scheduled.
 #[derive(Debug, Clone, Copy)]
 pub struct Lag {
     seconds: f64,
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -55,8 +55,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
     /// Share of a route's latency target after which a call counts as late and
-    /// its part is hedged. A third leaves the other upstream time to answer
-    /// within the target.
+    /// its part is hedged. With a share of about a third, the other upstream
+    /// has time to answer within the target.
     pub hedge_share: rate::Share,
     /// Time before the latency target at which an answer must be sent, in
     /// addition to this process's own lag. Callers are up to 3 ms away one way
--- a/crates/geraniumgauge/src/forward/part.rs
+++ b/crates/geraniumgauge/src/forward/part.rs
@@ -6,10 +6,10 @@
 use crate::registry;
 use crate::time as clock;
 
-/// Number of calls that were proven not run after which a part is given up.
-/// Each call adds load to its service, so further attempts don't help a service
-/// that has no capacity.
-pub(super) const MAX_NOT_RUN: u32 = 3;
+/// A part is given up once more than this many of its calls are known not to
+/// have run. Each call adds load to its service, so further attempts don't help
+/// a service that has no capacity.
+pub(super) const MAX_NOT_RUN_CALLS: u32 = 3;
 
 /// A call that has no result yet.
 #[derive(Debug, Clone, Copy)]
@@ -130,8 +130,8 @@
 
     /// Allows upstreams that declined a call to be tried again. An upstream
     /// that declines some calls although it has capacity may accept the next
-    /// one. Without this, a shard whose upstreams all do so was given up after
-    /// one call to each.
+    /// one. Otherwise a shard would be given up once each of its upstreams had
+    /// declined one call.
     pub(super) fn retry_declined(&mut self) {
         let declined = std::mem::take(&mut self.declined);
         self.tried.retain(|tried| !declined.contains(tried));
--- a/crates/geraniumgauge/src/forward/suspects.rs
+++ b/crates/geraniumgauge/src/forward/suspects.rs
@@ -2,10 +2,11 @@
 //!
 //! The caller of such a request sends it again, to any VM, and each run crashes
 //! another upstream. A lost connection alone proves nothing: upstreams lose
-//! replies, and a rack that loses power takes along whatever runs there.
-//! Therefore a request is reported as a suspect only if its connection was lost
-//! and the upstream couldn't be connected to right afterwards. Losses close
-//! together count once, and any run that completes clears the request.
+//! replies, and when a rack loses power, the connections of all requests on its
+//! upstreams are lost. Therefore a request is reported as a suspect only if its
+//! connection was lost and the upstream couldn't be connected to right
+//! afterwards. Losses close together count once, and any run that completes
+//! clears the request.
 
 use std::collections;
 use std::time;
@@ -14,20 +15,23 @@
 use crate::registry;
 use crate::time as clock;
 
-/// Longest time between a lost connection and a failed attempt to connect for
-/// which the upstream is taken to have crashed.
+/// If connecting to an upstream fails within this time after a connection to it
+/// was lost, the upstream is assumed to have crashed.
 const CRASH_CONFIRM_WINDOW: time::Duration = time::Duration::from_millis(1500);
 /// Crashes of one request within this time count as one incident. A search runs
-/// on many upstreams at once, and a rack that fails takes many of them with it.
+/// on many upstreams at once, and when a rack fails, many of these are lost at
+/// the same time.
 const INCIDENT_WINDOW: time::Duration = time::Duration::from_millis(1000);
-/// Number of incidents from which a request is refused. One may be chance, and
-/// a third would cost another upstream of each shard.
+/// A request with this many incidents is refused. A single incident may be
+/// coincidence, and a third one could crash another upstream of each shard.
 const QUARANTINE_INCIDENTS: usize = 2;
-/// How long a request remains a suspect after a crash. Upstreams that crash are
-/// back within seconds, and callers give up within minutes.
-const SUSPECT_TIMEOUT: time::Duration = time::Duration::from_secs(60);
-/// Maximum number of requests that are tracked.
-const MAX_TRACKED: usize = 1000;
+/// How long after its latest incident a request remains suspect or refused.
+/// Upstreams that crash restart within seconds, and callers stop retrying within
+/// minutes.
+const INCIDENT_LIFETIME: time::Duration = time::Duration::from_secs(60);
+/// Maximum number of suspect requests, and of requests whose connection was lost,
+/// that are kept.
+const MAX_TRACKED_REQUESTS: usize = 1000;
 
 /// Crashes that this VM and other VMs have seen.
 #[derive(Debug, Default)]
@@ -52,7 +56,7 @@
         {
             self.lost.pop_front();
         }
-        if self.lost.len() < MAX_TRACKED {
+        if self.lost.len() < MAX_TRACKED_REQUESTS {
             self.lost.push_back((now, upstream, request));
         }
     }
@@ -64,16 +68,17 @@
         upstream: registry::Handle,
         now: clock::Moment,
     ) -> Vec<ids::Fingerprint> {
-        let crashed = |at: clock::Moment, of: registry::Handle| {
-            of == upstream && now.since(at) <= CRASH_CONFIRM_WINDOW
+        let crashed = |at: clock::Moment, lost_upstream: registry::Handle| {
+            lost_upstream == upstream && now.since(at) <= CRASH_CONFIRM_WINDOW
         };
         let suspects: Vec<(clock::Moment, ids::Fingerprint)> = self
             .lost
             .iter()
-            .filter(|(at, of, _)| crashed(*at, *of))
+            .filter(|(at, lost_upstream, _)| crashed(*at, *lost_upstream))
             .map(|(at, _, request)| (*at, *request))
             .collect();
-        self.lost.retain(|(_, of, _)| *of != upstream);
+        self.lost
+            .retain(|(_, lost_upstream, _)| *lost_upstream != upstream);
         let new = suspects
             .into_iter()
             .filter(|(at, request)| self.report_crash(*request, *at));
@@ -88,15 +93,15 @@
         self.incidents.retain(|_, crashes| {
             crashes
                 .iter()
-                .any(|crash| at.since(*crash) < SUSPECT_TIMEOUT)
+                .any(|crash| at.since(*crash) < INCIDENT_LIFETIME)
         });
-        if self.incidents.len() >= MAX_TRACKED && !self.incidents.contains_key(&request) {
+        if self.incidents.len() >= MAX_TRACKED_REQUESTS && !self.incidents.contains_key(&request) {
             return false;
         }
         let crashes = self.incidents.entry(request).or_default();
-        let apart =
+        let is_separate_incident =
             |crash: &clock::Moment| at.since(*crash).max(crash.since(at)) >= INCIDENT_WINDOW;
-        let new = crashes.iter().all(apart);
+        let new = crashes.iter().all(is_separate_incident);
         if new {
             crashes.push(at);
         }
@@ -120,7 +125,7 @@
             crashes.len() >= QUARANTINE_INCIDENTS
                 && crashes
                     .iter()
-                    .any(|crash| now.since(*crash) < SUSPECT_TIMEOUT)
+                    .any(|crash| now.since(*crash) < INCIDENT_LIFETIME)
         })
     }
 }
