--- a/crates/geraniumgauge/src/home/state/availability.rs
+++ b/crates/geraniumgauge/src/home/state/availability.rs
@@ -1,8 +1,9 @@
 //! Tracks whether an upstream takes work, from call results and health reports.
 //!
-//! Call results outweigh reports, which may be late or wrong. A report alone never
-//! stops all calls, it only limits them to one at a time; a refused call stops
-//! them, and a successful call allows them again.
+//! Call results outweigh reports, which may be late or wrong. A report of
+//! draining first limits calls to one at a time. If none succeeds within
+//! [`REPORT_CHECK_WINDOW`], or if a call is refused, no more are sent for a while.
+//! A successful call allows them again.
 
 use std::time;
 
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Returns when the current state ends by itself. A drain that was both refused
-    /// and reported has no such end: the report must be withdrawn, or the upstream stop.
+    /// Returns when the current state ends by itself, if it does. A drain that was
+    /// shown by both a refused call and a report ends only when the report is withdrawn
+    /// or the upstream stops.
     pub(super) fn held_until(&self) -> Option<Moment> {
         let doublings = self.drain_count.saturating_sub(1).min(MAX_HOLD_DOUBLINGS);
         match self.current {
@@ -156,7 +158,8 @@
         back
     }
 
-    /// Applies the end of a drain or of an unconfirmed report, if due.
+    /// Ends the current state once its time is up: allows single calls again after a
+    /// drain, or treats the upstream as draining if no call has disproved its report.
     pub(super) fn tick(&mut self, now: Moment) {
         if self.held_until().is_none_or(|until| now < until) {
             return;
--- a/crates/geraniumgauge/src/home/state/connections.rs
+++ b/crates/geraniumgauge/src/home/state/connections.rs
@@ -27,8 +27,8 @@
 pub(super) struct Call {
     pub(super) job: job::Job,
     pub(super) sent: Moment,
-    /// Set when the call is the first request on its connection.
-    pub(super) fresh: bool,
+    /// Set if the connection had to be opened for the call.
+    pub(super) must_connect: bool,
     /// Set when the first byte of the reply has arrived.
     pub(super) reply_started: bool,
     /// Set when no byte of the reply came within the time that healthy calls take.
--- a/crates/geraniumgauge/src/home/state/dispatch.rs
+++ b/crates/geraniumgauge/src/home/state/dispatch.rs
@@ -145,7 +145,7 @@
                 return;
             };
             let since = self.answered_since(head, now);
-            let Some((connection_id, fresh)) = self.choose_connection(since, now) else {
+            let Some((connection_id, must_connect)) = self.choose_connection(since, now) else {
                 return;
             };
             let Some(job) = self.queue.take_head() else {
@@ -154,7 +154,7 @@
             self.send(
                 job,
                 connection_id,
-                fresh,
+                must_connect,
                 matches!(capacity, Capacity::OverLimit),
                 now,
             );
@@ -206,7 +206,8 @@
         }
     }
 
-    /// Returns an idle connection with a reply at `since` or later, else a new one.
+    /// Returns an idle connection with a reply at `since` or later, else a new one, and
+    /// whether it must still be opened.
     fn choose_connection(&mut self, since: Moment, now: Moment) -> Option<(connections::Id, bool)> {
         if let Some(connection_id) = self.connections.idle(since) {
             return Some((connection_id, false));
@@ -226,7 +227,7 @@
         &mut self,
         job: job::Job,
         connection_id: connections::Id,
-        fresh: bool,
+        must_connect: bool,
         over_limit: bool,
         now: Moment,
     ) {
@@ -236,7 +237,7 @@
         connection.phase = connections::Phase::Busy(connections::Call {
             job: job.clone(),
             sent: now,
-            fresh,
+            must_connect,
             reply_started: false,
             suspect: false,
             over_limit,
@@ -245,7 +246,7 @@
         let time_left = now.until(job.deadline);
         self.actions.push(Action::Send {
             connection_id,
-            fresh,
+            must_connect,
             job,
             time_left,
         });
--- a/crates/geraniumgauge/src/home/state/maintenance.rs
+++ b/crates/geraniumgauge/src/home/state/maintenance.rs
@@ -187,7 +187,7 @@
                 connection.phase = connections::Phase::Checking(now);
                 self.actions.push(Action::Check {
                     connection_id,
-                    fresh: false,
+                    must_connect: false,
                 });
             }
         }
@@ -197,7 +197,7 @@
                 .open(connections::Phase::Checking(now), now);
             self.actions.push(Action::Check {
                 connection_id,
-                fresh: true,
+                must_connect: true,
             });
         }
     }
--- a/crates/geraniumgauge/src/home/state/mod.rs
+++ b/crates/geraniumgauge/src/home/state/mod.rs
@@ -100,8 +100,8 @@
     Send {
         /// The connection to use.
         connection_id: ConnectionId,
-        /// Set when the connection has still to be opened.
-        fresh: bool,
+        /// Set if the connection must still be opened.
+        must_connect: bool,
         /// The call to send.
         job: Job,
         /// Time left until the call's deadline.
@@ -111,8 +111,8 @@
     Check {
         /// The connection to use.
         connection_id: ConnectionId,
-        /// Set when the connection has still to be opened.
-        fresh: bool,
+        /// Set if the connection must still be opened.
+        must_connect: bool,
     },
     /// Requests a health report on the control connection.
     Probe,
--- a/crates/geraniumgauge/src/home/state/running.rs
+++ b/crates/geraniumgauge/src/home/state/running.rs
@@ -255,11 +255,11 @@
     /// idle, so a search is queued again for another connection. A home never resends
     /// a record.
     fn unsent(&mut self, call: &connections::Call, now: Moment) -> Option<message::Outcome> {
-        if call.fresh {
+        if call.must_connect {
             self.availability.unreachable(now);
             self.probe.make_due(now);
         }
-        if call.fresh || !call.may_requeue() {
+        if call.must_connect || !call.may_requeue() {
             return Some(message::Outcome::Unreachable);
         }
         self.queue.insert(call.job.clone());
--- a/crates/geraniumgauge/src/home/state/share.rs
+++ b/crates/geraniumgauge/src/home/state/share.rs
@@ -15,10 +15,11 @@
 
 /// Connections and concurrent calls of one home.
 ///
-/// A view has one primary, one standby and one reserve home, together 50% of the
-/// connections. While VMs differ between two views, each VM follows one of them, so
-/// all homes together hold at most 100%. Only with fewer than ten connections can
-/// the minimum of one connection for each home exceed the upstream's limit.
+/// In each view, an upstream's primary, standby and reserve home may together hold
+/// 50% of its connections. While a new view spreads, some VMs follow the old one and
+/// some the new one, so all homes together hold at most 100%. Only with fewer than
+/// ten connections can the minimum of one connection for each home exceed the
+/// upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
     /// Maximum number of connections, including the control connection.
--- a/crates/geraniumgauge/src/home/tests/scenarios.rs
+++ b/crates/geraniumgauge/src/home/tests/scenarios.rs
@@ -28,8 +28,11 @@
     let silent = [world.call(millis(1000)), world.call(millis(1000))];
     world.pass(millis(60));
     let next = world.call(millis(1000));
-    let (_, connection_id, fresh) = world.sent.last().unwrap().clone();
-    assert!(fresh, "sent on a connection as old as the silent ones");
+    let (_, connection_id, must_connect) = world.sent.last().unwrap().clone();
+    assert!(
+        must_connect,
+        "sent on a connection as old as the silent ones"
+    );
     world.pass(millis(20));
     world.finish(connection_id, UpstreamOutcome::Done);
     assert_eq!(world.outcome(&next), Some(Outcome::Hits));
--- a/crates/geraniumgauge/src/home/tests/world.rs
+++ b/crates/geraniumgauge/src/home/tests/world.rs
@@ -93,12 +93,17 @@
         match action {
             Action::Send {
                 connection_id,
-                fresh,
+                must_connect,
                 job,
                 ..
             } => {
-                assert_eq!(fresh, self.open.insert(connection_id), "{connection_id}");
-                self.sent.push((job.id.clone(), connection_id, fresh));
+                assert_eq!(
+                    must_connect,
+                    self.open.insert(connection_id),
+                    "{connection_id}"
+                );
+                self.sent
+                    .push((job.id.clone(), connection_id, must_connect));
                 self.sent_at.insert(connection_id, self.now);
                 assert!(
                     self.running.insert(connection_id, job).is_none(),
@@ -107,9 +112,13 @@
             }
             Action::Check {
                 connection_id,
-                fresh,
+                must_connect,
             } => {
-                assert_eq!(fresh, self.open.insert(connection_id), "{connection_id}");
+                assert_eq!(
+                    must_connect,
+                    self.open.insert(connection_id),
+                    "{connection_id}"
+                );
                 self.checking.push(connection_id);
             }
             Action::Probe => self.probes.push(self.now),
