--- a/crates/geraniumgauge/src/ledger/bucket.rs
+++ b/crates/geraniumgauge/src/ledger/bucket.rs
@@ -21,7 +21,7 @@
 pub(super) struct Context {
     pub(super) vm: ids::Vm,
     pub(super) service: ids::Service,
-    pub(super) slot: u64,
+    pub(super) number: u64,
     pub(super) store: sync::Arc<dyn store::Api>,
     pub(super) clock: clock::Clock,
     pub(super) timer: timer::Service,
--- a/crates/geraniumgauge/src/ledger/change.rs
+++ b/crates/geraniumgauge/src/ledger/change.rs
@@ -84,19 +84,19 @@
 /// Hashes of the keys in each page that was read, by the page's store key.
 pub(super) type Indexes = collections::HashMap<String, collections::HashSet<u128>>;
 
-/// Applies one change to `head`, which is `size` bytes long. `fresh` is set if
+/// Applies one change to `head`, which is `size` bytes long. `up_to_date` is set if
 /// `head` was just read or written, so that it needs no further read.
 pub(super) fn apply(
     head: &mut head::Head,
     change: &Change,
-    fresh: bool,
+    up_to_date: bool,
     size: usize,
     indexes: &Indexes,
 ) -> Applied {
     match change {
-        Change::Claim(key, entry) => claim(head, key, entry, fresh, size, indexes),
+        Change::Claim(key, entry) => claim(head, key, entry, up_to_date, size, indexes),
         Change::Settle(key, entry) => settle(head, key, entry),
-        Change::Lookup(key) => look_up(head, key, fresh, indexes),
+        Change::Lookup(key) => look_up(head, key, up_to_date, indexes),
         Change::PageOut(page, moved) => page_out(head, page, moved),
         Change::Expire(cutoff) => Applied::Changed(Verdict::Dropped(head.expire(*cutoff))),
         Change::Compact(old, page) => compact(head, old, page),
@@ -107,7 +107,7 @@
     head: &mut head::Head,
     key: &ids::Key,
     entry: &head::Entry,
-    fresh: bool,
+    up_to_date: bool,
     size: usize,
     indexes: &Indexes,
 ) -> Applied {
@@ -120,7 +120,7 @@
         }
         match present.state {
             head::State::NotRun => {}
-            head::State::Claimed if !fresh => return Applied::Refresh,
+            head::State::Claimed if !up_to_date => return Applied::Refresh,
             _ => return Applied::Unchanged(Verdict::Taken(present.clone())),
         }
     } else if let Some(found) = find_expired_or_paged(head, key, indexes) {
@@ -152,8 +152,8 @@
     None
 }
 
-fn look_up(head: &head::Head, key: &ids::Key, fresh: bool, indexes: &Indexes) -> Applied {
-    if !fresh {
+fn look_up(head: &head::Head, key: &ids::Key, up_to_date: bool, indexes: &Indexes) -> Applied {
+    if !up_to_date {
         return Applied::Refresh;
     }
     if let Some(present) = head.entries.get(key) {
--- a/crates/geraniumgauge/src/ledger/claim.rs
+++ b/crates/geraniumgauge/src/ledger/claim.rs
@@ -67,7 +67,7 @@
             Err(Unclaimed::Refused(refusal)) => return Err(refusal),
             Err(Unclaimed::Recorded(entry)) => return self.repeat(entry),
         };
-        let bucket = self.bucket(&job.service, key::slot(&job.key));
+        let bucket = self.bucket(&job.service, key::bucket(&job.key));
         let within = left * CLAIM_TIME_PERCENT / 100;
         match bucket.claim(&job.key, &job.entry, within).await {
             change::Verdict::Granted => self.run_claimed(job).await,
@@ -127,7 +127,7 @@
         key: &ids::Key,
         refusal: query::Refusal,
     ) -> Unclaimed {
-        let bucket = self.bucket(service, key::slot(key));
+        let bucket = self.bucket(service, key::bucket(key));
         match bucket.look_up(key, LOOKUP_TIMEOUT).await {
             change::Verdict::Taken(entry) if entry.state != head::State::NotRun => {
                 Unclaimed::Recorded(entry)
@@ -247,7 +247,7 @@
             upstream,
             ..job.entry
         };
-        let bucket = self.bucket(&job.service, key::slot(&job.key));
+        let bucket = self.bucket(&job.service, key::bucket(&job.key));
         let (entry, outcome) = match end {
             send::End::Done(body) => {
                 let result = result(&body);
--- a/crates/geraniumgauge/src/ledger/commit.rs
+++ b/crates/geraniumgauge/src/ledger/commit.rs
@@ -59,7 +59,7 @@
     head: head::Head,
     size: usize,
     /// Set when it was read or written since the queue was last empty.
-    fresh: bool,
+    up_to_date: bool,
 }
 
 /// A write that the worker is executing, with the state and the verdicts that
@@ -179,7 +179,7 @@
             return Some(Action::Read);
         };
         let mut head = cached.head.clone();
-        let (base, fresh, size) = (cached.version, cached.fresh, cached.size);
+        let (base, up_to_date, size) = (cached.version, cached.up_to_date, cached.size);
         let mut verdicts = Vec::new();
         let mut changed = false;
         let mut taken = 0;
@@ -189,7 +189,8 @@
                 break;
             }
             bytes += pending.change.size();
-            let applied = change::apply(&mut head, &pending.change, fresh, size, &self.indexes);
+            let applied =
+                change::apply(&mut head, &pending.change, up_to_date, size, &self.indexes);
             match applied {
                 change::Applied::Changed(verdict) => {
                     changed = true;
@@ -245,7 +246,7 @@
             version,
             head,
             size,
-            fresh: true,
+            up_to_date: true,
         });
     }
 
@@ -267,7 +268,7 @@
                     version,
                     head,
                     size,
-                    fresh: true,
+                    up_to_date: true,
                 });
                 self.resolved += count_unconfirmed(&update.changes);
                 self.verdicts.extend(update.verdicts);
@@ -312,7 +313,7 @@
     /// Marks the cached head as possibly stale.
     fn mark_stale(&mut self) {
         if let Some(cached) = &mut self.cached {
-            cached.fresh = false;
+            cached.up_to_date = false;
         }
     }
 
--- a/crates/geraniumgauge/src/ledger/coordinator.rs
+++ b/crates/geraniumgauge/src/ledger/coordinator.rs
@@ -97,8 +97,8 @@
         left: time::Duration,
         deadline: clock::Moment,
     ) -> Outcome {
-        let slot = key::slot(&registration.key);
-        let claimant = plan::claimant(&registration.service, slot, &self.inner.view.borrow());
+        let bucket = key::bucket(&registration.key);
+        let claimant = plan::claimant(&registration.service, bucket, &self.inner.view.borrow());
         let reply_time = (left / REPLY_TIME_DIVISOR).min(MAX_REPLY_TIME);
         let mut register = message::Register {
             attempt: self.attempt().0,
--- a/crates/geraniumgauge/src/ledger/key.rs
+++ b/crates/geraniumgauge/src/ledger/key.rs
@@ -10,27 +10,29 @@
 use crate::ids;
 use crate::time;
 
-/// Number of buckets of a service. The rate of writes to the store grows with
-/// the buckets, not with the claims, so there is one: 54 busy services then
-/// divide the store's writes among 54 buckets. The VM of one bucket handles
-/// thousands of claims a second, and if it fails, coordinators claim themselves.
+/// Number of buckets of a service. Store writes grow with the number of buckets,
+/// not of claims, since all waiting claims of a bucket are written together. So
+/// there is one bucket for each service: 54 busy services divide the store's
+/// writes among 54 buckets. The VM of one bucket handles thousands of claims a
+/// second, and if it fails, the coordinators create the claims on their own.
 /// Changing the number requires an empty ledger, since keys would map to other
 /// buckets.
-pub const SLOTS: u64 = 1;
+pub const BUCKETS_PER_SERVICE: u64 = 1;
 
 /// Digits of the time in a `t…` key. 13 digits of milliseconds last until the
 /// year 2286.
 const TIME_DIGITS: usize = 13;
 
-/// Returns the bucket of a key.
+/// Returns the number of a key's bucket.
 #[expect(clippy::modulo_one, reason = "the count may be raised")]
-pub fn slot(key: &ids::Key) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(key.as_str().as_bytes()) % SLOTS
+pub fn bucket(key: &ids::Key) -> u64 {
+    xxhash_rust::xxh3::xxh3_64(key.as_str().as_bytes()) % BUCKETS_PER_SERVICE
 }
 
-/// Returns the store key of a bucket's head.
-pub fn head(service: &ids::Service, slot: u64) -> String {
-    format!("ledger/{service}/head-{slot}")
+/// Returns the store key of the object with a bucket's recent claims and the list of
+/// its pages.
+pub fn head_key(service: &ids::Service, bucket: u64) -> String {
+    format!("ledger/{service}/head-{bucket}")
 }
 
 /// Returns the hash of a key, which is kept after its entry is deleted.
--- a/crates/geraniumgauge/src/ledger/pages.rs
+++ b/crates/geraniumgauge/src/ledger/pages.rs
@@ -11,8 +11,8 @@
 
 /// Size in bytes above which the settled entries of a head are moved to pages.
 const PAGING_THRESHOLD_BYTES: usize = 96 * 1024;
-/// Tolerated clock difference between VMs. Claims are kept longer than the window
-/// by this much, and keys may lie this far in the future.
+/// Tolerated clock difference between VMs. Claims are kept this much longer than the
+/// window, and the creation time in a key may be this far in the future.
 pub const MAX_CLOCK_SKEW: time::Duration = time::Duration::from_secs(600);
 /// Number of old pages with untimed keys that are compacted into one.
 const PAGES_PER_COMPACTION: usize = 8;
--- a/crates/geraniumgauge/src/ledger/plan.rs
+++ b/crates/geraniumgauge/src/ledger/plan.rs
@@ -90,8 +90,8 @@
 }
 
 /// Returns the VM that claims for the keys of a bucket.
-pub(super) fn claimant(service: &ids::Service, slot: u64, view: &crate::member::View) -> ids::Vm {
-    let assignment = format!("ledger/{service}/{slot}");
+pub(super) fn claimant(service: &ids::Service, bucket: u64, view: &crate::member::View) -> ids::Vm {
+    let assignment = format!("ledger/{service}/{bucket}");
     let vms = view.assignable().map(|member| &member.vm);
     let picked = rendezvous::pick(&assignment, vms, 1);
     picked.first().map_or(&view.local, |vm| *vm).clone()
--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -226,7 +226,7 @@
         if self.inner.catalog.get(service).is_none() {
             return Err(unknown_service(service));
         }
-        let bucket = self.bucket(service, key::slot(key));
+        let bucket = self.bucket(service, key::bucket(key));
         match bucket.look_up(key, LOOKUP_TIMEOUT).await {
             change::Verdict::Taken(entry) => Ok(ledger::Status::of(entry)),
             change::Verdict::Paged(page) => self.paged(key, &page).await,
@@ -270,14 +270,14 @@
     }
 
     /// Returns the handle of a bucket, whose task is started when first used.
-    pub(super) fn bucket(&self, service: &ids::Service, slot: u64) -> bucket::Bucket {
+    pub(super) fn bucket(&self, service: &ids::Service, number: u64) -> bucket::Bucket {
         let mut buckets = self.buckets();
-        let bucket = buckets.entry((service.clone(), slot));
+        let bucket = buckets.entry((service.clone(), number));
         let start = || {
             bucket::Bucket::start(bucket::Context {
                 vm: self.inner.config.vm.clone(),
                 service: service.clone(),
-                slot,
+                number,
                 store: self.inner.store.clone(),
                 clock: self.inner.clock,
                 timer: self.inner.timer.clone(),
--- a/crates/geraniumgauge/src/ledger/tests/link.rs
+++ b/crates/geraniumgauge/src/ledger/tests/environment.rs
@@ -1,4 +1,4 @@
-//! The store and the links of one incarnation of a VM, with injected faults.
+//! What one incarnation of a VM depends on, with injected faults.
 
 use std::sync;
 use std::sync::atomic;
@@ -14,13 +14,14 @@
 use crate::slo;
 use crate::store;
 
-/// The store, the links and the admission of one incarnation of a VM.
-pub(super) struct Link {
+/// What one incarnation of a VM depends on: store, mesh, admission and the recorder of
+/// request results, with injected faults.
+pub(super) struct Environment {
     pub(super) world: world::Shared,
     pub(super) node: sync::Arc<world::Node>,
 }
 
-impl Link {
+impl Environment {
     /// Executes a write, with faults before, during and after it.
     async fn write<T>(
         &self,
@@ -43,6 +44,7 @@
             return Err(down());
         }
         if world.fault(0.03) {
+            // The request is lost: the write never takes effect, but the VM can't know.
             return reply_lost();
         }
         if world.fault(0.04) {
@@ -71,7 +73,7 @@
 }
 
 #[async_trait::async_trait]
-impl store::Api for Link {
+impl store::Api for Environment {
     async fn get(&self, key: &str) -> Result<store::Object, store::Error> {
         self.node.block_if_crashed().await;
         tokio::time::sleep(world::millis(1 + self.world.below(5))).await;
@@ -120,7 +122,7 @@
     }
 }
 
-impl mesh::Sender for Link {
+impl mesh::Sender for Environment {
     fn send(&self, to: &ids::Vm, body: message::Body) -> Result<(), mesh::Error> {
         if self.node.is_crashed() {
             return Ok(());
@@ -131,7 +133,7 @@
         self.world.maybe_crash(&self.node);
         let (world, from, to) = (self.world.clone(), self.node.vm.clone(), to.clone());
         match body {
-            message::Body::Record(record) => tokio::spawn(world.home(from, to, record)),
+            message::Body::Record(record) => tokio::spawn(world.run_at_home(from, to, record)),
             body => tokio::spawn(world.deliver(from, to, body)),
         };
         Ok(())
@@ -139,7 +141,7 @@
 }
 
 #[async_trait::async_trait]
-impl ledger::Admission for Link {
+impl ledger::Admission for Environment {
     async fn admit(
         &self,
         _service: &ids::Service,
@@ -153,6 +155,6 @@
     }
 }
 
-impl slo::Record for Link {
+impl slo::Record for Environment {
     fn record(&self, _event: &slo::Event) {}
 }
--- a/crates/geraniumgauge/src/ledger/tests/mod.rs
+++ b/crates/geraniumgauge/src/ledger/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Tests of the whole ledger with faults injected into the store, homes and links.
 
-mod link;
+mod environment;
 mod property;
 mod scenarios;
 mod world;
--- a/crates/geraniumgauge/src/ledger/tests/scenarios.rs
+++ b/crates/geraniumgauge/src/ledger/tests/scenarios.rs
@@ -69,8 +69,10 @@
         first.extend(futures_util::future::join_all(calls).await);
     }
     let store = world.objects();
-    for slot in 0..ledger::key::SLOTS {
-        let head = store.get(&ledger::key::head(&world::service(), slot)).await;
+    for bucket in 0..ledger::key::BUCKETS_PER_SERVICE {
+        let head = store
+            .get(&ledger::key::head_key(&world::service(), bucket))
+            .await;
         assert!(head.unwrap().body.len() < 200 * 1024);
     }
     let pages = store.list("ledger/labels/pages-").await.unwrap().changes;
@@ -225,7 +227,7 @@
     }
     let calls = fake.count();
     let seconds = world.clock.now().since(Default::default()).as_secs();
-    let max_calls = (seconds + 1) * 8 * ledger::key::SLOTS;
+    let max_calls = (seconds + 1) * 8 * ledger::key::BUCKETS_PER_SERVICE;
     assert!(
         calls.reads + calls.writes < max_calls,
         "{calls:?} in {seconds} s"
--- a/crates/geraniumgauge/src/ledger/tests/world.rs
+++ b/crates/geraniumgauge/src/ledger/tests/world.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng as _;
 use tokio::sync::watch;
 
-use super::link;
+use super::environment;
 use crate::document;
 use crate::ids;
 use crate::layout;
@@ -172,7 +172,7 @@
             crashed: atomic::AtomicBool::new(false),
             service: sync::OnceLock::new(),
         });
-        let link = sync::Arc::new(link::Link {
+        let environment = sync::Arc::new(environment::Environment {
             world: self.clone(),
             node: node.clone(),
         });
@@ -185,10 +185,10 @@
             config,
             self.catalog.clone(),
             self.view(name, store.is_some()),
-            link.clone(),
-            store.unwrap_or_else(|| link.clone()),
-            link.clone(),
-            link,
+            environment.clone(),
+            store.unwrap_or_else(|| environment.clone()),
+            environment.clone(),
+            environment,
             clock,
             timer::Service::new(tokio_util::sync::CancellationToken::new()),
             &metrics::Metrics::new().unwrap().meter(),
@@ -288,7 +288,7 @@
     }
 
     /// Simulates a home and its upstream, and the reply to the claimant.
-    pub(super) async fn home(
+    pub(super) async fn run_at_home(
         self: sync::Arc<Self>,
         from: ids::Vm,
         home: ids::Vm,
--- a/crates/geraniumgauge/src/ledger/unsettled.rs
+++ b/crates/geraniumgauge/src/ledger/unsettled.rs
@@ -30,8 +30,8 @@
     service: &ids::Service,
 ) -> Result<Vec<Unsettled>, store::Error> {
     let mut found = Vec::new();
-    for slot in 0..key::SLOTS {
-        let head = read(store, &key::head(service, slot)).await?;
+    for bucket in 0..key::BUCKETS_PER_SERVICE {
+        let head = read(store, &key::head_key(service, bucket)).await?;
         let open = head
             .entries
             .into_iter()
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -65,8 +65,8 @@
         commands: mpsc::UnboundedReceiver<bucket::Command>,
     ) -> Self {
         Self {
-            key: key::head(&context.service, context.slot),
-            pages: format!("ledger/{}/pages-{}", context.service, context.slot),
+            key: key::head_key(&context.service, context.number),
+            pages: format!("ledger/{}/pages-{}", context.service, context.number),
             context,
             commands,
             commit: commit::Commit::default(),
