--- a/crates/geraniumgauge/src/member/service.rs
+++ b/crates/geraniumgauge/src/member/service.rs
@@ -4,7 +4,7 @@
 use std::collections;
 use std::net;
 use std::sync;
-use std::time as spans;
+use std::time;
 
 use futures_util::SinkExt as _;
 use futures_util::StreamExt as _;
@@ -24,7 +24,7 @@
 use crate::member::state;
 use crate::member::wire;
 use crate::store;
-use crate::time;
+use crate::time as clock;
 use crate::timer;
 
 /// Updates that a slow subscriber may lag behind. Beyond that it receives the
@@ -32,13 +32,13 @@
 const MAX_UNREAD_UPDATES: usize = 4096;
 
 /// First delay after a failed read of the platform's list.
-const LIST_RETRY_INTERVAL: spans::Duration = spans::Duration::from_secs(1);
+const LIST_RETRY_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Reads of the platform's list per second by all VMs together.
 const LIST_READS_PER_SECOND: f64 = 10.0;
 
 /// Shortest interval between two successful reads of the list by one VM.
-const MIN_LIST_INTERVAL: spans::Duration = spans::Duration::from_secs(10);
+const MIN_LIST_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
 /// Configuration of a VM's membership.
 #[derive(Debug)]
@@ -104,7 +104,7 @@
     pub fn start(
         config: Config,
         store: sync::Arc<dyn store::Api>,
-        clock: time::Clock,
+        clock: clock::Clock,
         timer: timer::Service,
         meter: &metrics::Meter,
     ) -> Self {
@@ -181,7 +181,7 @@
 /// Runs the state machine and performs its actions.
 struct Worker {
     state: state::State,
-    clock: time::Clock,
+    clock: clock::Clock,
     socket: udp::UdpFramed<wire::Codec>,
     view: watch::Sender<member::SharedView>,
     updates: broadcast::Sender<member::Update>,
@@ -270,11 +270,11 @@
 /// Reads the platform's list at the start and then at an interval that grows with
 /// the number of VMs, so that all together stay within [`LIST_READS_PER_SECOND`].
 async fn read_list(service: Service, store: sync::Arc<dyn store::Api>, timer: timer::Service) {
-    let mut delay = spans::Duration::ZERO;
+    let mut delay = time::Duration::ZERO;
     while timer.sleep(delay).await {
         let listed = store.vms().await;
         let members = service.view.borrow().members.len();
-        let interval = spans::Duration::from_secs_f64(members as f64 / LIST_READS_PER_SECOND)
+        let interval = time::Duration::from_secs_f64(members as f64 / LIST_READS_PER_SECOND)
             .max(MIN_LIST_INTERVAL);
         let next = match listed {
             Ok(vms) => {
--- a/crates/geraniumgauge/src/member/settings.rs
+++ b/crates/geraniumgauge/src/member/settings.rs
@@ -15,15 +15,17 @@
     pub direct_timeout: time::Duration,
     /// Number of members that are asked to probe on this VM's behalf.
     pub relays: usize,
-    /// Time that a suspect has to refute, in probe intervals; multiplied by the
-    /// logarithm of the number of members.
+    /// Time after which a suspect that hasn't refuted the suspicion is declared dead,
+    /// in probe intervals; multiplied by the decimal logarithm of the number of
+    /// members, or by 1 if there are fewer than ten.
     pub suspicion_intervals: u32,
     /// Interval between gossip rounds.
     pub gossip_interval: time::Duration,
     /// Members that receive updates in each gossip round.
     pub fanout: usize,
-    /// An update is sent log2(members) times plus this many. About one member in
-    /// e to this power misses it and finds it by comparing digests.
+    /// An update is sent log2(members) times plus this many. With n extra
+    /// transmissions, a fraction of about e^-n of the members misses the update and
+    /// gets it by comparing digests.
     pub extra_retransmissions: u32,
     /// Longest interval between digest comparisons with a random member.
     pub sync_interval: time::Duration,
@@ -35,7 +37,8 @@
     pub tombstone_lifetime: time::Duration,
     /// Bandwidth of gossip and digest comparisons, headers included.
     pub byte_rate: rate::PerSecond,
-    /// Bytes that they may send in a burst after an idle period.
+    /// Bytes that gossip and digest comparisons may send in a burst after an idle
+    /// period.
     pub burst_bytes: f64,
     /// Additional bandwidth of urgent updates once `byte_rate` is used up.
     pub urgent_byte_rate: rate::PerSecond,
--- a/crates/geraniumgauge/src/member/state/gossip.rs
+++ b/crates/geraniumgauge/src/member/state/gossip.rs
@@ -13,7 +13,7 @@
 use crate::member::record;
 use crate::member::state;
 use crate::member::wire;
-use crate::time;
+use crate::time as clock;
 
 /// Bytes that embedding a message adds to its own size: tag and length.
 const EMBEDDED_OVERHEAD_BYTES: usize = 3;
@@ -78,7 +78,7 @@
     }
 
     /// Sends queued updates to `fanout` members; does nothing if none are queued.
-    pub(super) fn gossip(&mut self, now: time::Moment) {
+    pub(super) fn gossip(&mut self, now: clock::Moment) {
         for _ in 0..self.settings.fanout {
             if self.queue.len() == 0 {
                 return;
@@ -118,7 +118,7 @@
         to: net::SocketAddr,
         vm: Option<&ids::Vm>,
         kind: Option<wire::Kind>,
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         let bare = self.builder(kind, vm);
         let all = self.fill(&bare, |_| true);
--- a/crates/geraniumgauge/src/member/state/join.rs
+++ b/crates/geraniumgauge/src/member/state/join.rs
@@ -9,7 +9,7 @@
 use crate::member::state;
 use crate::member::wire;
 use crate::store;
-use crate::time;
+use crate::time as clock;
 
 /// Addresses tried at once while this VM knows no live member.
 const CONTACTS_WHILE_ALONE: usize = 4;
@@ -22,11 +22,11 @@
 pub(super) struct Contacts {
     seeds: Vec<net::SocketAddr>,
     listed: Vec<net::SocketAddr>,
-    next_attempt: time::Moment,
+    next_attempt: clock::Moment,
 }
 
 impl Contacts {
-    pub(super) fn new(seeds: Vec<net::SocketAddr>, now: time::Moment) -> Self {
+    pub(super) fn new(seeds: Vec<net::SocketAddr>, now: clock::Moment) -> Self {
         Self {
             seeds,
             listed: Vec::new(),
@@ -64,7 +64,7 @@
     /// Probes a random address without a known member, and a random dead member.
     /// After a network partition each side holds the other dead; without this
     /// they would never find each other again.
-    pub(super) fn try_contacts(&mut self, now: time::Moment) {
+    pub(super) fn try_contacts(&mut self, now: clock::Moment) {
         if now < self.contacts.next_attempt {
             return;
         }
--- a/crates/geraniumgauge/src/member/state/leave.rs
+++ b/crates/geraniumgauge/src/member/state/leave.rs
@@ -1,35 +1,36 @@
 //! Announces that this VM is leaving.
 
 use std::collections;
-use std::time as spans;
+use std::time;
 
 use crate::ids;
 use crate::member::state;
-use crate::time;
+use crate::time as clock;
 
 /// Members that must confirm the announcement, or all live ones if there are fewer.
 const REQUIRED_CONFIRMATIONS: usize = 3;
 
 /// Longest time that an announcement may take, so that it can't block the stop.
-const ANNOUNCEMENT_TIMEOUT: spans::Duration = spans::Duration::from_secs(2);
+const ANNOUNCEMENT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// The announcement that this VM is leaving.
 #[derive(Debug)]
 pub(super) struct Announcement {
-    number: u64,
-    deadline: time::Moment,
+    /// Number of the announcement's pings; answers echo it.
+    ping_number: u64,
+    deadline: clock::Moment,
     confirmed: collections::BTreeSet<ids::Vm>,
     done: bool,
 }
 
 impl state::State {
     /// Starts the announcement, or reports its end again if it is done.
-    pub(super) fn leave(&mut self, now: time::Moment) {
+    pub(super) fn leave(&mut self, now: clock::Moment) {
         if self.announcement.is_none() {
             self.change_own(|own| own.leaving = true);
-            let number = self.probing.next_number();
+            let ping_number = self.probing.next_number();
             self.announcement = Some(Announcement {
-                number,
+                ping_number,
                 deadline: now + ANNOUNCEMENT_TIMEOUT,
                 confirmed: collections::BTreeSet::new(),
                 done: false,
@@ -46,9 +47,9 @@
     }
 
     /// Takes an answer to a ping of the announcement as the sender's confirmation.
-    pub(super) fn confirm_leaving(&mut self, sender: &ids::Vm, number: u64, now: time::Moment) {
+    pub(super) fn confirm_leaving(&mut self, sender: &ids::Vm, number: u64, now: clock::Moment) {
         if let Some(announcement) = &mut self.announcement
-            && announcement.number == number
+            && announcement.ping_number == number
         {
             announcement.confirmed.insert(sender.clone());
             self.check_announcement(now);
@@ -56,7 +57,7 @@
     }
 
     /// Pings further members until enough have confirmed.
-    pub(super) fn repeat_announcement(&mut self, now: time::Moment) {
+    pub(super) fn repeat_announcement(&mut self, now: clock::Moment) {
         if self
             .announcement
             .as_ref()
@@ -68,21 +69,21 @@
     }
 
     /// Pings twice as many members as must confirm, since some may be down.
-    fn announce(&mut self, now: time::Moment) {
+    fn announce(&mut self, now: clock::Moment) {
         let Some(announcement) = &self.announcement else {
             return;
         };
-        let (number, confirmed) = (announcement.number, announcement.confirmed.clone());
+        let (ping_number, confirmed) = (announcement.ping_number, announcement.confirmed.clone());
         let targets = self.pick(2 * REQUIRED_CONFIRMATIONS, |record| {
             !confirmed.contains(&record.vm)
         });
         for (vm, address) in targets {
-            self.ping(&vm, address, number, now);
+            self.ping(&vm, address, ping_number, now);
         }
     }
 
     /// Ends the announcement once enough members have confirmed or time is up.
-    fn check_announcement(&mut self, now: time::Moment) {
+    fn check_announcement(&mut self, now: clock::Moment) {
         let required = self.live.min(REQUIRED_CONFIRMATIONS);
         let Some(announcement) = &mut self.announcement else {
             return;
--- a/crates/geraniumgauge/src/member/state/mod.rs
+++ b/crates/geraniumgauge/src/member/state/mod.rs
@@ -19,7 +19,7 @@
 use std::collections;
 use std::net;
 use std::sync as shared;
-use std::time as spans;
+use std::time;
 
 use rand::SeedableRng as _;
 use rand::seq::IteratorRandom as _;
@@ -33,7 +33,7 @@
 use crate::member::wire;
 use crate::rate;
 use crate::store;
-use crate::time;
+use crate::time as clock;
 
 /// An input of the state machine.
 #[derive(Debug, Clone)]
@@ -116,7 +116,7 @@
     /// Hash of the VM's name; see [`name_hash`].
     name_hash: u64,
     /// Time at which it was declared dead.
-    died: Option<time::Moment>,
+    died: Option<clock::Moment>,
     /// The incarnation that the platform's list marks as leaving.
     listed_leaving: Option<ids::Incarnation>,
 }
@@ -130,7 +130,7 @@
     /// Number of other members that are not dead.
     live: usize,
     /// Time at which each suspect is declared dead.
-    suspects: collections::BTreeMap<ids::Vm, time::Moment>,
+    suspects: collections::BTreeMap<ids::Vm, clock::Moment>,
     updates: collections::BTreeMap<(member::Topic, shared::Arc<str>), member::Update>,
     digest: digest::Digest,
     queue: queue::Queue,
@@ -141,10 +141,10 @@
     contacts: join::Contacts,
     announcement: Option<leave::Announcement>,
     rng: rand::rngs::StdRng,
-    started: time::Moment,
-    last_tick: time::Moment,
-    next_gossip: time::Moment,
-    next_sync: time::Moment,
+    started: clock::Moment,
+    last_tick: clock::Moment,
+    next_gossip: clock::Moment,
+    next_sync: clock::Moment,
     /// Set when there is an update that must not wait for the next gossip round.
     urgent: bool,
     /// Members that gossip has yet to reach in the current random order.
@@ -167,7 +167,7 @@
         seeds: Vec<net::SocketAddr>,
         settings: settings::Settings,
         seed: u64,
-        now: time::Moment,
+        now: clock::Moment,
     ) -> Self {
         let mut digest = digest::Digest::new();
         digest.toggle(name_hash(&own.vm), own.fingerprint());
@@ -203,7 +203,7 @@
     }
 
     /// Processes one event and returns the actions to carry out.
-    pub fn handle(&mut self, event: Event, now: time::Moment) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event, now: clock::Moment) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
             Event::Datagram { from, datagram } => self.receive(from, datagram, now),
@@ -257,7 +257,7 @@
         self.updates.get(&(topic, key.into()))
     }
 
-    fn tick(&mut self, now: time::Moment) {
+    fn tick(&mut self, now: clock::Moment) {
         let gap = now.since(self.last_tick);
         self.last_tick = now;
         if gap > self.settings.pause_threshold {
@@ -282,7 +282,7 @@
     /// every probed or suspected member would be declared dead although only this
     /// VM was stopped. Drops the open probes and extends the deadlines of suspects
     /// by the length of the pause.
-    fn resume(&mut self, gap: spans::Duration) {
+    fn resume(&mut self, gap: time::Duration) {
         self.stats.pauses += 1;
         self.probing.clear();
         for deadline in self.suspects.values_mut() {
@@ -290,7 +290,7 @@
         }
     }
 
-    fn receive(&mut self, from: net::SocketAddr, datagram: wire::Datagram, now: time::Moment) {
+    fn receive(&mut self, from: net::SocketAddr, datagram: wire::Datagram, now: clock::Moment) {
         let Some(sender) = datagram.from.as_ref().and_then(wire::Record::to_record) else {
             return;
         };
--- a/crates/geraniumgauge/src/member/state/probing.rs
+++ b/crates/geraniumgauge/src/member/state/probing.rs
@@ -10,7 +10,7 @@
 use crate::member::record;
 use crate::member::state;
 use crate::member::wire;
-use crate::time;
+use crate::time as clock;
 
 /// Most probes relayed for others at once; further requests are ignored.
 const MAX_RELAYED_PROBES: usize = 256;
@@ -24,7 +24,7 @@
     vm: ids::Vm,
     address: net::SocketAddr,
     number: u64,
-    sent: time::Moment,
+    sent: clock::Moment,
     relayed: bool,
 }
 
@@ -34,7 +34,7 @@
     number: u64,
     requester: net::SocketAddr,
     probe: wire::Probe,
-    deadline: time::Moment,
+    deadline: clock::Moment,
 }
 
 /// Open probes of this VM and the order of the next ones.
@@ -44,7 +44,7 @@
     cycle: Vec<ids::Vm>,
     probes: Vec<Probe>,
     relays: Vec<Relay>,
-    next_probe: time::Moment,
+    next_probe: clock::Moment,
     number: u64,
     /// Lengthens probe timeouts: they are multiplied by one plus this. Raised when
     /// this VM's own probes fail, since this VM may be the one that is cut off or
@@ -53,7 +53,7 @@
 }
 
 impl Probing {
-    pub(super) fn new(now: time::Moment) -> Self {
+    pub(super) fn new(now: clock::Moment) -> Self {
         Self {
             cycle: Vec::new(),
             probes: Vec::new(),
@@ -88,7 +88,7 @@
 
 impl state::State {
     /// Follows up on open probes and starts a new one when due.
-    pub(super) fn probe(&mut self, now: time::Moment) {
+    pub(super) fn probe(&mut self, now: clock::Moment) {
         self.check_probes(now);
         self.probing.relays.retain(|relay| relay.deadline > now);
         if now < self.probing.next_probe {
@@ -130,7 +130,7 @@
 
     /// Relays probes that were not answered directly, and suspects members that did
     /// not answer at all.
-    fn check_probes(&mut self, now: time::Moment) {
+    fn check_probes(&mut self, now: clock::Moment) {
         let timeout_factor = 1 + self.probing.health_penalty;
         let relay_after = self.settings.direct_timeout * timeout_factor;
         let fail_after = self.settings.probe_interval * timeout_factor;
@@ -155,7 +155,7 @@
 
     /// Asks other members to probe. Includes one in another data centre if there
     /// is one, since the path from this one may be what is broken.
-    fn ask_relays(&mut self, probe: &Probe, now: time::Moment) {
+    fn ask_relays(&mut self, probe: &Probe, now: clock::Moment) {
         let own = self.own.data_centre.clone();
         let target = probe.vm.clone();
         let far = self.pick(1, |record| record.vm != target && record.data_centre != own);
@@ -181,7 +181,7 @@
         vm: &ids::Vm,
         address: net::SocketAddr,
         number: u64,
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         let probe = wire::Probe {
             number,
@@ -197,7 +197,7 @@
         from: net::SocketAddr,
         sender: &ids::Vm,
         probe: wire::Probe,
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         if !probe.vm.is_empty() && probe.vm != self.own.vm.as_str() {
             return;
@@ -207,7 +207,7 @@
         self.send(from, Some(sender), Some(ack), now);
     }
 
-    pub(super) fn receive_ack(&mut self, sender: &ids::Vm, ack: &wire::Probe, now: time::Moment) {
+    pub(super) fn receive_ack(&mut self, sender: &ids::Vm, ack: &wire::Probe, now: clock::Moment) {
         let open = self.probing.probes.len();
         let matches = |probe: &Probe| probe.number == ack.number && probe.vm.as_str() == ack.vm;
         self.probing.probes.retain(|probe| !matches(probe));
@@ -221,7 +221,7 @@
     }
 
     /// Forwards the answer to a relayed probe to the member that asked for it.
-    fn forward_ack(&mut self, ack: &wire::Probe, now: time::Moment) {
+    fn forward_ack(&mut self, ack: &wire::Probe, now: clock::Moment) {
         let matches = |relay: &mut Relay| relay.number == ack.number && relay.probe.vm == ack.vm;
         let answered = self.probing.relays.extract_if(.., matches);
         let answered: Vec<_> = answered.collect();
@@ -236,7 +236,7 @@
         &mut self,
         from: net::SocketAddr,
         relay: wire::Relay,
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         let address = relay.address.parse().ok();
         let vm = relay.probe.as_ref().and_then(|probe| probe.vm.parse().ok());
--- a/crates/geraniumgauge/src/member/state/records.rs
+++ b/crates/geraniumgauge/src/member/state/records.rs
@@ -1,18 +1,18 @@
 //! Membership records: merging received ones, refuting suspicions of this VM, and
 //! declaring suspects dead.
 
-use std::time as spans;
+use std::time;
 
 use crate::ids;
 use crate::member;
 use crate::member::queue;
 use crate::member::record;
 use crate::member::state;
-use crate::time;
+use crate::time as clock;
 
 impl state::State {
     /// Merges a received record into the members.
-    pub(super) fn apply_record(&mut self, received: record::Record, now: time::Moment) {
+    pub(super) fn apply_record(&mut self, received: record::Record, now: clock::Moment) {
         if received.vm == self.own.vm {
             return self.receive_own_record(&received);
         }
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Starts or ends the time that a member has to refute.
-    fn track_suspicion(&mut self, new: &record::Record, now: time::Moment) {
+    /// Starts or ends the time that a member has to refute a suspicion.
+    fn track_suspicion(&mut self, new: &record::Record, now: clock::Moment) {
         if new.health == record::Health::Suspect {
             let deadline = now + self.suspicion_timeout();
             self.suspects.entry(new.vm.clone()).or_insert(deadline);
@@ -120,9 +120,9 @@
         self.view_changed = true;
     }
 
-    /// Declares suspects dead that have not refuted in time, and removes members
-    /// that have been dead for the tombstone lifetime.
-    pub(super) fn expire_members(&mut self, now: time::Moment) {
+    /// Declares suspects dead that have not refuted the suspicion in time, and
+    /// removes members that have been dead for the tombstone lifetime.
+    pub(super) fn expire_members(&mut self, now: clock::Moment) {
         let due = self
             .suspects
             .iter()
@@ -144,7 +144,7 @@
     }
 
     /// Sets a member's health and gossips the change.
-    pub(super) fn set_health(&mut self, vm: &ids::Vm, health: record::Health, now: time::Moment) {
+    pub(super) fn set_health(&mut self, vm: &ids::Vm, health: record::Health, now: clock::Moment) {
         let Some(entry) = self.members.get(vm) else {
             return;
         };
@@ -153,10 +153,10 @@
         self.apply_record(record, now);
     }
 
-    /// Returns the time that a suspect has to refute. It grows with the logarithm
-    /// of the number of members, as does the number of gossip rounds that an
-    /// update takes to reach all of them.
-    fn suspicion_timeout(&self) -> spans::Duration {
+    /// Returns the time after which a suspect that hasn't refuted the suspicion is
+    /// declared dead. It grows with the logarithm of the number of members, as does
+    /// the number of gossip rounds that an update takes to reach all of them.
+    fn suspicion_timeout(&self) -> time::Duration {
         let rounds = ((self.live + 1) as f64).log10().max(1.0);
         (self.settings.probe_interval * self.settings.suspicion_intervals).mul_f64(rounds)
     }
--- a/crates/geraniumgauge/src/member/state/sync.rs
+++ b/crates/geraniumgauge/src/member/state/sync.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy: compares digests with a random member to find what gossip missed.
 
 use std::net;
-use std::time as spans;
+use std::time;
 
 use rand::Rng as _;
 use rand::seq::SliceRandom as _;
@@ -12,30 +12,30 @@
 use crate::member::state;
 use crate::member::state::gossip;
 use crate::member::wire;
-use crate::time;
+use crate::time as clock;
 
 /// Shortest interval between comparisons, used in small clusters.
-const MIN_INTERVAL: spans::Duration = spans::Duration::from_secs(2);
+const MIN_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 /// Interval between comparisons per member, up to the setting.
-const INTERVAL_PER_MEMBER: spans::Duration = spans::Duration::from_millis(50);
+const INTERVAL_PER_MEMBER: time::Duration = time::Duration::from_millis(50);
 
 /// Time after the start during which the shortest interval applies.
-const STARTUP_WINDOW: spans::Duration = spans::Duration::from_secs(60);
+const STARTUP_WINDOW: time::Duration = time::Duration::from_secs(60);
 
 /// Differing buckets above which a VM is new or has missed many updates and
 /// compares again after [`FAR_BEHIND_DELAY`].
 const FAR_BEHIND_BUCKETS: usize = digest::BUCKETS / 8;
 
 /// Delay of the next comparison after one that found many differences.
-const FAR_BEHIND_DELAY: spans::Duration = spans::Duration::from_millis(300);
+const FAR_BEHIND_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// Delay of the next comparison after one that found any difference.
-const DIFFERENCE_DELAY: spans::Duration = spans::Duration::from_secs(2);
+const DIFFERENCE_DELAY: time::Duration = time::Duration::from_secs(2);
 
 impl state::State {
     /// Sends this VM's digest to a returned member, and to a random one when due.
-    pub(super) fn sync(&mut self, now: time::Moment) {
+    pub(super) fn sync(&mut self, now: clock::Moment) {
         if let Some(address) = self.returned.pop() {
             self.returned.truncate(64);
             self.send_digest(address, None, false, now);
@@ -65,7 +65,7 @@
         to: net::SocketAddr,
         vm: Option<&ids::Vm>,
         answer: bool,
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         let hashes = self.digest.encode();
         let digest = wire::Kind::Digest(wire::Digest { hashes, answer });
@@ -83,7 +83,7 @@
         from: net::SocketAddr,
         sender: &ids::Vm,
         theirs: &wire::Digest,
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         let mut differing = self.digest.differing(&theirs.hashes);
         if differing.is_empty() {
@@ -113,7 +113,7 @@
         to: net::SocketAddr,
         vm: &ids::Vm,
         buckets: &[usize],
-        now: time::Moment,
+        now: clock::Moment,
     ) {
         let mut subjects = self.subjects(buckets).into_iter().peekable();
         for _ in 0..self.settings.max_sync_datagrams {
--- a/crates/geraniumgauge/src/member/tests/net.rs
+++ b/crates/geraniumgauge/src/member/tests/net.rs
@@ -10,10 +10,10 @@
 use super::*;
 
 /// Time at which every test starts.
-pub(super) const START: time::Moment = time::Moment(0);
+pub(super) const START: clock::Moment = clock::Moment(0);
 
 /// Length of a simulation step.
-const STEP: spans::Duration = spans::Duration::from_millis(100);
+const STEP: time::Duration = time::Duration::from_millis(100);
 
 /// Datagrams that the socket of a paused process buffers.
 const SOCKET_DATAGRAMS: usize = 100;
@@ -43,10 +43,10 @@
 
 pub(super) struct Net {
     pub(super) nodes: Vec<Node>,
-    pub(super) now: time::Moment,
+    pub(super) now: clock::Moment,
     pub(super) faults: Faults,
     pub(super) settings: settings::Settings,
-    in_flight: collections::BTreeMap<(time::Moment, u64), (usize, usize, wire::Datagram)>,
+    in_flight: collections::BTreeMap<(clock::Moment, u64), (usize, usize, wire::Datagram)>,
     sent: u64,
     rng: rand::rngs::StdRng,
 }
@@ -80,7 +80,7 @@
     pub(super) fn with(count: usize, seed: u64, settings: settings::Settings) -> Self {
         let mut net = Self {
             nodes: Vec::new(),
-            now: time::Moment::default(),
+            now: clock::Moment::default(),
             faults: Faults::default(),
             settings,
             in_flight: collections::BTreeMap::new(),
--- a/crates/geraniumgauge/src/member/tests/service.rs
+++ b/crates/geraniumgauge/src/member/tests/service.rs
@@ -17,14 +17,14 @@
     let vm = name.parse().unwrap();
     let mut config = Config::new(vm, ids::Incarnation(1), data_centre, address, socket);
     config.seeds = seeds;
-    config.settings.tick_interval = spans::Duration::from_millis(5);
-    config.settings.probe_interval = spans::Duration::from_millis(50);
-    config.settings.gossip_interval = spans::Duration::from_millis(10);
+    config.settings.tick_interval = time::Duration::from_millis(5);
+    config.settings.probe_interval = time::Duration::from_millis(50);
+    config.settings.gossip_interval = time::Duration::from_millis(10);
     let stop = signals::CancellationToken::new();
     let timer = timer::Service::new(stop.clone());
     let store = sync::Arc::new(store.clone());
     let meter = metrics::Metrics::new().unwrap().meter();
-    let service = Service::start(config, store, time::Clock::start(), timer, &meter);
+    let service = Service::start(config, store, clock::Clock::start(), timer, &meter);
     Vm {
         service,
         address,
--- a/crates/geraniumgauge/src/member/wire.rs
+++ b/crates/geraniumgauge/src/member/wire.rs
@@ -74,8 +74,8 @@
     /// Number chosen by the prober and echoed in the answer.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Name of the probed VM. Another VM at its address doesn't answer; empty
-    /// addresses any VM.
+    /// Name of the probed VM. A VM of another name doesn't answer. If empty, any VM
+    /// answers.
     #[prost(string, tag = "2")]
     pub vm: String,
 }
