--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -40,7 +40,7 @@
 pub struct Trial {
     started: bool,
     finished: bool,
-    owner: Service,
+    quarantine: Service,
     service: ids::Service,
     claim: trial::Claim,
 }
@@ -75,12 +75,12 @@
         };
         for _ in 0..MAX_CLAIM_ATTEMPTS {
             if self.try_claim(service, &claim).await? {
-                let owner = self.clone();
+                let quarantine = self.clone();
                 let service = service.clone();
                 return Ok(Trial {
                     started: false,
                     finished: false,
-                    owner,
+                    quarantine,
                     service,
                     claim,
                 });
@@ -133,13 +133,13 @@
     pub fn finish(mut self, end: trial::End, upstream: Option<&ids::Upstream>) {
         self.finished = true;
         let kind = KeyValue::new("end", end.to_string());
-        self.owner.inner.trials.add(1, &[kind]);
+        self.quarantine.inner.trials.add(1, &[kind]);
         let fingerprint = self.claim.fingerprint;
         match (end, upstream) {
-            (trial::End::Completed, _) => self.owner.completed(&self.service, fingerprint),
+            (trial::End::Completed, _) => self.quarantine.completed(&self.service, fingerprint),
             (trial::End::Lost, Some(upstream)) => {
                 let run = tracker::Run::Trial;
-                self.owner
+                self.quarantine
                     .lost_while(&self.service, fingerprint, upstream, run);
             }
             (trial::End::Lost, None) | (trial::End::NotRun, _) => {}
@@ -151,7 +151,7 @@
     /// Queues the release of the claim in the store.
     fn release(&self) {
         let write = persist::Write::Release(self.service.clone(), self.claim.clone());
-        if self.owner.inner.writes.try_send(write).is_err() {
+        if self.quarantine.inner.writes.try_send(write).is_err() {
             log::warn!("trial claim not released in the store: write queue is full");
         }
     }
