--- a/crates/geraniumgauge/src/spread/tests/world/answers.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/answers.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn send_next(&mut self, vm: usize) {
-        if let Some((at, generation)) = self.vms[vm].link.next() {
+        if let Some((at, generation)) = self.vms[vm].link.next_completion() {
             self.push(
                 vm,
                 self.now.until(at),
--- a/crates/geraniumgauge/src/spread/tests/world/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/mod.rs
@@ -292,7 +292,7 @@
                 }
             }
             Event::Transferred(generation) => {
-                for transfer in self.vms[vm].link.sent(generation, now) {
+                for transfer in self.vms[vm].link.take_complete(generation, now) {
                     self.vms[vm].state.release(transfer.ticket, now);
                     self.deliver(vm, transfer.to, transfer.request, transfer.answer);
                 }
