--- a/crates/geraniumgauge/src/follow/mod.rs
+++ b/crates/geraniumgauge/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! Reads kinds of objects in the platform's store by lists and watches.
+//! Reads all objects of one kind from the platform's store, by lists and watches.
 //!
 //! A watch alone can miss changes unnoticed: the store may drop it silently, or
 //! answer it from a stale copy. [`Inventory`] therefore keeps a digest of the objects
--- a/crates/geraniumgauge/src/jsonc/field.rs
+++ b/crates/geraniumgauge/src/jsonc/field.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// Parses `text` into `value`, for use in setters of [`Kind::Text`]. The errors of
-/// the newtypes already have the form `problem; remedy`.
+/// Parses `text` into `value`, for use in setters of [`Kind::Text`]. Error texts
+/// of the identifier and rate types have the form `problem; remedy`.
 ///
 /// # Errors
 /// The error text of the type when `text` is not a valid value.
--- a/crates/geraniumgauge/src/jsonc/read.rs
+++ b/crates/geraniumgauge/src/jsonc/read.rs
@@ -41,7 +41,8 @@
     }
 }
 
-/// Splits an error text of the form `problem; remedy`, as newtypes have it.
+/// Splits an error text of the form `problem; remedy`, which the identifier and rate
+/// types return.
 pub fn split(message: &str) -> (String, String) {
     let (problem, remedy) = message
         .split_once("; ")
--- a/crates/geraniumgauge/src/query/admission.rs
+++ b/crates/geraniumgauge/src/query/admission.rs
@@ -1,9 +1,9 @@
 //! Limits how many searches of one service run at the same time on this VM.
 //!
-//! The document sets the maximum. Below it the limit adapts to congestion: when
-//! homes refuse calls for load or queue them for long, fewer searches are
-//! admitted and the others are refused before any call is sent, since a few
-//! complete answers are worth more than many partial ones.
+//! The document sets the maximum. Below it the limit adapts to congestion: when homes
+//! refuse calls because of overload or queue them for a long time, fewer searches are
+//! admitted and the others are refused before any call is sent, since a few complete
+//! answers are worth more than many partial ones.
 
 use std::time;
 
@@ -21,7 +21,7 @@
 pub enum Load {
     /// No congestion.
     Free,
-    /// Calls were refused for load or queued for long.
+    /// Calls were refused because of overload or queued for a long time.
     Congested,
 }
 
--- a/crates/geraniumgauge/src/query/answer.rs
+++ b/crates/geraniumgauge/src/query/answer.rs
@@ -78,7 +78,7 @@
 pub enum Reason {
     /// No reply before the deadline.
     Deadline,
-    /// The call was refused for load.
+    /// The call was refused because of overload.
     Overloaded,
     /// No replica could be called, or the connection was lost.
     Unreachable,
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -148,7 +148,8 @@
     Finish(Box<query::Answer>),
 }
 
-/// Counts of what a search sent, was refused and cancelled.
+/// Numbers of the calls that a search sent and cancelled, of those that were refused,
+/// and of its restarts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// First calls of their shards.
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -24,8 +24,8 @@
 /// A call that waited in a queue for more than the search's time divided by this
 /// is a sign of congestion.
 const LONG_QUEUE_DIVISOR: u32 = 3;
-/// A search of which more than one in this many calls was refused for load is a
-/// sign of congestion.
+/// A search of which more than one in this many calls was refused because of overload
+/// is a sign of congestion.
 const REFUSED_SHARE_DIVISOR: u64 = 8;
 
 /// An input of a running search.
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Notes congestion if any call waited in a queue for long.
+    /// Notes congestion if any call waited in a queue for a long time.
     fn check_queue_times(&mut self, replies: &[message::Reply]) {
         let total = self.context.deadline.since(self.context.started);
         let long = clock::micros(total / LONG_QUEUE_DIVISOR);
--- a/crates/geraniumgauge/src/query/tests/admission.rs
+++ b/crates/geraniumgauge/src/query/tests/admission.rs
@@ -4,8 +4,8 @@
 use crate::query::admission::Load;
 use crate::time as clock;
 
-/// When upstreams refuse calls for load, admitting as many searches as before
-/// would give only partial answers. Fewer must be admitted, and more once the
+/// When upstreams refuse calls because of overload, admitting as many searches as
+/// before would give only partial answers. Fewer must be admitted, and more once the
 /// congestion ends.
 #[test]
 fn congestion_lowers_the_limit_and_its_end_restores_it() {
--- a/crates/geraniumgauge/src/vm/mod.rs
+++ b/crates/geraniumgauge/src/vm/mod.rs
@@ -1,4 +1,4 @@
-//! A VM with all of its components. The daemon runs one; tests and the stand-ins run
+//! A VM with all of its components. The daemon runs one; tests and simulators run
 //! several in one process, each on its own runtime.
 
 mod backend;
