--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -42,7 +42,7 @@
 pub use service::Gossip;
 pub use service::Parts;
 pub use service::Service;
-pub use status::MAX_BEHIND;
+pub use status::MAX_BEHIND_LISTED;
 pub use status::REPORTED;
 pub use status::Report;
 pub use status::Reported;
--- a/crates/geraniumgauge/src/document/status.rs
+++ b/crates/geraniumgauge/src/document/status.rs
@@ -24,9 +24,9 @@
     pub in_force: u32,
     /// Number of VMs in the keeper's view.
     pub vms: u32,
-    /// Up to [`MAX_BEHIND`] VMs that apply an older version or haven't reported.
+    /// Up to [`MAX_BEHIND_LISTED`] VMs that apply an older version or haven't reported.
     pub behind: Vec<ids::Vm>,
-    /// Up to [`MAX_BEHIND`] VMs that started while the store was unavailable and
+    /// Up to [`MAX_BEHIND_LISTED`] VMs that started while the store was unavailable and
     /// apply versions from other members that the store hasn't confirmed yet.
     #[serde(default)]
     pub unconfirmed: Vec<ids::Vm>,
@@ -60,7 +60,7 @@
     /// Set if the VM has reported recently.
     pub heard: bool,
     /// Services of which the VM applies older versions than the keeper, at most
-    /// [`MAX_BEHIND`].
+    /// [`MAX_BEHIND_LISTED`].
     pub behind: Vec<ids::Service>,
     /// Set if the VM started while the store was unavailable and the store hasn't
     /// confirmed the versions that it applies.
@@ -69,7 +69,7 @@
 
 /// Maximum number of VMs or services in a list of those that are behind or
 /// unconfirmed.
-pub const MAX_BEHIND: usize = 8;
+pub const MAX_BEHIND_LISTED: usize = 8;
 
 /// Result of checking a team's text.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/geraniumgauge/src/document/tally.rs
+++ b/crates/geraniumgauge/src/document/tally.rs
@@ -32,7 +32,7 @@
 pub(super) struct Rollout {
     /// Number of VMs that apply these or newer versions.
     pub(super) in_force: u32,
-    /// Other VMs, at most [`status::MAX_BEHIND`].
+    /// Other VMs, at most [`status::MAX_BEHIND_LISTED`].
     pub(super) behind: Vec<ids::Vm>,
 }
 
@@ -72,11 +72,11 @@
     }
 
     /// Returns VMs whose documents the store hasn't confirmed, at most
-    /// [`status::MAX_BEHIND`].
+    /// [`status::MAX_BEHIND_LISTED`].
     pub(super) fn unconfirmed(&self) -> Vec<ids::Vm> {
         let reports = self.reports.iter().filter(|(_, report)| report.unconfirmed);
         let vms = reports.map(|(vm, _)| vm.clone());
-        vms.take(status::MAX_BEHIND).collect()
+        vms.take(status::MAX_BEHIND_LISTED).collect()
     }
 
     /// Counts the VMs among `vms` that apply `wanted` or newer versions.
@@ -90,7 +90,7 @@
         for vm in vms {
             if self.applies(vm, wanted, now) {
                 rollout.in_force += 1;
-            } else if rollout.behind.len() < status::MAX_BEHIND {
+            } else if rollout.behind.len() < status::MAX_BEHIND_LISTED {
                 rollout.behind.push(vm.clone());
             }
         }
@@ -124,7 +124,7 @@
         let behind = behind.filter_map(|wanted| wanted.service.parse().ok());
         status::Report {
             heard: true,
-            behind: behind.take(status::MAX_BEHIND).collect(),
+            behind: behind.take(status::MAX_BEHIND_LISTED).collect(),
             unconfirmed: report.unconfirmed,
         }
     }
