--- a/crates/geraniumgauge/src/ids.rs
+++ b/crates/geraniumgauge/src/ids.rs
@@ -1,6 +1,6 @@
 //! Identifiers as distinct types, so that they can't be mixed up.
 //!
-//! Text identifiers are limited to [`MAX_LEN`] bytes of `[A-Za-z0-9._:-]`, since
+//! Text identifiers are limited to [`MAX_IDENTIFIER_BYTES`] bytes of `[A-Za-z0-9._:-]`, since
 //! they become parts of store keys, URLs and log lines.
 
 use std::fmt;
@@ -8,20 +8,20 @@
 use std::sync;
 
 /// Maximum length of a text identifier, in bytes.
-pub const MAX_LEN: usize = 128;
+pub const MAX_IDENTIFIER_BYTES: usize = 128;
 
 /// Why a text isn't a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum Error {
     /// The text is empty.
-    #[display("{kind} is empty; give 1 to {MAX_LEN} characters")]
+    #[display("{kind} is empty; give 1 to {MAX_IDENTIFIER_BYTES} characters")]
     Empty {
         /// The kind of identifier that was parsed.
         kind: &'static str,
     },
-    /// The text is longer than [`MAX_LEN`] bytes.
-    #[display("{kind} has {len} bytes; give at most {MAX_LEN}")]
+    /// The text is longer than [`MAX_IDENTIFIER_BYTES`] bytes.
+    #[display("{kind} has {len} bytes; give at most {MAX_IDENTIFIER_BYTES}")]
     Long {
         /// The kind of identifier that was parsed.
         kind: &'static str,
@@ -52,7 +52,7 @@
     if text.is_empty() {
         return Err(Error::Empty { kind });
     }
-    if text.len() > MAX_LEN {
+    if text.len() > MAX_IDENTIFIER_BYTES {
         return Err(Error::Long {
             kind,
             len: text.len(),
