--- a/crates/geraniumgauge/src/store/mod.rs
+++ b/crates/geraniumgauge/src/store/mod.rs
@@ -24,7 +24,7 @@
 use crate::ids;
 
 /// Maximum size of an object, in bytes.
-pub const MAX_OBJECT: usize = 1 << 20;
+pub const MAX_OBJECT_BYTES: usize = 1 << 20;
 
 /// An object as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -115,7 +115,7 @@
         reason: String,
     },
     /// The store refuses the key or the content, such as an object larger than
-    /// [`MAX_OBJECT`].
+    /// [`MAX_OBJECT_BYTES`].
     #[display("the store refuses {key}: {reason}")]
     Refused {
         /// The object's key.
--- a/crates/geraniumgauge/src/store/objects.rs
+++ b/crates/geraniumgauge/src/store/objects.rs
@@ -33,15 +33,15 @@
     ///
     /// # Errors
     /// [`store::Error::Conflict`], or [`store::Error::Refused`] for a body larger than
-    /// [`store::MAX_OBJECT`].
+    /// [`store::MAX_OBJECT_BYTES`].
     pub fn put(
         &mut self,
         key: &str,
         body: bytes::Bytes,
         condition: store::Condition,
     ) -> Result<ids::ObjectVersion, store::Error> {
-        if body.len() > store::MAX_OBJECT {
-            let reason = format!("{} bytes exceed {}", body.len(), store::MAX_OBJECT);
+        if body.len() > store::MAX_OBJECT_BYTES {
+            let reason = format!("{} bytes exceed {}", body.len(), store::MAX_OBJECT_BYTES);
             return Err(store::Error::Refused {
                 key: key.to_owned(),
                 reason,
