--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -240,7 +240,7 @@
             canary: !recently,
             hedge_after: time::Duration::from_millis(20),
             typical: time::Duration::from_millis(5),
-            hedge_last: 0,
+            early_hedge_shards: 0,
             policy: query::Policy::Full,
             first_attempt: (number as u64) << 20,
             seed: number as u64,
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -83,7 +83,7 @@
             hedge_after: hedge_after
                 .unwrap_or(time_left / DEFAULT_HEDGE_DIVISOR)
                 .max(MIN_HEDGE_AFTER),
-            hedge_last: hedge_last(&document.budgets, requested.len()),
+            early_hedge_shards: early_hedge_shards(&document.budgets, requested.len()),
             typical,
             policy: self.config.policy,
             first_attempt: router::Router::first_attempt(number),
@@ -227,7 +227,7 @@
 /// Returns the number of last shards to hedge early: half of what the hedge
 /// budget earns with `requested` shards. The other half is left for calls that
 /// reach their hedge point first.
-fn hedge_last(budgets: &document::Budgets, requested: usize) -> usize {
+fn early_hedge_shards(budgets: &document::Budgets, requested: usize) -> usize {
     (budgets.hedge.get() * requested as f64 / 2.0) as usize
 }
 
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -258,7 +258,7 @@
     /// end do so.
     pub(super) fn schedule_last_hedges(&mut self, now: clock::Moment) {
         let left = self.slots.len() - self.covered;
-        let last = left == self.setup.hedge_last;
+        let last = left == self.setup.early_hedge_shards;
         let few = left == self.hedge_shards();
         if !(last || few) || left == 0 || self.phase != Phase::FanOut {
             return;
@@ -282,7 +282,7 @@
     /// Returns the number of outstanding shards from which the hedge point
     /// applies.
     fn hedge_shards(&self) -> usize {
-        (self.setup.hedge_last * HEDGE_SHARDS_FACTOR).max(MIN_HEDGE_SHARDS)
+        (self.setup.early_hedge_shards * HEDGE_SHARDS_FACTOR).max(MIN_HEDGE_SHARDS)
     }
 
     /// Returns whether few shards are outstanding or the call has run for several
@@ -364,7 +364,7 @@
 
 /// Minimum time between two attempts to hedge a call.
 const MIN_HEDGE_DELAY: time::Duration = time::Duration::from_millis(2);
-/// The hedge point applies once no more than this many times `Setup::hedge_last`
+/// The hedge point applies once no more than this many times `Setup::early_hedge_shards`
 /// shards are outstanding.
 const HEDGE_SHARDS_FACTOR: usize = 2;
 /// The last shards are hedged after a typical call time divided by this.
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -33,9 +33,9 @@
     pub canary: bool,
     /// Time after which an unanswered call is hedged.
     pub hedge_after: time::Duration,
-    /// Number of outstanding shards at which all of them are hedged early,
-    /// before `hedge_after`: they are the stragglers of a wide search.
-    pub hedge_last: usize,
+    /// When this many shards are outstanding, all of them are hedged without waiting
+    /// for `hedge_after`, since they are the stragglers of a wide search.
+    pub early_hedge_shards: usize,
     /// Typical (median) duration of a call.
     pub typical: time::Duration,
     /// How replicas are chosen and calls retried or hedged.
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -32,7 +32,7 @@
     let mut setup = world.setup(1 << 20);
     setup.canary = seed.is_multiple_of(2);
     setup.limit = 1000;
-    setup.hedge_last = (seed / 7 % 4) as usize;
+    setup.early_hedge_shards = (seed / 7 % 4) as usize;
     if seed.is_multiple_of(5) {
         let at = world.now + time::Duration::from_millis(60);
         let min_covered = shards.div_ceil(2);
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -169,7 +169,7 @@
             canary: false,
             hedge_after: time::Duration::from_millis(20),
             typical: time::Duration::from_millis(5),
-            hedge_last: 0,
+            early_hedge_shards: 0,
             policy: query::Policy::Full,
             first_attempt,
             seed: first_attempt ^ 99,
