--- a/crates/geraniumgauge/src/document/service.rs
+++ b/crates/geraniumgauge/src/document/service.rs
@@ -72,7 +72,7 @@
 }
 
 /// Dependencies of the service.
-pub struct Parts {
+pub struct Dependencies {
     /// Documents and layouts in force on this VM; the service updates it.
     pub catalog: document::Catalog,
     /// The membership view.
@@ -92,30 +92,30 @@
 
 impl Service {
     /// Starts the tasks. Call within a tokio runtime.
-    pub fn start(config: Config, parts: Parts, meter: &metrics::Meter) -> Self {
+    pub fn start(config: Config, dependencies: Dependencies, meter: &metrics::Meter) -> Self {
         let (ready, _) = channel::watch::channel(false);
         let (fetches, to_fetch) = channel::mpsc::channel(QUEUE_CAPACITY);
         let (checks, to_check) = channel::mpsc::channel(QUEUE_CAPACITY);
-        let now = parts.clock.now();
+        let now = dependencies.clock.now();
         let seed = rand::random();
         let spread = spread::Spread::new(config.vm.clone(), seed, now);
         let inner = sync::Arc::new(Inner {
-            instruments: instruments::Instruments::new(meter, &parts.catalog),
+            instruments: instruments::Instruments::new(meter, &dependencies.catalog),
             config,
-            catalog: parts.catalog,
-            store: parts.store,
-            clock: parts.clock,
-            timer: parts.timer,
+            catalog: dependencies.catalog,
+            store: dependencies.store,
+            clock: dependencies.clock,
+            timer: dependencies.timer,
             reads: load::Reads::default(),
             checks,
-            sender: parts.sender,
-            gossip: parts.gossip,
+            sender: dependencies.sender,
+            gossip: dependencies.gossip,
             spread: sync::Mutex::new(spread),
             ready,
             fetches,
         });
-        inner.update_view(&parts.view.borrow());
-        tokio::spawn(run(inner.clone(), parts.view));
+        inner.update_view(&dependencies.view.borrow());
+        tokio::spawn(run(inner.clone(), dependencies.view));
         tokio::spawn(load::fetch_missing(inner.clone(), to_fetch));
         tokio::spawn(load::poll(inner.clone()));
         tokio::spawn(load::watch(inner.clone(), held::Kind::Document));
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -107,7 +107,7 @@
             vm: vm(index),
             data_centre: format!("dc-{}", index % 3).parse().unwrap(),
         };
-        let parts = Parts {
+        let dependencies = Dependencies {
             catalog,
             view: receiver,
             sender: sync::Arc::new(Link {
@@ -120,7 +120,7 @@
             timer: self.timer.clone(),
         };
         let meter = metrics::Metrics::new().unwrap().meter();
-        let service = Service::start(config, parts, &meter);
+        let service = Service::start(config, dependencies, &meter);
         let mut services = self.network.services.lock().unwrap();
         services.insert(vm(index), service.clone());
         service
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -241,7 +241,7 @@
         sender: &sync::Arc<dyn mesh::Sender>,
     ) -> document::Service {
         let (vm, data_centre) = (self.config.vm.clone(), self.config.data_centre.clone());
-        let parts = document::Parts {
+        let dependencies = document::Dependencies {
             catalog: self.catalog.clone(),
             view: member.view(),
             sender: sync::Arc::clone(sender),
@@ -250,6 +250,10 @@
             clock: self.clock,
             timer: self.timer.clone(),
         };
-        document::Service::start(document::Config { vm, data_centre }, parts, &self.meter)
+        document::Service::start(
+            document::Config { vm, data_centre },
+            dependencies,
+            &self.meter,
+        )
     }
 }
