--- a/crates/geraniumgauge/src/document/held.rs
+++ b/crates/geraniumgauge/src/document/held.rs
@@ -124,8 +124,8 @@
     }
 
     /// Returns the held versions of all services, for reports and comparisons.
-    pub(super) fn have(&self) -> Vec<message::Have> {
-        let have = |(service, entry): (&ids::Service, &Entry)| message::Have {
+    pub(super) fn have(&self) -> Vec<message::AppliedVersions> {
+        let have = |(service, entry): (&ids::Service, &Entry)| message::AppliedVersions {
             service: service.to_string(),
             generation: entry.document.version,
             layout: entry.layout.version,
@@ -134,8 +134,8 @@
     }
 
     /// Returns the held versions of one service; 0 for a missing document or layout.
-    pub(super) fn have_of(&self, service: &ids::Service) -> message::Have {
-        message::Have {
+    pub(super) fn have_of(&self, service: &ids::Service) -> message::AppliedVersions {
+        message::AppliedVersions {
             service: service.to_string(),
             generation: self.version(service, Kind::Document),
             layout: self.version(service, Kind::Layout),
@@ -143,7 +143,7 @@
     }
 
     /// Returns whether a held part of one service is newer than the peer's.
-    pub(super) fn exceeds_one(&self, theirs: &message::Have) -> bool {
+    pub(super) fn exceeds_one(&self, theirs: &message::AppliedVersions) -> bool {
         let Ok(service) = theirs.service.parse() else {
             return false;
         };
@@ -152,7 +152,7 @@
     }
 
     /// Returns whether a held part of any service is newer than the peer's.
-    pub(super) fn exceeds(&self, theirs: &[message::Have]) -> bool {
+    pub(super) fn exceeds(&self, theirs: &[message::AppliedVersions]) -> bool {
         let by_service = theirs.iter().map(|have| (have.service.as_str(), have));
         let theirs: collections::BTreeMap<_, _> = by_service.collect();
         self.services.iter().any(|(service, entry)| {
@@ -185,7 +185,7 @@
 }
 
 /// Returns the digest of reported versions, never 0.
-pub(super) fn digest(have: &[message::Have]) -> u64 {
+pub(super) fn digest(have: &[message::AppliedVersions]) -> u64 {
     use prost::Message as _;
     let pull = message::Pull {
         have: have.to_vec(),
--- a/crates/geraniumgauge/src/document/report.rs
+++ b/crates/geraniumgauge/src/document/report.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct Report {
     /// The keeper and all versions reported to it; `None` if it needs a full report.
-    reported: Option<(ids::Vm, Vec<message::Have>)>,
+    reported: Option<(ids::Vm, Vec<message::AppliedVersions>)>,
     /// Time at which a change is reported.
     change_due: Option<clock::Moment>,
     /// Time of the next report if nothing changes.
@@ -60,9 +60,9 @@
     pub(super) fn next(
         &mut self,
         keeper: &ids::Vm,
-        have: impl FnOnce() -> Vec<message::Have>,
+        have: impl FnOnce() -> Vec<message::AppliedVersions>,
         now: clock::Moment,
-    ) -> Option<Vec<message::Have>> {
+    ) -> Option<Vec<message::AppliedVersions>> {
         let due = self.change_due.is_some_and(|due| due <= now) || self.repeat_at <= now;
         if !due {
             return None;
--- a/crates/geraniumgauge/src/document/spread.rs
+++ b/crates/geraniumgauge/src/document/spread.rs
@@ -282,7 +282,12 @@
     }
 
     /// Requests all services of which `from` has newer versions.
-    fn request_newer(&mut self, from: &ids::Vm, have: &[message::Have], now: clock::Moment) {
+    fn request_newer(
+        &mut self,
+        from: &ids::Vm,
+        have: &[message::AppliedVersions],
+        now: clock::Moment,
+    ) {
         let mut newer = Vec::new();
         for theirs in have {
             let Ok(service) = theirs.service.parse::<ids::Service>() else {
@@ -303,7 +308,7 @@
     /// Notifies a peer of the versions that this VM holds if any is newer, so that
     /// the peer pulls them. The rate is limited, because the peer's next answer
     /// still shows its older versions.
-    fn notify(&mut self, to: &ids::Vm, have: &[message::Have], now: clock::Moment) {
+    fn notify(&mut self, to: &ids::Vm, have: &[message::AppliedVersions], now: clock::Moment) {
         if have.is_empty() || now < self.next_notify {
             return;
         }
--- a/crates/geraniumgauge/src/document/tally.rs
+++ b/crates/geraniumgauge/src/document/tally.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 struct Report {
     /// Versions that the VM applies, ordered by service.
-    have: Vec<message::Have>,
+    have: Vec<message::AppliedVersions>,
     unconfirmed: bool,
     received: clock::Moment,
 }
@@ -42,7 +42,7 @@
     pub(super) fn record(
         &mut self,
         vm: &ids::Vm,
-        mut have: Vec<message::Have>,
+        mut have: Vec<message::AppliedVersions>,
         digest: u64,
         unconfirmed: bool,
         now: clock::Moment,
@@ -82,7 +82,7 @@
     /// Counts the VMs among `vms` that apply `wanted` or newer versions.
     pub(super) fn rollout<'a>(
         &self,
-        wanted: &message::Have,
+        wanted: &message::AppliedVersions,
         vms: impl Iterator<Item = &'a ids::Vm>,
         now: clock::Moment,
     ) -> Rollout {
@@ -101,7 +101,7 @@
     pub(super) fn report_all(
         &self,
         vms: &[ids::Vm],
-        applied: &[message::Have],
+        applied: &[message::AppliedVersions],
         now: clock::Moment,
     ) -> collections::BTreeMap<ids::Vm, status::Report> {
         let summary = |vm: &ids::Vm| (vm.clone(), self.report(vm, applied, now));
@@ -111,7 +111,7 @@
     fn report(
         &self,
         vm: &ids::Vm,
-        applied: &[message::Have],
+        applied: &[message::AppliedVersions],
         now: clock::Moment,
     ) -> status::Report {
         let recent = |report: &&Report| now.since(report.received) < MAX_REPORT_AGE;
@@ -129,7 +129,7 @@
         }
     }
 
-    fn applies(&self, vm: &ids::Vm, wanted: &message::Have, now: clock::Moment) -> bool {
+    fn applies(&self, vm: &ids::Vm, wanted: &message::AppliedVersions, now: clock::Moment) -> bool {
         let Some(report) = self.reports.get(vm) else {
             return false;
         };
@@ -145,7 +145,10 @@
 }
 
 /// Returns `before` with the changed services replaced, ordered by service.
-fn merge(before: &[message::Have], changed: Vec<message::Have>) -> Vec<message::Have> {
+fn merge(
+    before: &[message::AppliedVersions],
+    changed: Vec<message::AppliedVersions>,
+) -> Vec<message::AppliedVersions> {
     let all = before.iter().cloned().chain(changed);
     let by_service = all.map(|have| (have.service.clone(), have));
     let merged: collections::BTreeMap<_, _> = by_service.collect();
--- a/crates/geraniumgauge/src/document/tests/report.rs
+++ b/crates/geraniumgauge/src/document/tests/report.rs
@@ -5,8 +5,8 @@
 /// Services at the design size: 10,000 replicas, 240 for each service.
 const SERVICES: u64 = 42;
 
-fn versions(changed: Option<u64>) -> Vec<message::Have> {
-    let version = |n| message::Have {
+fn versions(changed: Option<u64>) -> Vec<message::AppliedVersions> {
+    let version = |n| message::AppliedVersions {
         service: format!("port-inspection-{n}"),
         generation: if changed == Some(n) { 300 } else { 299 },
         layout: 12,
@@ -15,7 +15,7 @@
 }
 
 /// Returns the bytes of a report as a frame, including its length prefix.
-fn size(have: Vec<message::Have>) -> usize {
+fn size(have: Vec<message::AppliedVersions>) -> usize {
     const LENGTH_PREFIX: usize = 4;
     let pull = message::Pull {
         digest: u64::MAX,
--- a/crates/geraniumgauge/src/mesh/message/document.rs
+++ b/crates/geraniumgauge/src/mesh/message/document.rs
@@ -16,7 +16,7 @@
     /// Generations and layouts that the sender applies: of the requested services,
     /// or, in its report to the keeper, all or the changed ones.
     #[prost(message, repeated, tag = "3")]
-    pub have: Vec<Have>,
+    pub have: Vec<AppliedVersions>,
     /// Set if the sender started while the store was unavailable: what it applies
     /// came from other members and is not confirmed by the store yet.
     #[prost(bool, tag = "4")]
@@ -26,7 +26,7 @@
 /// The generation and layout of a service that a VM applies.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Have {
+pub struct AppliedVersions {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -50,7 +50,7 @@
     pub digest: u64,
     /// Generations and layouts that the sender applies, if the digests differ.
     #[prost(message, repeated, tag = "3")]
-    pub have: Vec<Have>,
+    pub have: Vec<AppliedVersions>,
     /// Set if the sender is the keeper and requests a full report.
     #[prost(bool, tag = "4")]
     pub report_requested: bool,
--- a/crates/geraniumgauge/src/mesh/message/mod.rs
+++ b/crates/geraniumgauge/src/mesh/message/mod.rs
@@ -7,8 +7,8 @@
 mod record;
 mod search;
 
+pub use document::AppliedVersions;
 pub use document::Entry;
-pub use document::Have;
 pub use document::Pull;
 pub use document::Pulled;
 pub use record::Record;
