--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -38,23 +38,23 @@
     may_ask: bool,
 }
 
-/// Role of a VM in a fleet whose VMs may differ in cores.
+/// Whether a VM relays the calls of smaller VMs, has its calls relayed, or neither.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rank {
-    /// All VMs have about the same number of cores.
+pub enum SizeClass {
+    /// All VMs have about the same number of cores, so none relays for others.
     Equal,
-    /// Relays the calls of small VMs.
+    /// The VM has many cores and relays the calls of small VMs.
     Large,
-    /// Has its calls relayed by large VMs.
+    /// The VM has few cores and has its calls relayed by large VMs.
     Small,
 }
 
 impl Shares {
     /// Returns the shares of one of `vms` VMs, `large` of which relay calls for
     /// the others.
-    pub fn new(rank: Rank, vms: usize, large: usize) -> Self {
+    pub fn new(size_class: SizeClass, vms: usize, large: usize) -> Self {
         let even = budget::Share::of(vms);
-        if rank == Rank::Equal {
+        if size_class == SizeClass::Equal {
             return Self {
                 own: even,
                 lent: None,
@@ -71,8 +71,8 @@
         };
         Self {
             own,
-            lent: Some(lent).filter(|_| rank == Rank::Large),
-            may_ask: rank == Rank::Small,
+            lent: Some(lent).filter(|_| size_class == SizeClass::Large),
+            may_ask: size_class == SizeClass::Small,
         }
     }
 }
@@ -100,7 +100,7 @@
 impl Default for Allowance {
     fn default() -> Self {
         Self {
-            shares: Shares::new(Rank::Equal, 1, 0),
+            shares: Shares::new(SizeClass::Equal, 1, 0),
             own: Budgets::default(),
             shared: Budgets::default(),
         }
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -20,8 +20,8 @@
 
 pub use allowance::Allowance;
 pub use allowance::Payer;
-pub use allowance::Rank;
 pub use allowance::Shares;
+pub use allowance::SizeClass;
 pub use budget::Budget;
 pub use fleet::Fleet;
 pub use fleet::LocalVm;
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -253,12 +253,12 @@
         let large = others.filter(|relay| is_large(&relay.data_centre, relay.cores));
         let own_is_large = is_large(&self.own_data_centre, self.cores);
         let large = large.count() + usize::from(own_is_large);
-        let rank = match (own_is_large, large) {
-            (_, 0) => forward::Rank::Equal,
-            (true, _) => forward::Rank::Large,
-            (false, _) => forward::Rank::Small,
+        let size_class = match (own_is_large, large) {
+            (_, 0) => forward::SizeClass::Equal,
+            (true, _) => forward::SizeClass::Large,
+            (false, _) => forward::SizeClass::Small,
         };
-        forward::Shares::new(rank, vms.max(self.peers.len() + 1), large)
+        forward::Shares::new(size_class, vms.max(self.peers.len() + 1), large)
     }
 
     /// Returns the cores of the largest other VM in each data centre.
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -27,17 +27,17 @@
 /// A VM whose clock starts with its process.
 struct Vm {
     allowance: forward::Allowance,
-    rank: forward::Rank,
+    size_class: forward::SizeClass,
     started: clock::Moment,
 }
 
 impl Vm {
-    fn start(rank: forward::Rank, now: clock::Moment) -> Self {
+    fn start(size_class: forward::SizeClass, now: clock::Moment) -> Self {
         let mut allowance = forward::Allowance::default();
-        allowance.set_shares(forward::Shares::new(rank, SMALL + LARGE, LARGE));
+        allowance.set_shares(forward::Shares::new(size_class, SMALL + LARGE, LARGE));
         Self {
             allowance,
-            rank,
+            size_class,
             started: now,
         }
     }
@@ -59,11 +59,13 @@
 impl Fleet {
     /// Creates a fleet that has run for a while.
     fn new() -> Self {
-        let small = (0..SMALL).map(|_| forward::Rank::Small);
-        let ranks = small.chain((0..LARGE).map(|_| forward::Rank::Large));
+        let small = (0..SMALL).map(|_| forward::SizeClass::Small);
+        let size_classes = small.chain((0..LARGE).map(|_| forward::SizeClass::Large));
         let started = clock::Moment::from_millis(1);
         Self {
-            vms: ranks.map(|rank| Vm::start(rank, started)).collect(),
+            vms: size_classes
+                .map(|size_class| Vm::start(size_class, started))
+                .collect(),
             service: world::name(0),
             now: clock::Moment::from_millis(30_000),
             requests: Vec::new(),
@@ -117,7 +119,7 @@
     /// Replaces a large VM by a newly started one.
     fn replace(&mut self, relay: usize) {
         let vm = &mut self.vms[SMALL + relay % LARGE];
-        *vm = Vm::start(vm.rank, self.now);
+        *vm = Vm::start(vm.size_class, self.now);
     }
 
     /// Returns whether any window has more extra calls than allowed.
@@ -206,7 +208,7 @@
 #[test]
 fn equal_vms_hold_even_shares() {
     let mut allowance = forward::Allowance::default();
-    allowance.set_shares(forward::Shares::new(forward::Rank::Equal, 4, 0));
+    allowance.set_shares(forward::Shares::new(forward::SizeClass::Equal, 4, 0));
     let now = clock::Moment::from_millis(30_000);
     let mut pay = || allowance.take_extra(&world::name(0), &policy(), now);
     let paid = (0..100)
@@ -263,17 +265,17 @@
     }
     let part = |fixed, share| Part { fixed, share };
     let cases = [
-        (forward::Rank::Equal, part(0.5, 1.0), None, false),
+        (forward::SizeClass::Equal, part(0.5, 1.0), None, false),
         (
-            forward::Rank::Large,
+            forward::SizeClass::Large,
             part(0.25, 0.5),
             Some(part(0.5, 0.5)),
             false,
         ),
-        (forward::Rank::Small, part(0.25, 0.5), None, true),
+        (forward::SizeClass::Small, part(0.25, 0.5), None, true),
     ];
-    for (rank, own, lent, may_ask) in cases {
-        let shares = forward::Shares::new(rank, 2, 1);
+    for (size_class, own, lent, may_ask) in cases {
+        let shares = forward::Shares::new(size_class, 2, 1);
         let expected = Parts { own, lent, may_ask };
         assert_eq!(format!("{shares:?}"), format!("{expected:?}"));
     }
