--- a/crates/geraniumgauge/src/home/state/maintenance.rs
+++ b/crates/geraniumgauge/src/home/state/maintenance.rs
@@ -86,7 +86,7 @@
             Err(unanswered) => {
                 self.probe.missed += 1;
                 // Answers to later calls outweigh a missing report.
-                let missing = unanswered.refused || self.probe.missed >= MAX_MISSED_PROBES;
+                let missing = unanswered.connect_failed || self.probe.missed >= MAX_MISSED_PROBES;
                 if missing && self.latest_answered_send < began {
                     self.availability.connection_broke(now);
                     self.availability.unreachable(now);
--- a/crates/geraniumgauge/src/home/tests/scenarios.rs
+++ b/crates/geraniumgauge/src/home/tests/scenarios.rs
@@ -202,7 +202,9 @@
     let connection_id = world.connection_of(&first).unwrap();
     world.finish(connection_id, UpstreamOutcome::Lost);
     assert_eq!(world.outcome(&first), Some(Outcome::Lost));
-    let refused = Err(upstream::Unanswered { refused: true });
+    let refused = Err(upstream::Unanswered {
+        connect_failed: true,
+    });
     let began = world.probes.pop().expect("probed at once");
     world.pass(millis(1));
     world.handle(Event::Probed {
--- a/crates/geraniumgauge/src/home/worker.rs
+++ b/crates/geraniumgauge/src/home/worker.rs
@@ -244,7 +244,9 @@
         connection: Option<sync::Arc<upstream::Connection>>,
     ) {
         let report = match connection {
-            None => Err(upstream::Unanswered { refused: false }),
+            None => Err(upstream::Unanswered {
+                connect_failed: false,
+            }),
             Some(connection) => connection.health().await,
         };
         self.handle(state::Event::Checked {
@@ -257,13 +259,17 @@
     /// doesn't answer in time.
     async fn probe(self: sync::Arc<Self>, began: Moment) {
         let mut control = self.control.lock().await;
-        let mut report = Err(upstream::Unanswered { refused: false });
+        let mut report = Err(upstream::Unanswered {
+            connect_failed: false,
+        });
         for timeout in [CONTROL_TIMEOUT, NEW_CONTROL_TIMEOUT] {
             let Some(connection) = self.control_connection(&mut control) else {
                 break;
             };
             let answer = tokio::time::timeout(timeout, connection.health()).await;
-            report = answer.unwrap_or(Err(upstream::Unanswered { refused: false }));
+            report = answer.unwrap_or(Err(upstream::Unanswered {
+                connect_failed: false,
+            }));
             if report.is_ok() {
                 break;
             }
--- a/crates/geraniumgauge/src/upstream/connection.rs
+++ b/crates/geraniumgauge/src/upstream/connection.rs
@@ -55,8 +55,8 @@
 #[derive(derive_more::Display, derive_more::Error)]
 #[display("the upstream didn't answer")]
 pub struct Unanswered {
-    /// Whether connecting failed.
-    pub refused: bool,
+    /// Set if no connection could be opened.
+    pub connect_failed: bool,
 }
 
 /// Why a reply's body could not be read.
@@ -169,11 +169,13 @@
     pub async fn health(&self) -> Result<Option<reply::Health>, Unanswered> {
         let url = format!("{}/health", self.base);
         let unanswered = |error: reqwest::Error| Unanswered {
-            refused: error.is_connect(),
+            connect_failed: error.is_connect(),
         };
         let reply = self.client.get(url).send().await.map_err(unanswered)?;
         let body = self.read_body(reply).await;
-        let body = body.map_err(|_| Unanswered { refused: false })?;
+        let body = body.map_err(|_| Unanswered {
+            connect_failed: false,
+        })?;
         Ok(serde_json::from_slice(&body).ok())
     }
 
