--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -140,7 +140,7 @@
             (trial::End::Lost, Some(upstream)) => {
                 let run = tracker::Run::Trial;
                 self.quarantine
-                    .lost_while(&self.service, fingerprint, upstream, run);
+                    .connection_lost(&self.service, fingerprint, upstream, run);
             }
             (trial::End::Lost, None) | (trial::End::NotRun, _) => {}
             (trial::End::Unknown, _) => return,
--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -131,12 +131,12 @@
         fingerprint: ids::Fingerprint,
         upstream: &ids::Upstream,
     ) {
-        self.lost_while(service, fingerprint, upstream, tracker::Run::Concurrent);
+        self.connection_lost(service, fingerprint, upstream, tracker::Run::Concurrent);
     }
 
-    /// Records that a connection to `upstream` was lost while it ran the request as
-    /// `run`.
-    pub fn lost_while(
+    /// Records that a connection to `upstream` was lost while it ran the request,
+    /// as the kind of run that `run` gives.
+    pub fn connection_lost(
         &self,
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
--- a/crates/geraniumgauge/src/query/task.rs
+++ b/crates/geraniumgauge/src/query/task.rs
@@ -147,7 +147,7 @@
             gather::Action::Lost { upstream, run } => {
                 let context = &self.context;
                 let quarantine = &self.owner.quarantine;
-                quarantine.lost_while(&context.service, context.fingerprint, &upstream, run);
+                quarantine.connection_lost(&context.service, context.fingerprint, &upstream, run);
                 return Effect::Event(gather::Event::Verdict(self.verdict()));
             }
             gather::Action::Completed => {
