--- a/crates/geraniumgauge/src/quarantine/service.rs
+++ b/crates/geraniumgauge/src/quarantine/service.rs
@@ -125,7 +125,7 @@
 
     /// Records that a connection to `upstream` was lost while it ran the request at
     /// the same time as others.
-    pub fn lost(
+    pub fn concurrent_run_lost(
         &self,
         service: &ids::Service,
         fingerprint: ids::Fingerprint,
--- a/crates/geraniumgauge/src/quarantine/tests/service.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/service.rs
@@ -62,7 +62,7 @@
     let published = sync::Arc::<Published>::default();
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
     let first = start("vm-1", &store, &published, &timer);
-    first.lost(&service(), QUERY, &"a".parse().unwrap());
+    first.concurrent_run_lost(&service(), QUERY, &"a".parse().unwrap());
     assert_eq!(first.verdict(&service(), QUERY), Verdict::Suspect);
     wait_for_writes().await;
     let trial = first.trial(&service(), QUERY, None).await.unwrap();
@@ -83,7 +83,7 @@
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
     let first = start("vm-1", &store, &published, &timer);
     let second = start("vm-2", &store, &published, &timer);
-    first.lost(&service(), QUERY, &"a".parse().unwrap());
+    first.concurrent_run_lost(&service(), QUERY, &"a".parse().unwrap());
     for update in published.0.lock().unwrap().iter() {
         second.receive_update(update);
     }
@@ -105,7 +105,7 @@
     let published = sync::Arc::<Published>::default();
     let timer = timer::Service::new(tokio_util::sync::CancellationToken::new());
     let first = start("vm-1", &store, &published, &timer);
-    first.lost(&service(), QUERY, &"a".parse().unwrap());
+    first.concurrent_run_lost(&service(), QUERY, &"a".parse().unwrap());
     wait_for_writes().await;
     store.fault(|faults| faults.down = true);
     assert!(first.trial(&service(), QUERY, None).await.is_err());
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -200,7 +200,7 @@
         let guarded = self.config.policy != Policy::Direct;
         if let (true, Ok(upstream)) = (guarded, reply.upstream.parse()) {
             self.quarantine
-                .lost(&ended.service, ended.fingerprint, &upstream);
+                .concurrent_run_lost(&ended.service, ended.fingerprint, &upstream);
         }
     }
 
