--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -121,7 +121,7 @@
     config.mesh = settings.mesh;
     config.seeds = settings.seeds.clone();
     config.policy = settings.policy;
-    config.frame = settings.limits.frame;
+    config.max_frame = settings.limits.frame;
     config.balancer_wait = settings.stop.balancer_wait;
     config.grace = settings.stop.grace;
     config.limits = http::Limits {
--- a/crates/geraniumgauge/src/vm/config.rs
+++ b/crates/geraniumgauge/src/vm/config.rs
@@ -32,7 +32,7 @@
     /// Limits on callers' requests.
     pub limits: http::Limits,
     /// Largest frame between VMs.
-    pub frame: rate::Bytes,
+    pub max_frame: rate::Bytes,
     /// Delay between reporting that the VM is not ready and waiting for its requests to
     /// end. It gives the balancer time to stop sending requests.
     pub balancer_wait: time::Duration,
@@ -41,7 +41,7 @@
 }
 
 /// Default of the largest frame between VMs.
-const DEFAULT_FRAME: rate::Bytes = rate::Bytes(8 << 20);
+const DEFAULT_MAX_FRAME: rate::Bytes = rate::Bytes(8 << 20);
 
 impl Config {
     /// Returns the default settings, with free loopback ports.
@@ -57,7 +57,7 @@
             seeds: Vec::new(),
             policy: query::Policy::Full,
             limits: http::Limits::default(),
-            frame: DEFAULT_FRAME,
+            max_frame: DEFAULT_MAX_FRAME,
             balancer_wait: vm::DEFAULT_BALANCER_WAIT,
             grace: vm::DEFAULT_GRACE,
         }
