--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -26,11 +26,11 @@
 const WATCHES_PER_LISTING: u32 = 5;
 /// Time between two checks of a VM that isn't a watcher whether it became one.
 const ROLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// Minimum and maximum delay after a failed call.
-const BACKOFF_RANGE: (time::Duration, time::Duration) = (
-    time::Duration::from_millis(100),
-    time::Duration::from_secs(2),
-);
+/// Maximum delay after the first of several failed calls; it doubles with each further
+/// one, up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(100);
+/// Maximum delay after a failed call.
+const MAX_BACKOFF: time::Duration = time::Duration::from_secs(2);
 
 /// Object versions that were read, and problems found in layouts.
 #[derive(Debug, Default)]
@@ -96,7 +96,7 @@
     prefix: &'static str,
     updates: channel::mpsc::Sender<Update>,
 ) {
-    let mut backoff = store::Backoff::new(BACKOFF_RANGE.0, BACKOFF_RANGE.1);
+    let mut backoff = store::Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
     while !inner.timer.stop().is_cancelled() {
         if inner.rank().is_none() {
             inner.timer.sleep(ROLE_CHECK_INTERVAL).await;
@@ -153,7 +153,7 @@
 
 /// Loads all documents and layouts at the start, and again at every poll interval.
 pub(super) async fn poll(inner: sync::Arc<service::Inner>) {
-    let mut backoff = store::Backoff::new(BACKOFF_RANGE.0, BACKOFF_RANGE.1);
+    let mut backoff = store::Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
     while let Err(error) = load_all(&inner).await {
         log::warn!("failed to load documents and layouts: {error}");
         inner.handle(spread::Event::StoreFailed);
--- a/crates/geraniumgauge/src/edge/backlog/tests.rs
+++ b/crates/geraniumgauge/src/edge/backlog/tests.rs
@@ -20,7 +20,7 @@
 
 /// Guards against calls for searches that were answered long ago: while a VM is
 /// paused for two seconds, a requester sends it calls, gets no report, calls elsewhere
-/// and abandons them. On resuming, the VM used to make all of those calls.
+/// and abandons them. On resuming, the VM must not make those calls.
 #[test]
 fn calls_abandoned_meanwhile_are_not_made() {
     let mut messages = vec![
--- a/crates/geraniumgauge/src/forward/budget.rs
+++ b/crates/geraniumgauge/src/forward/budget.rs
@@ -112,8 +112,8 @@
         let fixed = policy.extra_calls * share.fixed;
         let ratio = policy.extra_share.get() * share.proportional;
         let mut extras = 1;
-        let mut within = 0;
-        let mut before: u32 = (1..WINDOW_BUCKETS)
+        let mut requests_within = 0;
+        let mut requests_before: u32 = (1..WINDOW_BUCKETS)
             .map(|age| self.requests[self.index(age)])
             .sum();
         // Checks the windows in the order of their first buckets, newest first.
@@ -122,14 +122,14 @@
         // neither window.
         for age in 0..=WINDOW_BUCKETS {
             extras += self.extras[self.index(age)];
-            let both = f64::from(within + before);
-            let allowed = ratio * both / 2.0 + fixed;
+            let requests_in_both = f64::from(requests_within + requests_before);
+            let allowed = ratio * requests_in_both / 2.0 + fixed;
             if f64::from(extras) > USABLE_SHARE * allowed {
                 return false;
             }
-            within += self.requests[self.index(age)];
-            before += self.requests[self.index(age + WINDOW_BUCKETS)];
-            before -= self.requests[self.index(age + 1)];
+            requests_within += self.requests[self.index(age)];
+            requests_before += self.requests[self.index(age + WINDOW_BUCKETS)];
+            requests_before -= self.requests[self.index(age + 1)];
         }
         true
     }
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -81,9 +81,8 @@
 }
 
 /// An upstream can't be connected to, so no byte of a call was sent, and its
-/// service's allowance is used up. The part used to be given up as if the call
-/// had been made, although a first call to the other upstream isn't an extra
-/// call.
+/// service's allowance is used up. The part must not be given up as if the call
+/// had been made, since a first call to the other upstream isn't an extra call.
 #[test]
 fn a_call_that_was_never_sent_has_not_arrived() {
     let mut world = without_extras(1, 2);
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -139,7 +139,7 @@
 
 /// The callers of one of many small VMs reach a slow upstream. The VM uses up
 /// its own share at once while nearly all of the fleet's allowance remains. Its
-/// searches used to miss the shard all the same.
+/// searches must not miss the shard.
 #[test]
 fn a_small_vm_that_used_up_its_share_may_use_large_vms_shares() {
     let own_share = (FIXED / (SMALL + LARGE) as f64) as usize;
--- a/crates/geraniumgauge/src/forward/tests/budget.rs
+++ b/crates/geraniumgauge/src/forward/tests/budget.rs
@@ -48,9 +48,8 @@
 }
 
 /// Requests come in two bursts nearly ten seconds apart, and then every call
-/// fails. No window holds both bursts, but both used to count towards the
-/// allowance, so the service got half as many extra calls again as its
-/// operators allow.
+/// fails. No window holds both bursts. If both counted towards the allowance, the
+/// service would get half as many extra calls again as its operators allow.
 #[test]
 fn two_bursts_a_window_apart_allow_extra_calls_once() {
     let policy = policy();
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -26,8 +26,8 @@
 
 /// A VM with an eighth of a core delegates thirty calls. The frame with the
 /// replies comes a few milliseconds after the hedge time because one of the VMs
-/// was busy. All thirty parts used to be hedged although their upstreams had
-/// replied in time, and the extra calls delayed the next frames.
+/// was busy. The thirty parts must not be hedged, since their upstreams have
+/// replied in time and the extra calls would delay the next frames.
 #[test]
 fn parts_of_a_frame_that_is_late_are_not_hedged() {
     for late_by in [1, 5] {
--- a/crates/geraniumgauge/src/home/state/availability.rs
+++ b/crates/geraniumgauge/src/home/state/availability.rs
@@ -44,7 +44,7 @@
     /// Set when the upstream has reported draining, until a call succeeds or the report
     /// is withdrawn.
     reported_draining: bool,
-    /// Set when a connection broke during a drain: the upstream is gone.
+    /// Set when a connection broke during a drain: the upstream has stopped.
     disconnected: bool,
     /// Set when a success has proven a report of draining wrong.
     reports_wrong: bool,
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -19,11 +19,11 @@
 /// Minimum time between two updates of one bucket. Changes that arrive in between
 /// are written in one update.
 const UPDATE_INTERVAL: time::Duration = time::Duration::from_millis(10);
-/// Initial and maximum delay after a failure of the store.
-const BACKOFF_BOUNDS: (time::Duration, time::Duration) = (
-    time::Duration::from_millis(20),
-    time::Duration::from_millis(500),
-);
+/// Maximum delay after the first of several failures of the store; it doubles with each
+/// further one, up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(20);
+/// Maximum delay after a failure of the store.
+const MAX_BACKOFF: time::Duration = time::Duration::from_millis(500);
 /// Duration after which a call counts as an outage, since the store normally
 /// replies in milliseconds. Queued claims are refused then rather than at their
 /// deadlines.
@@ -73,7 +73,7 @@
             verdict_senders: collections::HashMap::new(),
             drained: Vec::new(),
             unlisted_pages: Vec::new(),
-            backoff: store::Backoff::new(BACKOFF_BOUNDS.0, BACKOFF_BOUNDS.1),
+            backoff: store::Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF),
             failures: 0,
             stalled: false,
             calling: false,
--- a/crates/geraniumgauge/src/member/state/leave.rs
+++ b/crates/geraniumgauge/src/member/state/leave.rs
@@ -47,9 +47,14 @@
     }
 
     /// Takes an answer to a ping of the announcement as the sender's confirmation.
-    pub(super) fn confirm_leaving(&mut self, sender: &ids::Vm, number: u64, now: clock::Moment) {
+    pub(super) fn confirm_leaving(
+        &mut self,
+        sender: &ids::Vm,
+        ping_number: u64,
+        now: clock::Moment,
+    ) {
         if let Some(announcement) = &mut self.announcement
-            && announcement.ping_number == number
+            && announcement.ping_number == ping_number
         {
             announcement.confirmed.insert(sender.clone());
             self.check_announcement(now);
--- a/crates/geraniumgauge/src/quarantine/claim.rs
+++ b/crates/geraniumgauge/src/quarantine/claim.rs
@@ -13,9 +13,9 @@
 use crate::quarantine::trial;
 use crate::store;
 
-/// Maximum attempts at one conditional update before the caller has to ask again.
+/// Maximum attempts at one conditional update before the caller must retry.
 const MAX_CLAIM_ATTEMPTS: usize = 4;
-/// Time before asking again if another trial is in the way or the store is
+/// Delay before a retry if another trial conflicts with this one or the store is
 /// unavailable.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -257,21 +257,21 @@
     /// doesn't reflect this search. A short delay lets calls that are about to
     /// end do so.
     pub(super) fn schedule_last_hedges(&mut self, now: clock::Moment) {
-        let left = self.slots.len() - self.covered;
-        let last = left == self.setup.early_hedge_shards;
-        let few = left == self.hedge_shards();
-        if !(last || few) || left == 0 || self.phase != Phase::FanOut {
+        let outstanding = self.slots.len() - self.covered;
+        let hedge_early = outstanding == self.setup.early_hedge_shards;
+        let few = outstanding == self.hedge_shards();
+        if !(hedge_early || few) || outstanding == 0 || self.phase != Phase::FanOut {
             return;
         }
         for slot in &self.slots {
             if let (slot::State::Running, [attempt]) = (&slot.state, slot.open()) {
                 let sent = self.attempts[*attempt as usize].sent;
-                let point = sent + self.setup.hedge_after;
-                let soon = now + self.setup.typical / EARLY_HEDGE_DIVISOR;
-                let due = if last {
-                    soon
+                let hedge_point = sent + self.setup.hedge_after;
+                let early = now + self.setup.typical / EARLY_HEDGE_DIVISOR;
+                let due = if hedge_early {
+                    early
                 } else {
-                    point.max(now + self.setup.typical)
+                    hedge_point.max(now + self.setup.typical)
                 };
                 self.timers
                     .push(cmp::Reverse((due, Timer::Hedge(*attempt))));
--- a/crates/geraniumgauge/src/query/tests/replica.rs
+++ b/crates/geraniumgauge/src/query/tests/replica.rs
@@ -50,9 +50,9 @@
     assert!(!lost.down() && !lost.avoided(later));
 }
 
-/// A replica restarts within 300 ms while four calls run on it. Each loss used to
-/// double the time for which it was avoided, so it stayed unused for four seconds
-/// and trials found no shard with both replicas up.
+/// A replica restarts within 300 ms while four calls run on it. If each loss doubled
+/// the time for which it is avoided, it would stay unused for four seconds and trials
+/// would find no shard with both replicas up.
 #[test]
 fn calls_lost_together_count_once() {
     let lost = replica::Stats::default();
--- a/crates/geraniumgauge/src/spread/state/broadcast.rs
+++ b/crates/geraniumgauge/src/spread/state/broadcast.rs
@@ -16,9 +16,11 @@
 /// Poll intervals after which the backup VM of a data centre handles an update that
 /// the primary one should have forwarded.
 const BACKUP_DELAY_POLLS: f64 = 1.0 / 16.0;
-/// Number of VMs that are notified by a VM that has received a new configuration:
-/// if no VM of its data centre has fewer cores, and otherwise.
-const CONFIG_OFFERS: (usize, usize) = (2, 8);
+/// Number of VMs that a VM notifies of a new configuration if no VM of its data centre
+/// has fewer cores.
+const CONFIG_OFFERS_FROM_SMALLEST: usize = 2;
+/// Number of VMs that any other VM notifies of a new configuration.
+const CONFIG_OFFERS_FROM_OTHERS: usize = 8;
 /// Delay, in poll intervals, in which changes of the fleet are collected for one
 /// update.
 const BROADCAST_DELAY_POLLS: f64 = 1.0 / 8.0;
@@ -153,9 +155,9 @@
     pub(super) fn offer_config(&mut self, now: clock::Moment) {
         let has_fewest_cores = self.has_fewest_cores(self.members.own());
         let count = if has_fewest_cores {
-            CONFIG_OFFERS.0
+            CONFIG_OFFERS_FROM_SMALLEST
         } else {
-            CONFIG_OFFERS.1
+            CONFIG_OFFERS_FROM_OTHERS
         };
         self.offer(count, now);
     }
--- a/crates/geraniumgauge/src/spread/tests/start.rs
+++ b/crates/geraniumgauge/src/spread/tests/start.rs
@@ -168,8 +168,8 @@
     assert!(!state.accepts(&answer, time::Duration::ZERO, now));
 }
 
-/// Guards against a VM that starts beside one that was cut off for long, and serves
-/// callers by the outdated configuration of that one.
+/// Guards against a VM that starts in the data centre of one that was partitioned for
+/// a long time, and serves callers by the outdated configuration of that one.
 #[test]
 fn a_starting_vm_does_not_accept_outdated_content() {
     for seed in 0..8 {
--- a/crates/geraniumgauge/src/store/objects.rs
+++ b/crates/geraniumgauge/src/store/objects.rs
@@ -1,5 +1,5 @@
 //! An in-memory implementation of the object API without clock or sockets. The
-//! platform's stand-in serves it over HTTP, and tests use it directly.
+//! simulator of the platform serves it over HTTP, and tests use it directly.
 
 use std::collections;
 
