--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -249,7 +249,7 @@
         if self.peers.outgoing.remove(&address).is_some() {
             log::info!(vm:% = address, error = error; "connection to VM lost");
         }
-        self.relays.lost(address);
+        self.relays.link_lost(address);
         let via = self
             .calls
             .iter()
@@ -265,6 +265,6 @@
     /// calls, and lets it finish those it has.
     pub(in crate::edge) fn peer_going_away(&mut self, address: net::SocketAddr) {
         log::info!(vm:% = address; "VM takes no more calls");
-        self.relays.lost(address);
+        self.relays.link_lost(address);
     }
 }
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -173,7 +173,7 @@
     }
 
     /// Records that the connection to a VM was lost.
-    pub fn lost(&mut self, address: net::SocketAddr) {
+    pub fn link_lost(&mut self, address: net::SocketAddr) {
         if let Some(peer) = self.peer_mut(address) {
             peer.connected = false;
             peer.waiting_since = None;
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -81,7 +81,7 @@
     assert_eq!(relays.choose(&other, 30, at(100)), None);
     relays.answered(address(2));
     assert!(relays.choose(&other, 30, at(200)).is_some());
-    relays.lost(address(2));
+    relays.link_lost(address(2));
     assert_eq!(relays.choose(&other, 30, at(200)), None);
 }
 
