--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -26,11 +26,11 @@
 const WATCHES_PER_LISTING: u32 = 5;
 /// Time between two checks of a VM that isn't a watcher whether it became one.
 const ROLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// Minimum and maximum delay after a failed call.
-const BACKOFF_RANGE: (time::Duration, time::Duration) = (
-    time::Duration::from_millis(100),
-    time::Duration::from_secs(2),
-);
+/// Maximum delay after the first of several failed calls; it doubles with each further
+/// one, up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(100);
+/// Maximum delay after a failed call.
+const MAX_BACKOFF: time::Duration = time::Duration::from_secs(2);
 
 /// Object versions that were read, and problems found in layouts.
 #[derive(Debug, Default)]
@@ -88,15 +88,15 @@
 
 /// Lists and watches a prefix while this VM is a watcher.
 ///
-/// If the connection of a watch dies silently, edits would reach no VM. So each
-/// watch has a timeout, and after a few watches the prefix is listed. It is also
-/// listed if the revision is lower, because the store was set back.
+/// If the connection of a watch dies silently, edits would reach no VM. So each watch
+/// has a timeout, and after a few watches the prefix is listed. It is also listed if
+/// the revision is lower, because the store was restored to an older state.
 pub(super) async fn follow(
     inner: sync::Arc<service::Inner>,
     prefix: &'static str,
     updates: channel::mpsc::Sender<Update>,
 ) {
-    let mut backoff = store::Backoff::new(BACKOFF_RANGE.0, BACKOFF_RANGE.1);
+    let mut backoff = store::Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
     while !inner.timer.stop().is_cancelled() {
         if inner.rank().is_none() {
             inner.timer.sleep(ROLE_CHECK_INTERVAL).await;
@@ -153,7 +153,7 @@
 
 /// Loads all documents and layouts at the start, and again at every poll interval.
 pub(super) async fn poll(inner: sync::Arc<service::Inner>) {
-    let mut backoff = store::Backoff::new(BACKOFF_RANGE.0, BACKOFF_RANGE.1);
+    let mut backoff = store::Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
     while let Err(error) = load_all(&inner).await {
         log::warn!("failed to load documents and layouts: {error}");
         inner.handle(spread::Event::StoreFailed);
@@ -242,7 +242,7 @@
     let _ = inner.checks.try_send(service);
 }
 
-/// Reads one part and passes it to the state machine.
+/// Reads one document or layout and passes it to the state machine.
 async fn fetch(
     inner: &service::Inner,
     kind: held::Kind,
@@ -280,14 +280,14 @@
     record: &keeper::Accepted,
     object: ids::ObjectVersion,
 ) {
-    let part = held::Part {
+    let versioned = held::VersionedBody {
         version: record.generation.0,
         body: serde_json::to_vec(&record.document)
             .unwrap_or_default()
             .into(),
         object,
     };
-    let event = spread::Event::Stored(service.clone(), held::Kind::Document, part);
+    let event = spread::Event::Stored(service.clone(), held::Kind::Document, versioned);
     inner.handle(event);
 }
 
@@ -305,12 +305,12 @@
         Some(present) => vec![document::stale_layout(&file, &text, &layout, &present)],
     };
     inner.reads.set_layout_findings(service, findings);
-    let part = held::Part {
+    let versioned = held::VersionedBody {
         version: layout.version.0,
         body: serde_json::to_vec(&layout).unwrap_or_default().into(),
         object: object.version,
     };
-    let event = spread::Event::Stored(service.clone(), held::Kind::Layout, part);
+    let event = spread::Event::Stored(service.clone(), held::Kind::Layout, versioned);
     inner.handle(event);
 }
 
--- a/crates/geraniumgauge/src/home/state/maintenance.rs
+++ b/crates/geraniumgauge/src/home/state/maintenance.rs
@@ -86,7 +86,7 @@
             Err(unanswered) => {
                 self.probe.missed += 1;
                 // Answers to later calls outweigh a missing report.
-                let missing = unanswered.refused || self.probe.missed >= MAX_MISSED_PROBES;
+                let missing = unanswered.connect_failed || self.probe.missed >= MAX_MISSED_PROBES;
                 if missing && self.latest_answered_send < began {
                     self.availability.connection_broke(now);
                     self.availability.unreachable(now);
@@ -187,7 +187,7 @@
                 connection.phase = connections::Phase::Checking(now);
                 self.actions.push(Action::Check {
                     connection_id,
-                    fresh: false,
+                    must_connect: false,
                 });
             }
         }
@@ -197,7 +197,7 @@
                 .open(connections::Phase::Checking(now), now);
             self.actions.push(Action::Check {
                 connection_id,
-                fresh: true,
+                must_connect: true,
             });
         }
     }
--- a/crates/geraniumgauge/src/home/tests/scenarios.rs
+++ b/crates/geraniumgauge/src/home/tests/scenarios.rs
@@ -28,8 +28,11 @@
     let silent = [world.call(millis(1000)), world.call(millis(1000))];
     world.pass(millis(60));
     let next = world.call(millis(1000));
-    let (_, connection_id, fresh) = world.sent.last().unwrap().clone();
-    assert!(fresh, "sent on a connection as old as the silent ones");
+    let (_, connection_id, must_connect) = world.sent.last().unwrap().clone();
+    assert!(
+        must_connect,
+        "sent on a connection as old as the silent ones"
+    );
     world.pass(millis(20));
     world.finish(connection_id, UpstreamOutcome::Done);
     assert_eq!(world.outcome(&next), Some(Outcome::Hits));
@@ -199,7 +202,9 @@
     let connection_id = world.connection_of(&first).unwrap();
     world.finish(connection_id, UpstreamOutcome::Lost);
     assert_eq!(world.outcome(&first), Some(Outcome::Lost));
-    let refused = Err(upstream::Unanswered { refused: true });
+    let refused = Err(upstream::Unanswered {
+        connect_failed: true,
+    });
     let began = world.probes.pop().expect("probed at once");
     world.pass(millis(1));
     world.handle(Event::Probed {
