--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -80,7 +80,7 @@
         fetch: &spread::Fetch,
     ) -> spread::Registrations {
         let item = |(name, revision): (String, ids::Revision)| follow::Item {
-            value: self.0.listener.registration(&name),
+            value: self.0.listener.find_registration(&name),
             name,
             revision,
         };
@@ -180,7 +180,7 @@
             return;
         }
         log::info!(revision:% = revision, before:? = known, source = source; "configuration read");
-        self.0.listener.config(&text);
+        self.0.listener.apply_config(&text);
         self.0.content.borrow_mut().config = Some((revision, text));
         self.publish_position();
     }
@@ -208,7 +208,7 @@
                 "registrations listed"
             );
             let delta = follow::Delta::All(snapshot.items);
-            self.0.listener.registrations(delta, lag);
+            self.0.listener.apply_registrations(delta, lag);
             self.0.watch_missed.notify_waiters();
         }
         self.publish_position();
@@ -255,7 +255,7 @@
         drop(content);
         if !kept.is_empty() {
             let delta = follow::Delta::Changes(kept.clone());
-            self.0.listener.registrations(delta, lag);
+            self.0.listener.apply_registrations(delta, lag);
         }
         self.publish_position();
         kept
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -29,18 +29,18 @@
 /// Receives what is distributed, and sends requests to other VMs.
 #[expect(async_fn_in_trait, reason = "everything runs on one thread")]
 pub trait Listener: 'static {
-    /// Takes a configuration that is newer than the one before.
-    fn config(&self, text: &str);
-    /// Takes registrations. Those that are missing from them still existed `lag`
+    /// Applies a configuration that is newer than the one before.
+    fn apply_config(&self, text: &str);
+    /// Applies registrations. Those that are missing from them still existed `lag`
     /// ago, and may have been deleted at any moment since.
-    fn registrations(&self, delta: spread::Registrations, lag: time::Duration);
+    fn apply_registrations(&self, delta: spread::Registrations, lag: time::Duration);
     /// Returns the registration of this name that was received last, if it names an
     /// upstream.
-    fn registration(&self, name: &str) -> Option<registry::Entry>;
-    /// Takes a changed view of the fleet.
-    fn view(&self, view: spread::View);
-    /// Takes a request that another VM suspects of crashing upstreams.
-    fn crash_suspect(&self, request: ids::Fingerprint);
+    fn find_registration(&self, name: &str) -> Option<registry::Entry>;
+    /// Applies a changed view of the fleet.
+    fn apply_view(&self, view: spread::View);
+    /// Adds a request that another VM suspects of crashing upstreams.
+    fn add_crash_suspect(&self, request: ids::Fingerprint);
     /// Sends a request to another VM.
     ///
     /// # Errors
@@ -121,16 +121,21 @@
         }));
         let poller = store::Poller {
             config: store.config,
-            registrations: store.registrations,
+            registrations: store.registration_lists,
             last: None,
         };
         tokio::task::spawn_local(poller.run(service.clone(), timer.clone()));
         tokio::task::spawn_local(store::run_directory_tasks(
             service.clone(),
-            store.pages,
+            store.directory,
             tasks,
         ));
-        let watch = store::watch(service.clone(), store.watched, rank_changes, timer.clone());
+        let watch = store::watch(
+            service.clone(),
+            store.registration_watches,
+            rank_changes,
+            timer.clone(),
+        );
         tokio::task::spawn_local(watch);
         tokio::task::spawn_local(service.clone().receive(timer.clone()));
         tokio::task::spawn_local(service.clone().run(timer.clone()));
@@ -214,7 +219,7 @@
             spread::Action::WriteDirectory { page, directory } => {
                 self.request_directory(store::DirectoryTask::Write(page, directory));
             }
-            spread::Action::View(view) => self.0.listener.view(view),
+            spread::Action::View(view) => self.0.listener.apply_view(view),
         }
     }
 
@@ -264,7 +269,7 @@
     fn dispatch(&self, from: net::SocketAddr, datagram: spread::Datagram) {
         match &datagram {
             spread::Datagram::CrashSuspect(request) => {
-                return self.0.listener.crash_suspect(*request);
+                return self.0.listener.add_crash_suspect(*request);
             }
             spread::Datagram::Update(update) => self.apply_update(update),
             spread::Datagram::Hello(_) => {}
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -104,13 +104,13 @@
 struct NullListener;
 
 impl spread::Listener for NullListener {
-    fn config(&self, _: &str) {}
-    fn registrations(&self, _: spread::Registrations, _: time::Duration) {}
-    fn registration(&self, _: &str) -> Option<registry::Entry> {
+    fn apply_config(&self, _: &str) {}
+    fn apply_registrations(&self, _: spread::Registrations, _: time::Duration) {}
+    fn find_registration(&self, _: &str) -> Option<registry::Entry> {
         None
     }
-    fn view(&self, _: spread::View) {}
-    fn crash_suspect(&self, _: ids::Fingerprint) {}
+    fn apply_view(&self, _: spread::View) {}
+    fn add_crash_suspect(&self, _: ids::Fingerprint) {}
 
     async fn fetch(&self, _: net::SocketAddr, _: spread::Fetch) -> io::Result<spread::Answer> {
         Err(io::ErrorKind::ConnectionRefused.into())
@@ -144,9 +144,9 @@
         let state = spread::State::new(own, POLL_INTERVAL, Vec::new(), LINK, 1, clock.now());
         let store = spread::Store {
             config: Config,
-            registrations: registrations.clone(),
-            watched: registrations,
-            pages: Pages,
+            registration_lists: registrations.clone(),
+            registration_watches: registrations,
+            directory: Pages,
         };
         let timer = timer::Service::new(sync::CancellationToken::new());
         spread::Service::start(state, socket, NullListener, store, clock, &timer);
