--- a/crates/standin/src/args.rs
+++ b/crates/standin/src/args.rs
@@ -31,13 +31,15 @@
   --records           send registrations instead of searches
   --json              print one line of JSON per scenario
   --seed N            seed for arrivals and faults (default 1)
-  --policy NAME       how searches run: full, no-hedge or direct (default full)
+  --policy NAME       how VMs call the upstreams: full (all features), no-hedge (full
+                      without hedges) or direct (round robin with plain retries)
+                      (default full)
 
 Faults can be set on a running stand-in through its control paths, for example:
   curl -X POST http://127.0.0.1:7400/control/faults -d '{\"down\": true}'
 
-Exit status: 0 on success, 1 if a promise was broken or a run failed, 2 for a wrong
-command line.";
+Exit status: 0 on success, 1 if a violation was found or a command failed, 2 for a
+wrong command line.";
 
 /// A parsed command line.
 #[derive(Debug)]
@@ -135,8 +137,8 @@
         .opt_value_from_fn("--policy", parse_policy)?
         .unwrap_or(query::Policy::Full);
     let context = measure::Context { seed, policy };
-    let free = args.finish();
-    let names: Vec<_> = free
+    let remaining = args.finish();
+    let names: Vec<_> = remaining
         .iter()
         .map(|name| name.to_string_lossy().into_owned())
         .collect();
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -106,9 +106,9 @@
     }
 }
 
-/// Runs the scenarios and prints their reports; fails if a promise was broken.
+/// Runs the scenarios and prints their reports; fails if one of them has a violation.
 async fn measure(names: &[String], context: measure::Context, json: bool) -> process::ExitCode {
-    let mut broken = false;
+    let mut found_violation = false;
     for name in names {
         let Some(scenario) = measure::find(name) else {
             eprintln!("geraniumgauge-standin: {name:?} is not a scenario; see `measure list`");
@@ -118,14 +118,14 @@
             Ok(report) => report,
             Err(error) => return fail(&error),
         };
-        broken |= !report.violations.is_empty();
+        found_violation |= !report.violations.is_empty();
         if json {
             println!("{}", serde_json::to_string(&report).unwrap_or_default());
         } else {
             println!("{report}");
         }
     }
-    if broken {
+    if found_violation {
         process::ExitCode::FAILURE
     } else {
         process::ExitCode::SUCCESS
--- a/crates/standin/src/measure/calls.rs
+++ b/crates/standin/src/measure/calls.rs
@@ -37,7 +37,10 @@
 /// Numbers of shards that a search asks.
 const SHARD_COUNTS: [usize; 3] = [20, 80, 240];
 const SEARCHES_PER_S: f64 = 20.0;
-const RUNS: usize = 3;
+/// Number of samples per figure.
+const SAMPLE_COUNT: usize = 3;
+/// Number of data centres that the peers are spread over.
+const DATA_CENTRE_COUNT: usize = 4;
 /// Longer than tokio keeps idle threads, which is 10 s.
 const IDLE_THREAD_TIMEOUT: time::Duration = time::Duration::from_secs(11);
 const LOAD_DURATION: time::Duration = time::Duration::from_secs(4);
@@ -83,11 +86,11 @@
     .await?;
     let (mut processor, mut frames, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
     let mut out = outcome::Outcome::default();
-    for run in 0..RUNS as u64 {
+    for sample in 0..SAMPLE_COUNT as u64 {
         let processor_before = usage::processor_time("vm-");
         let frames_before = usage::metric_sum(&site.vms, "mesh_frames_sent").await;
         let bytes_before = usage::metric_sum(&site.vms, "mesh_bytes_sent").await;
-        let seed = context.seed + 1 + run;
+        let seed = context.seed + 1 + sample;
         let tally = searches::send_and_tally(
             &site,
             SERVICE,
@@ -133,10 +136,10 @@
     stop: CancellationToken,
 }
 
-async fn peers(count: usize) -> Result<Vec<Peer>, measure::Error> {
+async fn start_peers(count: usize) -> Result<Vec<Peer>, measure::Error> {
     let mut peers = Vec::new();
     for number in 0..count {
-        peers.push(peer(number).await?);
+        peers.push(start_peer(number).await?);
     }
     let members: Vec<_> = peers.iter().map(|peer| peer.member.clone()).collect();
     for peer in &peers {
@@ -146,7 +149,7 @@
     Ok(peers)
 }
 
-async fn peer(number: usize) -> Result<Peer, measure::Error> {
+async fn start_peer(number: usize) -> Result<Peer, measure::Error> {
     let other = |what: String| measure::Error::Other { what };
     let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let listen = tokio::net::TcpListener::bind(loopback).await;
@@ -156,14 +159,14 @@
             .parse()
             .map_err(|e: ids::Error| other(e.to_string()))?,
         incarnation: ids::Incarnation(1),
-        data_centre: site::data_centre(number, 4),
+        data_centre: site::data_centre(number, DATA_CENTRE_COUNT),
         address: listen
             .local_addr()
             .map_err(|error| other(error.to_string()))?,
         state: member::State::Alive,
     };
     let empty = member::View::new(member.vm.clone(), Vec::new());
-    let (view, seen) = watch::channel(sync::Arc::new(empty));
+    let (view, view_receiver) = watch::channel(sync::Arc::new(empty));
     let (frames, stop) = (
         sync::Arc::new(FrameCounter::default()),
         CancellationToken::new(),
@@ -172,7 +175,7 @@
     let config = mesh::Config::new(member.vm.clone(), member.incarnation, listen);
     let timer = timer::Service::new(stop.clone());
     let receive: sync::Arc<dyn mesh::Receiver> = sync::Arc::clone(&frames) as _;
-    let mesh = mesh::Mesh::start(config, seen, receive, timer, &metrics.meter());
+    let mesh = mesh::Mesh::start(config, view_receiver, receive, timer, &metrics.meter());
     Ok(Peer {
         mesh,
         frames,
@@ -204,10 +207,10 @@
 /// frames share writes, and one at a time.
 async fn frame_costs() -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
-    let pair = peers(2).await?;
+    let pair = start_peers(2).await?;
     for (name, burst, count) in [("in_bursts", 100, 100_000), ("alone", 1, 20_000)] {
         let mut processor = Vec::new();
-        for _ in 0..RUNS {
+        for _ in 0..SAMPLE_COUNT {
             let processor_before = usage::processor_time("");
             send(&pair, burst, count).await;
             processor.push(
@@ -228,6 +231,8 @@
     Ok(out)
 }
 
+/// Sends at least `count` frames from the first peer to the second, `burst` at a time, and
+/// waits after each burst until all of its frames were received.
 async fn send(pair: &[Peer], burst: usize, count: usize) {
     let received = || pair[1].frames.0.load(atomic::Ordering::Relaxed);
     let start = received();
@@ -251,7 +256,7 @@
 async fn link_memory() -> Result<outcome::Outcome, measure::Error> {
     const PEERS: usize = 48;
     let mut out = outcome::Outcome::default();
-    let all = peers(PEERS).await?;
+    let all = start_peers(PEERS).await?;
     let memory_before = usage::resident_bytes();
     for (a, b) in all.iter().flat_map(|a| all.iter().map(move |b| (a, b))) {
         if a.member.vm != b.member.vm {
@@ -278,7 +283,8 @@
 /// role for. Three VMs have a role for each replica: with 3 VMs, every VM has one for
 /// all replicas, with 12 VMs for a quarter of them.
 async fn replica_memory(out: &mut outcome::Outcome) -> Result<(), measure::Error> {
-    // The larger number first, as the second run reuses memory that the first freed.
+    // The larger number first: memory that the first run frees is reused by the second, whose
+    // measured growth may then be too small.
     let (with_12_vms, with_3_vms) = (memory_per_replica(12).await?, memory_per_replica(3).await?);
     let role = (with_3_vms - with_12_vms) / (1.0 - 3.0 / 12.0);
     out.set_figure("replica_with_3_vms_memory_kib", with_3_vms);
--- a/crates/standin/src/measure/check.rs
+++ b/crates/standin/src/measure/check.rs
@@ -12,10 +12,10 @@
 /// Promise that all hits have the index version of the answer's snapshot.
 pub const ONE_SNAPSHOT: &str = "one snapshot";
 /// Promise that the answer states correctly which shards are covered and missing.
-pub const TRUE_COVERAGE: &str = "true coverage";
+pub const CORRECT_COVERAGE: &str = "true coverage";
 /// Promise that an answer has the best hits of its own query from the covered shards, and no
 /// others.
-pub const OWN_ANSWER: &str = "own whole answer";
+pub const CORRECT_HITS: &str = "own whole answer";
 /// Number of hits that each search asks for.
 pub const HIT_LIMIT: u32 = 20;
 /// Promise that every request gets an answer or an error code.
@@ -36,7 +36,7 @@
         Ok(reply) if reply.status == 200 => {
             match serde_json::from_value::<query::Answer>(reply.body.clone()) {
                 Ok(answer) => check_answer(layout, query, &answer, &mut outcome),
-                Err(error) => outcome.add_violation(OWN_ANSWER, request, error.to_string()),
+                Err(error) => outcome.add_violation(CORRECT_HITS, request, error.to_string()),
             }
         }
         Ok(reply) => {
@@ -63,7 +63,7 @@
         && coverage.shards == layout.shards.len()
         && coverage.complete == missing.is_empty();
     if !consistent {
-        outcome.add_violation(TRUE_COVERAGE, &request, format!("{coverage:?}"));
+        outcome.add_violation(CORRECT_COVERAGE, &request, format!("{coverage:?}"));
     }
     let version = answer.snapshot.version.0;
     let mismatch = answer
@@ -90,6 +90,6 @@
         .eq(answer.hits.iter().map(|hit| &hit.id));
     if !same {
         let seen = format!("hits {:?}, expected {expected:?}", answer.hits);
-        outcome.add_violation(OWN_ANSWER, &request, seen);
+        outcome.add_violation(CORRECT_HITS, &request, seen);
     }
 }
--- a/crates/standin/src/measure/cold_start.rs
+++ b/crates/standin/src/measure/cold_start.rs
@@ -32,8 +32,8 @@
         median_running_time_ms: MEDIAN_RUNNING_TIME_MS,
         ..site::Spec::small(SERVICE, SHARDS)
     };
-    let bench = searches::Bench::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
-    let service = bench.service();
+    let warm_site = searches::WarmSite::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
+    let service = warm_site.service();
     let crash = async {
         tokio::time::sleep(CRASH_AT).await;
         for shard in 0..SHARDS {
@@ -46,9 +46,9 @@
             upstream.crash();
         }
     };
-    let (results, ()) = tokio::join!(bench.send(), crash);
+    let (results, ()) = tokio::join!(warm_site.send(), crash);
     let results = results?;
-    let mut out = bench.summarize(&results).await?;
+    let mut out = warm_site.summarize(&results).await?;
     let after_crash = results.iter().filter(|search| search.at > CRASH_AT);
     out.set_figure(
         "whole_after_restart_share",
--- a/crates/standin/src/measure/control.rs
+++ b/crates/standin/src/measure/control.rs
@@ -1,6 +1,6 @@
-//! Cost of the control plane per VM as the number of VMs grows. Membership alone runs
-//! as tasks of one process, so it is measured for many members; complete VMs, whose
-//! store calls are counted too, are limited in number by their threads.
+//! Cost of the control plane per VM as the number of VMs grows. Members that run only the
+//! membership protocol are tasks of this process, so many can be measured. A complete VM
+//! needs threads of its own, so only a few can run here; their store calls are counted too.
 
 use std::net;
 use std::sync;
@@ -28,30 +28,34 @@
     run: |context| Box::pin(run(context)),
 };
 
-/// Promise that every VM becomes a member.
+/// Promise that every member sees all members.
 const JOINED: &str = "every VM becomes a member";
-/// Promise that an update reaches every VM.
+/// Promise that an update reaches every member.
 const UPDATE_RECEIVED: &str = "news reaches every VM";
 
 /// Numbers of members to measure.
 const MEMBER_COUNTS: [usize; 4] = [8, 32, 128, 512];
-/// Numbers of complete VMs to measure, the largest first, as each run reuses memory
-/// that the run before freed.
+/// Numbers of complete VMs to measure, the largest first: memory that one run frees is
+/// reused by the next, so the growth measured for a later run is too small and only the
+/// first run's `memory_kib` is reliable.
 const VM_COUNTS: [usize; 3] = [32, 16, 8];
 /// Time over which each sample is taken.
 const SAMPLE_DURATION: time::Duration = time::Duration::from_secs(3);
-const RUNS: usize = 3;
-/// Longest wait for a change to reach all members; only a change that never arrives is
-/// a violation.
+/// Number of samples per figure.
+const SAMPLE_COUNT: usize = 3;
+/// Number of data centres that the members are spread over.
+const DATA_CENTRE_COUNT: usize = 4;
+/// Time limit for a change to reach all members; exceeding it is a violation. It is so
+/// long that only a lost change exceeds it.
 const CONVERGENCE_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 async fn run(_: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     for count in VM_COUNTS {
-        out.absorb(&format!("vms_{count}_"), complete_vms(count).await?);
+        out.absorb(&format!("vms_{count}_"), measure_complete_vms(count).await?);
     }
     for count in MEMBER_COUNTS {
-        out.absorb(&format!("members_{count}_"), members(count).await?);
+        out.absorb(&format!("members_{count}_"), measure_members(count).await?);
     }
     Ok(out)
 }
@@ -65,16 +69,16 @@
     stop: CancellationToken,
 }
 
-async fn members(count: usize) -> Result<outcome::Outcome, measure::Error> {
+async fn measure_members(count: usize) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     let memory_before = usage::resident_bytes();
     let mut all = Vec::new();
     let start = tokio::time::Instant::now();
     for number in 0..count {
-        let seeds = all.first().map(|first: &Member| first.address);
-        all.push(member(number, seeds).await?);
+        let seed_address = all.first().map(|first: &Member| first.address);
+        all.push(start_member(number, seed_address).await?);
     }
-    if !joined(&all, count).await {
+    if !wait_until_views_hold(&all, count).await {
         out.add_violation(
             JOINED,
             "-",
@@ -96,11 +100,15 @@
     for member in all {
         member.stop.cancel();
     }
+    // Lets the tasks of the stopped members end before the next measurement.
     tokio::time::sleep(time::Duration::from_millis(200)).await;
     Ok(out)
 }
 
-async fn member(number: usize, seed: Option<net::SocketAddr>) -> Result<Member, measure::Error> {
+async fn start_member(
+    number: usize,
+    seed_address: Option<net::SocketAddr>,
+) -> Result<Member, measure::Error> {
     let other = |what: String| measure::Error::Other { what };
     let parse = |text: String| text.parse().map_err(|e: ids::Error| other(e.to_string()));
     let loopback = net::SocketAddr::from(([127, 0, 0, 1], 0));
@@ -109,10 +117,10 @@
     let address = socket
         .local_addr()
         .map_err(|error| other(error.to_string()))?;
-    let data_centre = site::data_centre(number, 4);
+    let data_centre = site::data_centre(number, DATA_CENTRE_COUNT);
     let vm = parse(format!("vm-{number}"))?;
     let mut config = member::Config::new(vm, ids::Incarnation(1), data_centre, address, socket);
-    config.seeds.extend(seed);
+    config.seeds.extend(seed_address);
     let stop = CancellationToken::new();
     let metrics = metrics::Metrics::new().map_err(|error| other(error.to_string()))?;
     let service = member::Service::start(
@@ -131,7 +139,9 @@
     })
 }
 
-async fn joined(all: &[Member], count: usize) -> bool {
+/// Waits until the view of every member holds exactly `count` members. Returns whether
+/// that happened within `CONVERGENCE_TIMEOUT`.
+async fn wait_until_views_hold(all: &[Member], count: usize) -> bool {
     let waiting = all.iter().map(|member| {
         let mut view = member.service.view();
         async move {
@@ -141,11 +151,12 @@
         }
     });
     let waiting = futures_util::future::join_all(waiting);
-    let seen = tokio::time::timeout(CONVERGENCE_TIMEOUT, waiting).await;
-    seen.is_ok_and(|seen| seen.iter().all(|seen| *seen))
+    let reached = tokio::time::timeout(CONVERGENCE_TIMEOUT, waiting).await;
+    reached.is_ok_and(|reached| reached.iter().all(|reached| *reached))
 }
 
-/// Waits until no updates about the joining members are queued for sending.
+/// Waits until no updates about the joining members are queued for sending, at most
+/// `CONVERGENCE_TIMEOUT`. Returns how long that took.
 async fn wait_until_settled(all: &[Member]) -> time::Duration {
     let start = tokio::time::Instant::now();
     while metric_sum(all, "member_news_queued") > 0.0 && start.elapsed() < CONVERGENCE_TIMEOUT {
@@ -170,13 +181,15 @@
 /// Measures members while nothing changes, when they only probe and compare views.
 async fn measure_idle(all: &[Member], out: &mut outcome::Outcome) {
     let (mut processor, mut bytes) = (Vec::new(), Vec::new());
-    for _ in 0..RUNS {
+    for _ in 0..SAMPLE_COUNT {
         let (processor_before, sent_before) = (usage::processor_time(""), bytes_sent(all));
         tokio::time::sleep(SAMPLE_DURATION).await;
-        let each = all.len() as f64 * SAMPLE_DURATION.as_secs_f64();
-        processor
-            .push(usage::processor_time_since("", processor_before).as_secs_f64() * 100.0 / each);
-        bytes.push((bytes_sent(all) - sent_before) / each);
+        let member_seconds = all.len() as f64 * SAMPLE_DURATION.as_secs_f64();
+        processor.push(
+            usage::processor_time_since("", processor_before).as_secs_f64() * 100.0
+                / member_seconds,
+        );
+        bytes.push((bytes_sent(all) - sent_before) / member_seconds);
     }
     usage::Spread::of(processor).set_figure("quiet_core_percent", out);
     usage::Spread::of(bytes).set_figure("quiet_sent_bytes_per_s", out);
@@ -186,15 +199,17 @@
 /// document is accepted.
 async fn measure_update(all: &mut [Member], out: &mut outcome::Outcome) {
     let (mut took, mut bytes, mut processor) = (Vec::new(), Vec::new(), Vec::new());
-    for version in 1..=RUNS as u64 {
+    for version in 1..=SAMPLE_COUNT as u64 {
         let (processor_before, sent_before) = (usage::processor_time(""), bytes_sent(all));
         let start = tokio::time::Instant::now();
         all[0]
             .service
-            .publish(update(member::Topic::Catalog, "wide", version));
-        let received = all.iter_mut().map(|member| received(member, version));
-        let received = futures_util::future::join_all(received);
-        if tokio::time::timeout(CONVERGENCE_TIMEOUT, received)
+            .publish(new_update(member::Topic::Catalog, "wide", version));
+        let waiting = all
+            .iter_mut()
+            .map(|member| wait_for_update(member, version));
+        let waiting = futures_util::future::join_all(waiting);
+        if tokio::time::timeout(CONVERGENCE_TIMEOUT, waiting)
             .await
             .is_err()
         {
@@ -206,10 +221,11 @@
         }
         took.push(start.elapsed().as_secs_f64() * 1e3);
         tokio::time::sleep(SAMPLE_DURATION).await;
-        let each = all.len() as f64;
-        bytes.push((bytes_sent(all) - sent_before) / each);
-        processor
-            .push(usage::processor_time_since("", processor_before).as_secs_f64() * 1e3 / each);
+        let member_count = all.len() as f64;
+        bytes.push((bytes_sent(all) - sent_before) / member_count);
+        processor.push(
+            usage::processor_time_since("", processor_before).as_secs_f64() * 1e3 / member_count,
+        );
     }
     usage::Spread::of(took).set_figure("change_heard_ms", out);
     // Includes what an idle member sends in the same time.
@@ -217,7 +233,8 @@
     usage::Spread::of(processor).set_figure("change_processor_ms", out);
 }
 
-fn update(topic: member::Topic, key: &str, version: u64) -> member::Update {
+/// Returns an update whose body is 16 zero bytes.
+fn new_update(topic: member::Topic, key: &str, version: u64) -> member::Update {
     member::Update {
         topic,
         key: key.to_owned(),
@@ -226,7 +243,9 @@
     }
 }
 
-async fn received(member: &mut Member, version: u64) {
+/// Waits until the member has received version `version` of the catalog update, or its
+/// updates end.
+async fn wait_for_update(member: &mut Member, version: u64) {
     loop {
         match member.updates.recv().await {
             Ok(update) if update.topic == member::Topic::Catalog && update.version == version => {
@@ -245,7 +264,7 @@
     }
     let sent_before = bytes_sent(all);
     let start = tokio::time::Instant::now();
-    if !joined(all, all.len()).await {
+    if !wait_until_views_hold(all, all.len()).await {
         out.add_violation(
             vm_loss::REMOVED,
             "-",
@@ -254,12 +273,12 @@
     }
     let took = start.elapsed().as_secs_f64();
     out.set_figure("quarter_lost_ms", took * 1e3);
-    let each = (bytes_sent(all) - sent_before) / all.len() as f64 / took;
-    out.set_figure("quarter_lost_sent_bytes_per_s", each);
+    let bytes_per_s_per_member = (bytes_sent(all) - sent_before) / all.len() as f64 / took;
+    out.set_figure("quarter_lost_sent_bytes_per_s", bytes_per_s_per_member);
 }
 
 /// Measures complete VMs without load: processor time, memory and store calls.
-async fn complete_vms(count: usize) -> Result<outcome::Outcome, measure::Error> {
+async fn measure_complete_vms(count: usize) -> Result<outcome::Outcome, measure::Error> {
     let mut out = outcome::Outcome::default();
     let memory_before = usage::resident_bytes();
     let mut config = site::Config::new(vec![site::Spec::small("wide", 8)]);
@@ -270,30 +289,30 @@
         "memory_kib",
         (usage::resident_bytes() - memory_before) / 1024.0 / count as f64,
     );
-    let (mut processor, mut calls) = (Vec::new(), vec![Vec::new(); 5]);
-    for _ in 0..RUNS {
-        let (processor_before, counts) =
+    let (mut processor, mut rates_by_kind) = (Vec::new(), vec![Vec::new(); 5]);
+    for _ in 0..SAMPLE_COUNT {
+        let (processor_before, counts_before) =
             (usage::processor_time("vm-"), site.platform.state().counts());
         tokio::time::sleep(SAMPLE_DURATION).await;
-        let each = count as f64 * SAMPLE_DURATION.as_secs_f64();
+        let vm_seconds = count as f64 * SAMPLE_DURATION.as_secs_f64();
         processor.push(
-            usage::processor_time_since("vm-", processor_before).as_secs_f64() * 100.0 / each,
+            usage::processor_time_since("vm-", processor_before).as_secs_f64() * 100.0 / vm_seconds,
         );
-        let now = site.platform.state().counts();
+        let counts_after = site.platform.state().counts();
         let counts_by_kind = [
-            now.get - counts.get,
-            now.put - counts.put,
-            now.list - counts.list,
-            now.watch - counts.watch,
-            now.vms - counts.vms,
+            counts_after.get - counts_before.get,
+            counts_after.put - counts_before.put,
+            counts_after.list - counts_before.list,
+            counts_after.watch - counts_before.watch,
+            counts_after.vms - counts_before.vms,
         ];
-        for (rates, number) in calls.iter_mut().zip(counts_by_kind) {
-            rates.push(number as f64 / each);
+        for (rates, number) in rates_by_kind.iter_mut().zip(counts_by_kind) {
+            rates.push(number as f64 / vm_seconds);
         }
     }
     usage::Spread::of(processor).set_figure("quiet_core_percent", &mut out);
     let names = ["get", "put", "list", "watch", "vms"];
-    for (name, rates) in names.iter().zip(calls) {
+    for (name, rates) in names.iter().zip(rates_by_kind) {
         usage::Spread::of(rates).set_figure(&format!("store_{name}_per_s"), &mut out);
     }
     Ok(out)
--- a/crates/standin/src/measure/crossed.rs
+++ b/crates/standin/src/measure/crossed.rs
@@ -24,19 +24,19 @@
 const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench = searches::Bench::start(
+    let warm_site = searches::WarmSite::start(
         context,
         site::Spec::small(SERVICE, SHARDS),
         LOAD_SHARE,
         LOAD_DURATION,
     )
     .await?;
-    let service = bench.service();
+    let service = warm_site.service();
     service.set_faults(|faults| {
         faults.crossed_share = 0.02;
         faults.wrong_version_share = 0.02;
         faults.straggler_share = 0.01;
     });
-    let results = bench.send().await?;
-    bench.summarize(&results).await
+    let results = warm_site.send().await?;
+    warm_site.summarize(&results).await
 }
--- a/crates/standin/src/measure/documents.rs
+++ b/crates/standin/src/measure/documents.rs
@@ -32,7 +32,7 @@
 const OUTAGE_DURATION: time::Duration = time::Duration::from_secs(20);
 /// Time given to a forbidden change to show before the state is checked.
 const CHECK_DELAY: time::Duration = time::Duration::from_secs(4);
-/// Longest wait for the accepted record to show an edit; after it the edit counts as
+/// Time limit for the accepted record to show an edit; an edit that exceeds it counts as
 /// lost.
 const ACCEPT_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 const NEVER_REVERTS: &str = "an accepted configuration never reverts";
@@ -43,13 +43,13 @@
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
     let site = context.site(site::Spec::small(SERVICE, 4)).await?;
     let mut editor = Editor::new(site, context.seed).await?;
-    editor.idle_store_calls().await;
-    editor.races().await?;
-    editor.bad_edits().await?;
-    editor.silent_watches().await?;
-    editor.lost_replies().await?;
-    editor.outage().await?;
-    editor.set_back().await?;
+    editor.measure_idle_store_calls().await;
+    editor.race_edits().await?;
+    editor.write_bad_edits().await?;
+    editor.edit_with_silent_watches().await?;
+    editor.edit_with_lost_replies().await?;
+    editor.replace_vm_in_outage().await?;
+    editor.restore_earlier_state().await?;
     Ok(editor.end())
 }
 
@@ -85,7 +85,7 @@
     }
 
     /// Measures the store calls of a site without requests.
-    async fn idle_store_calls(&mut self) {
+    async fn measure_idle_store_calls(&mut self) {
         let counts_before = self.site.platform.state().counts();
         let duration = time::Duration::from_secs(10);
         clock::sleep(duration).await;
@@ -104,7 +104,7 @@
     }
 
     /// Lets two operators replace the same version; one of them must get a conflict.
-    async fn races(&mut self) -> Result<(), measure::Error> {
+    async fn race_edits(&mut self) -> Result<(), measure::Error> {
         for _ in 0..RACES {
             let base = self.version().await?;
             let (first_text, second_text) = (self.next_text(), self.next_text());
@@ -128,7 +128,7 @@
 
     /// Writes invalid texts; they must change nothing and the status must report the
     /// findings.
-    async fn bad_edits(&mut self) -> Result<(), measure::Error> {
+    async fn write_bad_edits(&mut self) -> Result<(), measure::Error> {
         for number in 0..BAD_EDITS {
             let before = self.accepted();
             let text = match number {
@@ -160,7 +160,7 @@
     }
 
     /// Edits while watches report no changes; VMs must find the edits by listing.
-    async fn silent_watches(&mut self) -> Result<(), measure::Error> {
+    async fn edit_with_silent_watches(&mut self) -> Result<(), measure::Error> {
         let state = self.site.platform.state();
         state.set_faults(|faults| faults.deaf_watches = true);
         for _ in 0..3 {
@@ -177,7 +177,7 @@
 
     /// Edits while half of the replies to writes are lost after the write took effect;
     /// each edit must be accepted exactly once.
-    async fn lost_replies(&mut self) -> Result<(), measure::Error> {
+    async fn edit_with_lost_replies(&mut self) -> Result<(), measure::Error> {
         for _ in 0..4 {
             let before = self.accepted().map_or(0, |record| record.generation.0);
             let (deadline, text) = self.next_text();
@@ -199,7 +199,7 @@
     }
 
     /// Replaces a VM while the store is down.
-    async fn outage(&mut self) -> Result<(), measure::Error> {
+    async fn replace_vm_in_outage(&mut self) -> Result<(), measure::Error> {
         let state = self.site.platform.state();
         state.set_faults(|faults| faults.down = true);
         clock::sleep(time::Duration::from_secs(2)).await;
@@ -235,7 +235,7 @@
 
     /// Returns the store to an earlier state and starts a VM from it; no VM may apply an
     /// earlier generation.
-    async fn set_back(&mut self) -> Result<(), measure::Error> {
+    async fn restore_earlier_state(&mut self) -> Result<(), measure::Error> {
         let old = self
             .site
             .platform
--- a/crates/standin/src/measure/drain.rs
+++ b/crates/standin/src/measure/drain.rs
@@ -58,23 +58,23 @@
 }
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench = searches::Bench::start(
+    let warm_site = searches::WarmSite::start(
         context,
         site::Spec::small(SERVICE, SHARDS),
         LOAD_SHARE,
         LOAD_DURATION,
     )
     .await?;
-    let service = bench.service();
+    let service = warm_site.service();
     let (lagging, lying) = (service.replica(0, 0), service.replica(1, 1));
     let (results, lagging, lying) =
-        tokio::join!(bench.send(), drain(lagging, false), drain(lying, true),);
+        tokio::join!(warm_site.send(), drain(lagging, false), drain(lying, true),);
     let results = results?;
-    let mut out = bench.summarize(&results).await?;
+    let mut out = warm_site.summarize(&results).await?;
     for (name, drained) in [("lagging", lagging), ("lying", lying)] {
         drained.add_to(name, &mut out);
     }
-    drop(bench);
+    drop(warm_site);
     long_calls(context).await?.add_to(&mut out);
     Ok(out)
 }
@@ -126,9 +126,9 @@
     tokio::time::sleep(time::Duration::from_millis(HEALTH_LAG_MS)).await;
     state.set_faults(|faults| faults.draining = true);
     tokio::time::sleep(DRAIN_GRACE_PERIOD).await;
-    let early = state.counts();
+    let counts_after_grace = state.counts();
     tokio::time::sleep(DRAIN_DURATION).await;
-    let drained = state.counts();
+    let counts_after_drain = state.counts();
     state.set_faults(|faults| {
         faults.draining = false;
         faults.health_lie = None;
@@ -136,8 +136,8 @@
     tokio::time::sleep(time::Duration::from_millis(HEALTH_LAG_MS) + DRAIN_GRACE_PERIOD).await;
     DrainedUpstream {
         upstream: state.config().id.to_string(),
-        arrived_late: drained.arrived_draining - early.arrived_draining,
-        started_after: state.counts().started - drained.started,
+        arrived_late: counts_after_drain.arrived_draining - counts_after_grace.arrived_draining,
+        started_after: state.counts().started - counts_after_drain.started,
     }
 }
 
--- a/crates/standin/src/measure/generations.rs
+++ b/crates/standin/src/measure/generations.rs
@@ -16,7 +16,7 @@
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(25);
 /// Timeout of a request for a VM's metrics.
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Longest wait for all VMs to apply a generation; after it the generation counts as
+/// Time limit for all VMs to apply a generation; a generation that exceeds it counts as
 /// lost.
 const ROLLOUT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
--- a/crates/standin/src/measure/load.rs
+++ b/crates/standin/src/measure/load.rs
@@ -193,13 +193,13 @@
 {
     let mut random = rand::rngs::StdRng::seed_from_u64(seed);
     let start = tokio::time::Instant::now();
-    let mut due = start;
+    let mut send_at = start;
     let mut tasks = Vec::new();
-    while due < start + duration {
-        tokio::time::sleep_until(due).await;
+    while send_at < start + duration {
+        tokio::time::sleep_until(send_at).await;
         tasks.push(tokio::spawn(send(tasks.len() as u64)));
         let gap = -(1.0 - random.random::<f64>()).ln() / rate;
-        due += time::Duration::from_secs_f64(gap);
+        send_at += time::Duration::from_secs_f64(gap);
     }
     let done = futures_util::future::join_all(tasks).await;
     done.into_iter().filter_map(Result::ok).collect()
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -1,5 +1,7 @@
 //! Scenarios that compare the query tier with a baseline and check its promises.
-//! Times are reported but never fail a run; only a broken promise does.
+//! A promise is a property that must hold for every request, whatever the load or fault, for
+//! example that a registration runs at most once. Times are reported but never fail a run;
+//! only a broken promise does.
 
 pub mod check;
 pub mod load;
@@ -63,7 +65,7 @@
 pub struct Context {
     /// Seed of the random arrivals and faults.
     pub seed: u64,
-    /// Policy by which fan-outs are run.
+    /// Policy by which VMs call the upstreams.
     pub policy: query::Policy,
 }
 
--- a/crates/standin/src/measure/outage.rs
+++ b/crates/standin/src/measure/outage.rs
@@ -24,8 +24,8 @@
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 /// Delay added to each call to the store while it is slow.
 const STORE_DELAY_MS: u64 = 2500;
-/// Promise that registrations which aren't answered while the store is down are refused as
-/// not run. How soon they are refused is reported by figures, without a limit.
+/// Promise that registrations which aren't answered while the store is down are refused with
+/// `ran` set to `no`. How soon they are refused is reported by figures, without a limit.
 const REFUSED: &str = "the store's outage refuses registrations as not run";
 
 /// State of the store during a part of the scenario.
@@ -85,9 +85,9 @@
     let (searches, registrations) = tokio::join!(searches, registrations);
     let (searches, registrations) = (searches?, registrations?);
     let store_counts_after = site.platform.state().counts();
-    let arrived = site.service(SERVICE).counts().arrived() - arrived_before;
+    let calls_arrived = site.service(SERVICE).counts().arrived() - arrived_before;
     let mut out = measure::outcome::Outcome::default();
-    out.absorb("search_", searches.outcome(arrived));
+    out.absorb("search_", searches.outcome(calls_arrived));
     let mut registrations_out = registrations.outcome(site.service(SERVICE));
     check_refusals(&registrations, phase, &mut registrations_out);
     out.absorb("record_", registrations_out);
@@ -99,8 +99,8 @@
     Ok(out)
 }
 
-/// Adds the durations of refusals as figures. Checks that every registration is refused as
-/// not run while the store is down.
+/// Adds the durations of refusals as figures. Checks that every registration that isn't
+/// answered while the store is down is refused with `ran` set to `no`.
 fn check_refusals(
     registrations: &registration_load::Registrations,
     phase: Phase,
--- a/crates/standin/src/measure/overload.rs
+++ b/crates/standin/src/measure/overload.rs
@@ -18,8 +18,8 @@
 
 const SERVICE: &str = "assessor-desk";
 const SHARDS: usize = 8;
-/// Median running time of a call at an upstream, long enough that one machine can send twice
-/// the searches that all upstreams can run.
+/// Median running time of a call at an upstream. It is long, so that the upstreams' capacity
+/// is small enough for one machine to send twice as many searches.
 const MEDIAN_RUNNING_TIME_MS: f64 = 40.0;
 /// Load as a share of the upstreams' capacity.
 const LOAD_SHARE: f64 = 2.0;
@@ -30,15 +30,15 @@
         median_running_time_ms: MEDIAN_RUNNING_TIME_MS,
         ..site::Spec::small(SERVICE, SHARDS)
     };
-    let bench = searches::Bench::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
-    let service = bench.service();
-    let results = bench.send().await?;
-    let mut out = bench.summarize(&results).await?;
-    let complete = results
+    let warm_site = searches::WarmSite::start(context, spec, LOAD_SHARE, LOAD_DURATION).await?;
+    let service = warm_site.service();
+    let results = warm_site.send().await?;
+    let mut out = warm_site.summarize(&results).await?;
+    let complete_in_time = results
         .iter()
         .filter(|search| search.is_complete_in_time())
         .count() as f64;
-    let goodput = complete / LOAD_DURATION.as_secs_f64() / service.capacity();
+    let goodput = complete_in_time / LOAD_DURATION.as_secs_f64() / service.capacity();
     out.set_figure("goodput_of_capacity_share", goodput);
     Ok(out)
 }
--- a/crates/standin/src/measure/registration_load.rs
+++ b/crates/standin/src/measure/registration_load.rs
@@ -15,8 +15,9 @@
 
 /// Promise that a registration runs at most once.
 pub const AT_MOST_ONCE: &str = "at most once";
-/// Promise that a registration which is refused as not run hasn't run.
-pub const NOT_RUN: &str = "not run means not run";
+/// Promise that a registration didn't run if its refusal says so (`ran` is `no`), and that
+/// the ledger's state of each key agrees with the runs.
+pub const CORRECT_RAN_STATE: &str = "not run means not run";
 /// Promise that an answer to a registration is the result of its run, and that repeats get
 /// the same result.
 pub const SAME_RESULT: &str = "repeats get the same result";
@@ -150,7 +151,7 @@
         answered.filter_map(|sample| Some(&sample.reply.as_ref().ok()?.body["result"]))
     }
 
-    /// Returns whether every request was refused as not run.
+    /// Returns whether every request was refused with `ran` set to `no`.
     fn not_run(&self) -> bool {
         self.samples.iter().all(|sample| sample.ran() == Some("no"))
     }
@@ -166,7 +167,11 @@
             );
         }
         if self.not_run() && !runs.is_empty() {
-            out.add_violation(NOT_RUN, &request, format!("{} ran: {runs:?}", self.key));
+            out.add_violation(
+                CORRECT_RAN_STATE,
+                &request,
+                format!("{} ran: {runs:?}", self.key),
+            );
         }
         // `run.request` is the id of a call: `{id of the caller's request}.{vm}.{attempt}`.
         for sample in self
@@ -179,7 +184,11 @@
                 .iter()
                 .any(|run| run.request.starts_with(&call_id_prefix))
             {
-                out.add_violation(NOT_RUN, sample.request_id(), format!("{} ran", self.key));
+                out.add_violation(
+                    CORRECT_RAN_STATE,
+                    sample.request_id(),
+                    format!("{} ran", self.key),
+                );
             }
         }
         let results: Vec<_> = self.results().collect();
@@ -285,7 +294,7 @@
             };
             if !agrees {
                 let seen = format!("state of {key}: {status}, ran: {}", ran.contains(key));
-                out.add_violation(NOT_RUN, "-", seen);
+                out.add_violation(CORRECT_RAN_STATE, "-", seen);
             }
         }
         Ok(())
--- a/crates/standin/src/measure/registrations.rs
+++ b/crates/standin/src/measure/registrations.rs
@@ -146,15 +146,15 @@
         .state()
         .set_faults(|faults| faults.lose_replies = 0.0);
     tokio::time::sleep(time::Duration::from_secs(3)).await;
-    let unsettled = unsettled(site).await?;
+    let unsettled = read_unsettled_keys(site).await?;
     let mut outcome = registrations.outcome(site.service(SERVICE));
     outcome.set_figure("freezes", pauses as f64);
     outcome.set_figure("unsettled", unsettled.len() as f64);
-    for ((name, _), (before, now)) in COUNTERS
+    for ((name, _), (before, after)) in COUNTERS
         .iter()
         .zip(counters_before.iter().zip(read_counters(site).await?))
     {
-        outcome.set_figure(*name, now - before);
+        outcome.set_figure(*name, after - before);
     }
     registrations
         .check_ledger(site, SERVICE, &unsettled, &mut outcome)
@@ -191,7 +191,10 @@
     rounds as u64
 }
 
-async fn unsettled(site: &site::Site) -> Result<collections::BTreeSet<String>, measure::Error> {
+/// Returns the keys of all claims that the ledger lists as unsettled.
+async fn read_unsettled_keys(
+    site: &site::Site,
+) -> Result<collections::BTreeSet<String>, measure::Error> {
     let other = |error: geraniumgauge::store::Error| measure::Error::Other {
         what: error.to_string(),
     };
--- a/crates/standin/src/measure/replica_loss.rs
+++ b/crates/standin/src/measure/replica_loss.rs
@@ -28,14 +28,14 @@
 const RECOVERY_TIME: time::Duration = time::Duration::from_secs(1);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench = searches::Bench::start(
+    let warm_site = searches::WarmSite::start(
         context,
         site::Spec::small(SERVICE, SHARDS),
         LOAD_SHARE,
         LOAD_DURATION,
     )
     .await?;
-    let service = bench.service();
+    let service = warm_site.service();
     let loss = async {
         tokio::time::sleep(LOSS_AT).await;
         for shard in (0..SHARDS).step_by(2) {
@@ -44,9 +44,9 @@
             upstream.crash();
         }
     };
-    let (results, ()) = tokio::join!(bench.send(), loss);
+    let (results, ()) = tokio::join!(warm_site.send(), loss);
     let results = results?;
-    let mut out = bench.summarize(&results).await?;
+    let mut out = warm_site.summarize(&results).await?;
     let first_second = results
         .iter()
         .filter(|s| s.at >= LOSS_AT && s.at < LOSS_AT + RECOVERY_TIME);
--- a/crates/standin/src/measure/report.rs
+++ b/crates/standin/src/measure/report.rs
@@ -8,7 +8,7 @@
 use crate::measure;
 use crate::measure::outcome;
 
-/// Violations listed in the table; the rest are only counted.
+/// Maximum number of violations printed below the table; the total is always printed.
 const MAX_VIOLATIONS_SHOWN: usize = 10;
 
 /// Results of one run of a scenario and of its baseline.
@@ -75,16 +75,19 @@
         let empty = outcome::Figures::new();
         let baseline = self.baseline.as_ref().unwrap_or(&empty);
         let names: collections::BTreeSet<_> = self.figures.keys().chain(baseline.keys()).collect();
-        let number = |value: Option<&f64>| value.map_or("-".to_owned(), |v| format!("{v:.3}"));
+        let format_figure =
+            |value: Option<&f64>| value.map_or("-".to_owned(), |v| format!("{v:.3}"));
         writeln!(
             out,
             "  {:<36}{:>14}{:>14}{:>10}",
             "figure", "here", "baseline", "ratio"
         )?;
         for name in names {
-            let (measured, baseline_value) =
-                (number(self.figures.get(name)), number(baseline.get(name)));
-            let ratio = number(self.ratios.get(name));
+            let (measured, baseline_value) = (
+                format_figure(self.figures.get(name)),
+                format_figure(baseline.get(name)),
+            );
+            let ratio = format_figure(self.ratios.get(name));
             writeln!(
                 out,
                 "  {name:<36}{measured:>14}{baseline_value:>14}{ratio:>10}"
--- a/crates/standin/src/measure/searches.rs
+++ b/crates/standin/src/measure/searches.rs
@@ -1,5 +1,5 @@
-//! Sends searches to a site while its state changes, and counts the calls that the
-//! upstreams' homes made for them.
+//! Sends searches to a site, while a scenario may inject faults, and counts the calls that
+//! the upstreams' homes made for them.
 
 use std::time;
 
@@ -12,7 +12,7 @@
 use crate::site;
 
 /// Promise that the homes of an upstream open no more connections to it than it accepts.
-pub const WITHIN_CONNECTIONS: &str = "within the upstreams' connections";
+pub const CONNECTION_LIMIT_KEPT: &str = "within the upstreams' connections";
 /// Promise that requests which crashed no upstream aren't quarantined.
 pub const NO_FALSE_QUARANTINE: &str = "innocent requests aren't quarantined";
 
@@ -43,7 +43,7 @@
 }
 
 /// Open-loop load of searches whose query texts are chosen by [`send`] and whose deadline is
-/// [`DEADLINE`]. [`load::SearchLoad`] leaves both to the scenario.
+/// [`DEADLINE`]. Use [`load::SearchLoad`] to choose query texts and deadline.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     /// Mean number of searches a second.
@@ -104,7 +104,7 @@
 /// A warmed-up site, the load to measure on it, and the counters of its homes and
 /// upstreams before that load.
 #[derive(Debug)]
-pub struct Bench {
+pub struct WarmSite {
     site: site::Site,
     service: ids::Service,
     load: Load,
@@ -114,7 +114,7 @@
     sent_before: Attempts,
 }
 
-impl Bench {
+impl WarmSite {
     /// Starts a site of one service and warms it up. The load is `share` of the
     /// upstreams' capacity.
     ///
@@ -170,9 +170,14 @@
     /// # Errors
     /// Returns an error if a VM's metrics can't be read.
     pub async fn summarize(&self, searches: &[Search]) -> Result<outcome::Outcome, measure::Error> {
-        let sent = Attempts::read(&self.site).await?.since(self.sent_before);
-        let arrived = self.service().counts().arrived() - self.arrived_before;
-        Ok(summarize(self.service(), searches, arrived, sent))
+        let calls_sent = Attempts::read(&self.site).await?.since(self.sent_before);
+        let calls_arrived = self.service().counts().arrived() - self.arrived_before;
+        Ok(summarize(
+            self.service(),
+            searches,
+            calls_arrived,
+            calls_sent,
+        ))
     }
 }
 
@@ -230,26 +235,30 @@
 }
 
 /// Summarizes searches: the figures and checks of [`tally::Tally`], the share
-/// answered completely and in time, and the shares of hedges and retries. Checks that
-/// the homes stayed within the upstreams' connections and quarantined no request.
+/// answered completely and in time, and the shares of hedges and retries. `calls_arrived` is
+/// the number of calls that reached the upstreams, `calls_sent` counts the calls that the
+/// homes sent, both during these searches.
+///
+/// Checks that the homes kept to the upstreams' connection limits, and that no search was
+/// quarantined, as none of these crashes an upstream.
 pub fn summarize(
     service: &site::Service,
     searches: &[Search],
-    arrived: u64,
-    sent: Attempts,
+    calls_arrived: u64,
+    calls_sent: Attempts,
 ) -> outcome::Outcome {
     let mut tally = tally::Tally::default();
     for search in searches {
         tally.add(&service.layout, &search.query, &search.sample);
     }
-    let mut out = tally.outcome(arrived);
+    let mut out = tally.outcome(calls_arrived);
     out.set_figure("whole_share", complete_in_time_share(searches));
-    sent.set_figures(&mut out);
+    calls_sent.set_figures(&mut out);
     for upstream in &service.upstreams {
         let counts = upstream.state().counts();
         if counts.connections_refused > 0 {
             let seen = format!("{}: {counts:?}", upstream.state().config().id);
-            out.add_violation(WITHIN_CONNECTIONS, "-", seen);
+            out.add_violation(CONNECTION_LIMIT_KEPT, "-", seen);
         }
     }
     let quarantined = searches.iter().filter(|search| is_quarantined(search));
--- a/crates/standin/src/measure/shed.rs
+++ b/crates/standin/src/measure/shed.rs
@@ -24,18 +24,18 @@
 const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench = searches::Bench::start(
+    let warm_site = searches::WarmSite::start(
         context,
         site::Spec::small(SERVICE, SHARDS),
         LOAD_SHARE,
         LOAD_DURATION,
     )
     .await?;
-    let service = bench.service();
+    let service = warm_site.service();
     for shard in 0..SHARDS {
         let upstream = service.replica(shard, 0).state();
         upstream.set_faults(|faults| faults.shed_share = SHED_SHARE);
     }
-    let results = bench.send().await?;
-    bench.summarize(&results).await
+    let results = warm_site.send().await?;
+    warm_site.summarize(&results).await
 }
--- a/crates/standin/src/measure/silent.rs
+++ b/crates/standin/src/measure/silent.rs
@@ -31,14 +31,14 @@
 const AFFECTED_AFTER: time::Duration = time::Duration::from_millis(1000);
 
 async fn run(context: measure::Context) -> Result<outcome::Outcome, measure::Error> {
-    let bench = searches::Bench::start(
+    let warm_site = searches::WarmSite::start(
         context,
         site::Spec::small(SERVICE, SHARDS),
         LOAD_SHARE,
         LOAD_DURATION,
     )
     .await?;
-    let service = bench.service();
+    let service = warm_site.service();
     let silence = async {
         let start = tokio::time::Instant::now();
         for at in SILENCES_AT {
@@ -46,9 +46,9 @@
             service.set_faults(|faults| faults.silence_open = true);
         }
     };
-    let (results, ()) = tokio::join!(bench.send(), silence);
+    let (results, ()) = tokio::join!(warm_site.send(), silence);
     let results = results?;
-    let mut out = bench.summarize(&results).await?;
+    let mut out = warm_site.summarize(&results).await?;
     set_affected_figures(&results, &mut out);
     Ok(out)
 }
--- a/crates/standin/src/measure/stop.rs
+++ b/crates/standin/src/measure/stop.rs
@@ -1,5 +1,6 @@
-//! Planned stops under load: one VM, then two at once, then all in turn. The
-//! replacements start before the VMs stop.
+//! Planned stops under load on a site of [`site::VM_COUNT`] VMs: one VM, then two at once,
+//! then as many as the site has, one by one. Each replacement starts and is ready before
+//! its VM stops.
 
 use std::time;
 
@@ -39,19 +40,20 @@
         .await;
     let arrived_before = site.service(SERVICE).counts().arrived();
     let sending = send(&site, rate, LOAD_DURATION, context.seed + 1).await?;
-    let (samples, stops) = future::join(sending, replace_vms(&mut site)).await;
-    let took = stops?;
-    let arrived = site.service(SERVICE).counts().arrived() - arrived_before;
+    let (samples, replacing_took) = future::join(sending, replace_vms(&mut site)).await;
+    let replacing_took = replacing_took?;
+    let calls_arrived = site.service(SERVICE).counts().arrived() - arrived_before;
     let mut tally = tally::Tally::default();
-    let mut refusals = outcome::Outcome::default();
+    let mut not_accepted = outcome::Outcome::default();
     for (query, sample) in &samples {
         tally.add(&site.service(SERVICE).layout, query, sample);
-        check_not_refused(sample, &mut refusals);
+        check_accepted(sample, &mut not_accepted);
     }
-    let mut out = tally.outcome(arrived);
-    out.absorb("", refusals);
+    let mut out = tally.outcome(calls_arrived);
+    out.absorb("", not_accepted);
+    // `replace_vms` stops one VM, then two, then `VM_COUNT`.
     out.set_figure("stops", f64::from(site::VM_COUNT + 3));
-    out.set_figure("stops_took_ms", took.as_secs_f64() * 1e3);
+    out.set_figure("stops_took_ms", replacing_took.as_secs_f64() * 1e3);
     Ok(out)
 }
 
@@ -75,9 +77,9 @@
     Ok(searches.send(caller, service))
 }
 
-/// Reports requests that a stopping VM refused while the balancer still sent requests
-/// to it. [`tally::Tally`] already reports broken connections.
-fn check_not_refused(sample: &load::Sample, out: &mut outcome::Outcome) {
+/// Reports requests that could not be sent or were refused by a stopping VM.
+/// [`tally::Tally`] reports connections that broke after a request was sent.
+fn check_accepted(sample: &load::Sample, out: &mut outcome::Outcome) {
     let seen = match &sample.reply {
         Err(load::Failure::NotSent(why)) => format!("not sent: {why}"),
         Ok(reply) if reply.body["error"]["code"] == "stopping" => "refused: stopping".to_owned(),
--- a/crates/standin/src/measure/tally.rs
+++ b/crates/standin/src/measure/tally.rs
@@ -94,9 +94,9 @@
         self.in_time
     }
 
-    /// Returns the figures and violations. `arrived` is the number of shard calls
+    /// Returns the figures and violations. `calls_arrived` is the number of shard calls
     /// that reached the upstreams during these searches.
-    pub fn outcome(self, arrived: u64) -> outcome::Outcome {
+    pub fn outcome(self, calls_arrived: u64) -> outcome::Outcome {
         let mut out = outcome::Outcome::default();
         let share = |part: u64, total: u64| part as f64 / total.max(1) as f64;
         for (name, quantile) in [("p50_ms", 0.5), ("p99_ms", 0.99), ("p999_ms", 0.999)] {
@@ -110,7 +110,7 @@
         out.set_figure("lost", self.lost as f64);
         out.set_figure(
             "extra_load_share",
-            arrived as f64 / self.shards.max(1) as f64 - 1.0,
+            calls_arrived as f64 / self.shards.max(1) as f64 - 1.0,
         );
         for (code, count) in &self.refused {
             out.set_figure(format!("refused_{code}"), *count as f64);
--- a/crates/standin/src/measure/together.rs
+++ b/crates/standin/src/measure/together.rs
@@ -74,6 +74,8 @@
     {
         tally.add(&layout, query, sample);
     }
+    // The upstreams' calls aren't counted here. `extra_load_share`, which is derived from
+    // their number, has no meaning and is removed.
     out.absorb("searches_", tally.outcome(0));
     out.figures.remove("searches_extra_load_share");
     out.absorb("registrations_", registered.outcome(site.service(SERVICE)));
--- a/crates/standin/src/measure/usage.rs
+++ b/crates/standin/src/measure/usage.rs
@@ -10,7 +10,7 @@
 /// Size of the memory pages that statm counts.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// Median, minimum and maximum of several runs.
+/// Median, minimum and maximum of several samples.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Spread {
     pub(super) median: f64,
@@ -40,13 +40,13 @@
 }
 
 /// Returns the processor time of this process's threads whose names start with
-/// `name`, or of all threads if `name` is empty. Threads that have ended are missing.
-pub(super) fn processor_time(name: &str) -> time::Duration {
+/// `thread_name_prefix`, or of all threads if it is empty. Threads that have ended are missing.
+pub(super) fn processor_time(thread_name_prefix: &str) -> time::Duration {
     let tasks = fs::read_dir("/proc/self/task").into_iter().flatten();
     let paths = tasks.filter_map(Result::ok).map(|entry| entry.path());
     let named = paths.filter(|path| {
         let comm = fs::read_to_string(path.join("comm"));
-        comm.is_ok_and(|comm| comm.starts_with(name))
+        comm.is_ok_and(|comm| comm.starts_with(thread_name_prefix))
     });
     let nanos = named.filter_map(|path| {
         let stat = fs::read_to_string(path.join("schedstat")).ok()?;
@@ -55,10 +55,14 @@
     time::Duration::from_nanos(nanos.sum())
 }
 
-/// Returns the processor time spent since `earlier` was read. It is a lower bound,
-/// as the time of threads that have ended since is missing; it is never below zero.
-pub(super) fn processor_time_since(name: &str, earlier: time::Duration) -> time::Duration {
-    processor_time(name).saturating_sub(earlier)
+/// Returns the processor time spent since [`processor_time`] returned `time_before` for the
+/// same threads. It is a lower bound, as the time of threads that have ended since is
+/// missing; it is never below zero.
+pub(super) fn processor_time_since(
+    thread_name_prefix: &str,
+    time_before: time::Duration,
+) -> time::Duration {
+    processor_time(thread_name_prefix).saturating_sub(time_before)
 }
 
 /// Returns the resident memory of this process in bytes.
--- a/crates/standin/src/measure/versions.rs
+++ b/crates/standin/src/measure/versions.rs
@@ -77,18 +77,19 @@
         () = roll_out_versions(service) => Vec::new(),
     };
     let sent = searches::Attempts::read(&site).await?.since(sent_before);
-    let arrived = service.counts().arrived() - arrived_before;
-    let mut out = summarize(&results, &old_layout, &new_layout, arrived);
+    let calls_arrived = service.counts().arrived() - arrived_before;
+    let mut out = summarize(&results, &old_layout, &new_layout, calls_arrived);
     sent.set_figures(&mut out);
     Ok(out)
 }
 
 /// Summarizes the searches, checking each answer against the layout that it names.
+/// `calls_arrived` is the number of calls that reached the upstreams during these searches.
 fn summarize(
     results: &[searches::Search],
     old_layout: &layout::Layout,
     new_layout: &layout::Layout,
-    arrived: u64,
+    calls_arrived: u64,
 ) -> outcome::Outcome {
     let mut tally = tally::Tally::default();
     let (mut at_old, mut at_new) = (0.0, 0.0);
@@ -102,7 +103,7 @@
         let layout = if is_old { old_layout } else { new_layout };
         tally.add(layout, &search.query, &search.sample);
     }
-    let mut out = tally.outcome(arrived);
+    let mut out = tally.outcome(calls_arrived);
     out.set_figure("whole_share", searches::complete_in_time_share(results));
     out.set_figure("at_old_layout", at_old);
     out.set_figure("at_new_layout", at_new);
--- a/crates/standin/src/measure/vm_loss.rs
+++ b/crates/standin/src/measure/vm_loss.rs
@@ -23,19 +23,21 @@
 
 /// Promise that a dead VM is eventually removed from every view.
 pub(super) const REMOVED: &str = "dead VMs are removed";
-/// Promise that other VMs take over the work of a dead VM.
-const TAKEN_OVER: &str = "duties are taken over";
+/// Promise that some searches get complete answers once the dead VMs are removed.
+const COMPLETE_AFTER_LOSS: &str = "duties are taken over";
 
 const SERVICE: &str = "foreman-search";
 const SHARDS: usize = 20;
 /// Load as a share of the upstreams' capacity.
 const LOAD_SHARE: f64 = 0.2;
 const WARM_UP_DURATION: time::Duration = time::Duration::from_secs(2);
-/// Time for which searches are sent around each loss, and once more after the last.
+/// Duration of each load: one for each loss, which happens during it, and one after the last
+/// loss.
 const LOAD_DURATION: time::Duration = time::Duration::from_secs(8);
 /// Time of the loss, from the start of the load.
 const LOSS_AT: time::Duration = time::Duration::from_secs(2);
-/// Longest wait for the views to change; only a view that never changes is a violation.
+/// Time limit for dead VMs to be removed from all views; exceeding it is a violation. It is
+/// so long that only a view that never changes exceeds it.
 const REMOVAL_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 const DEADLINE: time::Duration = time::Duration::from_millis(1000);
 
@@ -51,13 +53,19 @@
         out.absorb(name, losses);
     }
     let samples = send(&caller, &service, rate, LOAD_DURATION, context.seed + 9).await;
+    // The upstreams' calls aren't counted here. `extra_load_share`, which is derived from
+    // their number, has no meaning and is removed below.
     let after = tally_samples(&site, &samples, &collections::BTreeSet::new()).outcome(0);
     if after
         .figures
         .get("complete_share")
         .is_none_or(|share| *share == 0.0)
     {
-        out.add_violation(TAKEN_OVER, "-", "no answer was complete after the losses");
+        out.add_violation(
+            COMPLETE_AFTER_LOSS,
+            "-",
+            "no answer was complete after the losses",
+        );
     }
     out.absorb("after_", after);
     out.figures
@@ -84,8 +92,8 @@
     searches.send(caller.clone(), service.clone()).await
 }
 
-/// Tallies the samples except unanswered requests to a dead VM, whose loss breaks no
-/// promise.
+/// Tallies the samples. Unanswered requests to dead VMs are left out: no promise covers
+/// them.
 fn tally_samples(
     site: &site::Site,
     samples: &[SearchSample],
@@ -116,33 +124,34 @@
         let dead = (0..count).map(|_| site.kill(0)).collect();
         (dead, wait_until_removed(site).await)
     };
-    let (samples, (dead, removed)) = future::join(sending, losing).await;
+    let (samples, (dead, removed_after)) = future::join(sending, losing).await;
+    // The upstreams' calls aren't counted; `run` removes the figure derived from them.
     let mut out = tally_samples(site, &samples, &dead).outcome(0);
-    let was_sent_to_dead = |(_, sample): &&SearchSample| {
+    let was_lost_with_vm = |(_, sample): &&SearchSample| {
         sample.reply.is_err() && sample.vm.as_ref().is_some_and(|vm| dead.contains(vm))
     };
     out.set_figure(
         "lost_with_vm",
-        samples.iter().filter(was_sent_to_dead).count() as f64,
+        samples.iter().filter(was_lost_with_vm).count() as f64,
     );
-    match removed {
+    match removed_after {
         Some(took) => out.set_figure("removed_ms", took.as_secs_f64() * 1e3),
         None => out.add_violation(REMOVED, "-", format!("{dead:?} after {REMOVAL_TIMEOUT:?}")),
     }
     out
 }
 
-/// Waits until the view of every VM holds exactly as many VMs as run; returns how long
+/// Waits until the view of every VM counts exactly the VMs that still run; returns how long
 /// that took, or `None` after `REMOVAL_TIMEOUT`.
 pub(super) async fn wait_until_removed(site: &site::Site) -> Option<time::Duration> {
     let start = tokio::time::Instant::now();
     let expected = site.vms.len() as f64;
     while start.elapsed() < REMOVAL_TIMEOUT {
         let metrics = future::join_all(site.vms.iter().map(usage::metrics)).await;
-        let has_all = |figures: &collections::BTreeMap<String, f64>| {
+        let has_expected_count = |figures: &collections::BTreeMap<String, f64>| {
             figures.get("member_live").copied() == Some(expected)
         };
-        if metrics.iter().all(has_all) {
+        if metrics.iter().all(has_expected_count) {
             return Some(start.elapsed());
         }
         tokio::time::sleep(time::Duration::from_millis(50)).await;
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -136,7 +136,7 @@
         self.state.count(|counts| counts.get += 1);
         match self.state.objects(|objects| objects.get(key)) {
             Ok(object) => {
-                let mut response = serve::build(200, "application/octet-stream", object.body);
+                let mut response = serve::response(200, "application/octet-stream", object.body);
                 serve::set_header(&mut response, OBJECT_VERSION, object.version);
                 response
             }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -124,19 +124,19 @@
 
 /// Returns a plain text response.
 pub fn text(status: u16, body: impl Into<String>) -> Response {
-    build(status, "text/plain", Bytes::from(body.into()))
+    response(status, "text/plain", Bytes::from(body.into()))
 }
 
 /// Returns a JSON response.
 pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
     match serde_json::to_vec(body) {
-        Ok(body) => build(status, "application/json", Bytes::from(body)),
+        Ok(body) => response(status, "application/json", Bytes::from(body)),
         Err(error) => text(500, error.to_string()),
     }
 }
 
 /// Returns a response with the given content type.
-pub fn build(status: u16, content_type: &'static str, body: Bytes) -> Response {
+pub fn response(status: u16, content_type: &'static str, body: Bytes) -> Response {
     let mut response = hyper::Response::new(http_body_util::Full::new(body));
     let code = hyper::StatusCode::from_u16(status);
     *response.status_mut() = code.unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/standin/src/site/upstreams.rs
+++ b/crates/standin/src/site/upstreams.rs
@@ -43,8 +43,8 @@
     for (number, spec) in site.services().into_iter().enumerate() {
         let mut service = site::Service::start(spec, data_centres, number as u64, port).await?;
         service.layout.version = next_version(&store, service.id()).await?;
-        let used = u16::try_from(service.upstreams.len()).unwrap_or(u16::MAX);
-        port = port.map(|port| port.saturating_add(used));
+        let ports_used = u16::try_from(service.upstreams.len()).unwrap_or(u16::MAX);
+        port = port.map(|port| port.saturating_add(ports_used));
         for (key, body) in service.objects() {
             put(&store, &key, body).await?;
         }
--- a/crates/standin/src/upstream/config.rs
+++ b/crates/standin/src/upstream/config.rs
@@ -55,7 +55,8 @@
     pub draining: bool,
     /// Share of requests that are shed regardless of the load.
     pub shed_share: f64,
-    /// Status that `/health` and `/load` report instead of the real one, with no load.
+    /// Status that `/health` and `/load` report instead of the real one; they then also report
+    /// 0 running and 0 queued requests.
     pub health_lie: Option<String>,
     /// Age of the state that `/health` and `/load` report, in milliseconds.
     pub health_lag_ms: u64,
