--- a/crates/daemon/src/args.rs
+++ b/crates/daemon/src/args.rs
@@ -39,7 +39,7 @@
     ),
     (
         "--check",
-        "check the settings, print every error and exit with 2 if there is one",
+        "check the settings file, print all findings and exit with status 2 if there are any",
     ),
     (
         "--help",
--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -39,8 +39,8 @@
         doc: "Address of the HTTP listener for callers.",
         kind: jsonc::Kind::Text {
             form: "ip:port",
-            get: |settings| Some(settings.callers.to_string()),
-            set: |settings, text| assign(&mut settings.callers, parse_address(text)),
+            get: |settings| Some(settings.callers_address.to_string()),
+            set: |settings, text| assign(&mut settings.callers_address, parse_address(text)),
         },
     },
     Field {
@@ -49,8 +49,8 @@
         doc: "Address of the HTTP listener for /healthz, /readyz and /metrics.",
         kind: jsonc::Kind::Text {
             form: "ip:port",
-            get: |settings| Some(settings.operators.to_string()),
-            set: |settings, text| assign(&mut settings.operators, parse_address(text)),
+            get: |settings| Some(settings.operators_address.to_string()),
+            set: |settings, text| assign(&mut settings.operators_address, parse_address(text)),
         },
     },
     Field {
@@ -59,14 +59,14 @@
         doc: "Address at which other VMs reach this one, TCP and UDP on the same port.",
         kind: jsonc::Kind::Text {
             form: "ip:port",
-            get: |settings| Some(settings.mesh.to_string()),
-            set: |settings, text| assign(&mut settings.mesh, parse_address(text)),
+            get: |settings| Some(settings.mesh_address.to_string()),
+            set: |settings, text| assign(&mut settings.mesh_address, parse_address(text)),
         },
     },
     Field {
         path: "store",
         required: true,
-        doc: "Base URL of the platform's object API.",
+        doc: "Base URL of the platform's store.",
         kind: jsonc::Kind::Text {
             form: "http://ip:port",
             get: |settings| Some(settings.store.clone()),
@@ -76,8 +76,8 @@
     Field {
         path: "seeds",
         required: false,
-        doc: "Mesh addresses of VMs that this VM contacts to join the fleet if the platform's list \
-              of VMs is unavailable.",
+        doc: "Mesh addresses of VMs. If the platform's list of VMs is unavailable, this VM contacts \
+              them to join the fleet.",
         kind: jsonc::Kind::Texts {
             form: "ip:port",
             get: |settings| settings.seeds.iter().map(ToString::to_string).collect(),
@@ -135,8 +135,8 @@
     Field {
         path: "stop.grace_ms",
         required: false,
-        doc: "Time for running requests to finish after stop.balancer_wait_ms; set it above the \
-              longest deadline.",
+        doc: "Maximum time to wait for running requests after stop.balancer_wait_ms; then the \
+              process exits. Set it above the longest deadline.",
         kind: jsonc::Kind::Integer {
             min: 100,
             max: 600_000,
@@ -153,8 +153,8 @@
             min: 1 << 10,
             max: 16 << 20,
             unit: "bytes",
-            get: |settings| settings.limits.body.0,
-            set: |settings, value| settings.limits.body = rate::Bytes(value),
+            get: |settings| settings.limits.max_body.0,
+            set: |settings, value| settings.limits.max_body = rate::Bytes(value),
         },
     },
     Field {
@@ -165,8 +165,8 @@
             min: 256,
             max: 16 << 20,
             unit: "bytes",
-            get: |settings| settings.limits.query.0,
-            set: |settings, value| settings.limits.query = rate::Bytes(value),
+            get: |settings| settings.limits.max_query.0,
+            set: |settings, value| settings.limits.max_query = rate::Bytes(value),
         },
     },
     Field {
@@ -177,8 +177,8 @@
             min: 1 << 10,
             max: 1 << 20,
             unit: "bytes",
-            get: |settings| settings.limits.header.0,
-            set: |settings, value| settings.limits.header = rate::Bytes(value),
+            get: |settings| settings.limits.max_headers.0,
+            set: |settings, value| settings.limits.max_headers = rate::Bytes(value),
         },
     },
     Field {
@@ -189,8 +189,8 @@
             min: 128 << 10,
             max: 64 << 20,
             unit: "bytes",
-            get: |settings| settings.limits.frame.0,
-            set: |settings, value| settings.limits.frame = rate::Bytes(value),
+            get: |settings| settings.limits.max_frame.0,
+            set: |settings, value| settings.limits.max_frame = rate::Bytes(value),
         },
     },
     Field {
@@ -201,16 +201,16 @@
             min: 1,
             max: 100_000,
             unit: "requests",
-            get: |settings| u64::from(settings.limits.requests),
+            get: |settings| u64::from(settings.limits.max_concurrent_requests),
             set: |settings, value| {
-                settings.limits.requests = u32::try_from(value).unwrap_or(u32::MAX)
+                settings.limits.max_concurrent_requests = u32::try_from(value).unwrap_or(u32::MAX)
             },
         },
     },
     Field {
         path: "policy",
         required: false,
-        doc: "How replicas are chosen and calls retried or hedged. full: by load, with canaries, \
+        doc: "How replicas are chosen, and whether and how calls are retried or hedged. full: by load, with canaries, \
               quarantine and budgeted retries and hedges; no-hedge: the same without hedges; \
               direct: round robin, with retries until the deadline but no hedges, canaries, \
               quarantine or budgets. The last two are for comparison in measurements.",
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -7,7 +7,7 @@
 
 use crate::settings;
 
-/// Error of setting up logging.
+/// Reason why logging can't be set up.
 #[derive(Debug)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub(crate) enum Error {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -13,9 +13,9 @@
 use geraniumgauge::vm;
 use tokio::signal::unix;
 
-/// Exit code for an invalid command line or settings file.
+/// Exit status for an invalid command line or settings file.
 const EXIT_USAGE: u8 = 2;
-/// Exit code when logging, the runtime or the VM fails to start.
+/// Exit status if logging, the runtime or the VM fails to start.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> process::ExitCode {
@@ -95,8 +95,8 @@
     Ok(())
 }
 
-/// Waits for SIGTERM or SIGINT. If either handler can't be installed, this never
-/// returns; a signal without a handler then ends the process at once.
+/// Waits for SIGTERM or SIGINT. If a handler can't be installed, logs an error and never
+/// returns; the VM then isn't stopped gracefully.
 async fn wait_for_stop_signal() {
     let install = |kind| unix::signal(kind).ok();
     let term = install(unix::SignalKind::terminate());
@@ -116,19 +116,19 @@
 fn vm_config(settings: &settings::Settings) -> vm::Config {
     let (name, data_centre) = (settings.vm.clone(), settings.data_centre.clone());
     let mut config = vm::Config::new(name, data_centre, settings.store.clone());
-    config.callers = settings.callers;
-    config.operators = settings.operators;
-    config.mesh = settings.mesh;
+    config.callers = settings.callers_address;
+    config.operators = settings.operators_address;
+    config.mesh = settings.mesh_address;
     config.seeds = settings.seeds.clone();
     config.policy = settings.policy;
-    config.max_frame = settings.limits.frame;
+    config.max_frame = settings.limits.max_frame;
     config.balancer_wait = settings.stop.balancer_wait;
     config.grace = settings.stop.grace;
     config.limits = http::Limits {
-        body: settings.limits.body,
-        query: settings.limits.query,
-        headers: settings.limits.header,
-        requests: settings.limits.requests,
+        body: settings.limits.max_body,
+        query: settings.limits.max_query,
+        headers: settings.limits.max_headers,
+        requests: settings.limits.max_concurrent_requests,
         ..http::Limits::default()
     };
     config
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -26,15 +26,16 @@
     /// Data centre that this VM runs in.
     pub(crate) data_centre: ids::DataCentre,
     /// Address of the HTTP listener for callers.
-    pub(crate) callers: net::SocketAddr,
+    pub(crate) callers_address: net::SocketAddr,
     /// Address of the HTTP listener for operators.
-    pub(crate) operators: net::SocketAddr,
-    /// Address for other VMs: TCP for mesh links, UDP for probes.
-    pub(crate) mesh: net::SocketAddr,
-    /// Base URL of the platform's object API, without a trailing slash.
+    pub(crate) operators_address: net::SocketAddr,
+    /// Address at which other VMs reach this one: TCP for mesh links, UDP for membership
+    /// messages.
+    pub(crate) mesh_address: net::SocketAddr,
+    /// Base URL of the platform's store, without a trailing slash.
     pub(crate) store: String,
-    /// Mesh addresses of VMs that this VM contacts to join the fleet if the platform's
-    /// list of VMs is unavailable.
+    /// Mesh addresses of VMs. If the platform's list of VMs is unavailable, this VM
+    /// contacts them to join the fleet.
     pub(crate) seeds: Vec<net::SocketAddr>,
     /// Logging settings.
     pub(crate) log: Log,
@@ -42,7 +43,8 @@
     pub(crate) stop: Stop,
     /// Limits above which input is refused.
     pub(crate) limits: Limits,
-    /// How replicas are chosen for the calls of a search, and calls retried or hedged.
+    /// How replicas are chosen for the calls of a search, and whether and how calls are
+    /// retried or hedged.
     pub(crate) policy: query::Policy,
 }
 
@@ -69,15 +71,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Limits {
     /// Maximum size of a request body.
-    pub(crate) body: rate::Bytes,
+    pub(crate) max_body: rate::Bytes,
     /// Maximum size of the `query` of a search.
-    pub(crate) query: rate::Bytes,
+    pub(crate) max_query: rate::Bytes,
     /// Maximum total size of the headers of a request.
-    pub(crate) header: rate::Bytes,
+    pub(crate) max_headers: rate::Bytes,
     /// Maximum size of a mesh frame.
-    pub(crate) frame: rate::Bytes,
+    pub(crate) max_frame: rate::Bytes,
     /// Maximum number of concurrent caller requests across all services.
-    pub(crate) requests: u32,
+    pub(crate) max_concurrent_requests: u32,
 }
 
 /// Placeholder for an address that the file must set.
@@ -102,19 +104,22 @@
     /// Returns every finding, ordered by position in the text.
     pub(crate) fn parse(file: &str, text: &str) -> Result<Self, Vec<finding::Finding>> {
         let mut settings = Self::defaults();
-        let mut reading = jsonc::read(file, text, FIELDS, &mut settings);
-        settings.check_addresses(&mut reading);
-        settings.check_limits(&mut reading);
-        if reading.findings.is_empty() {
+        let mut parsed = jsonc::read(file, text, FIELDS, &mut settings);
+        settings.check_addresses(&mut parsed);
+        settings.check_limits(&mut parsed);
+        if parsed.findings.is_empty() {
             return Ok(settings);
         }
-        reading.findings.sort_by(|a, b| a.place.cmp(&b.place));
-        Err(reading.findings)
+        parsed.findings.sort_by(|a, b| a.place.cmp(&b.place));
+        Err(parsed.findings)
     }
 
     /// Returns the defaults, with placeholders for the required settings.
     fn defaults() -> Self {
-        #[expect(clippy::expect_used, reason = "constant names, covered by tests")]
+        #[expect(
+            clippy::expect_used,
+            reason = "the names are constants, and the tests parse them"
+        )]
         let (vm, data_centre) = (
             "unset".parse().expect("a valid name"),
             "unset".parse().expect("a valid name"),
@@ -122,9 +127,9 @@
         Self {
             vm,
             data_centre,
-            callers: UNSET_ADDRESS,
-            operators: UNSET_ADDRESS,
-            mesh: UNSET_ADDRESS,
+            callers_address: UNSET_ADDRESS,
+            operators_address: UNSET_ADDRESS,
+            mesh_address: UNSET_ADDRESS,
             store: String::new(),
             seeds: Vec::new(),
             log: Log {
@@ -136,11 +141,11 @@
                 grace: time::Duration::from_secs(15),
             },
             limits: Limits {
-                body: rate::Bytes(1 << 20),
-                query: rate::Bytes(64 << 10),
-                header: rate::Bytes(16 << 10),
-                frame: rate::Bytes(4 << 20),
-                requests: 2048,
+                max_body: rate::Bytes(1 << 20),
+                max_query: rate::Bytes(64 << 10),
+                max_headers: rate::Bytes(16 << 10),
+                max_frame: rate::Bytes(4 << 20),
+                max_concurrent_requests: 2048,
             },
             policy: query::Policy::Full,
         }
@@ -148,13 +153,14 @@
 
     /// Adds a finding for listeners that share an address, and for a mesh address
     /// that other VMs can't connect to. If two listeners have the same address, the
-    /// second can't be bound and the VM doesn't start. Some systems bind both if one
-    /// has a wildcard address; callers may then get the pages for operators.
-    fn check_addresses(&self, reading: &mut jsonc::Reading) {
+    /// second can't be bound and the VM doesn't start. Some systems accept both listeners
+    /// if one has a wildcard address; a caller may then be answered by the operators'
+    /// listener (/healthz, /readyz, /metrics).
+    fn check_addresses(&self, parsed: &mut jsonc::Reading) {
         let listeners = [
-            ("callers", self.callers),
-            ("operators", self.operators),
-            ("mesh", self.mesh),
+            ("callers", self.callers_address),
+            ("operators", self.operators_address),
+            ("mesh", self.mesh_address),
         ];
         let assigned = listeners
             .iter()
@@ -166,45 +172,50 @@
                 .find(|(_, other)| overlap(*other, *address));
             if let Some((other, _)) = earlier {
                 let problem = format!("{address} is already used by {other}");
-                reading.add(name, problem, "give each listener its own port");
+                parsed.add(name, problem, "give each listener its own port");
             }
         }
-        if self.mesh.ip().is_unspecified() && self.mesh != UNSET_ADDRESS {
-            let problem = format!("other VMs can't connect to {}", self.mesh.ip());
-            reading.add("mesh", problem, "give this VM's own IP address");
+        if self.mesh_address.ip().is_unspecified() && self.mesh_address != UNSET_ADDRESS {
+            let problem = format!("other VMs can't connect to {}", self.mesh_address.ip());
+            parsed.add("mesh", problem, "give this VM's own IP address");
         }
     }
 
-    /// Adds a finding for a query limit above the body limit, and for a frame limit
-    /// too small for a body: bodies are sent to the home VM in one frame.
-    fn check_limits(&self, reading: &mut jsonc::Reading) {
+    /// Adds a finding if the query limit exceeds the body limit (a query is part of a
+    /// body), or if a body doesn't fit in a frame (a body is sent to its home VM in one
+    /// frame).
+    fn check_limits(&self, parsed: &mut jsonc::Reading) {
         let Limits {
-            body, query, frame, ..
+            max_body,
+            max_query,
+            max_frame,
+            ..
         } = self.limits;
-        if query > body {
-            let problem = format!("{query} exceeds limits.body_bytes ({body})");
-            reading.add(
+        if max_query > max_body {
+            let problem = format!("{max_query} exceeds limits.body_bytes ({max_body})");
+            parsed.add(
                 "limits.query_bytes",
                 problem,
                 "lower it or raise limits.body_bytes",
             );
         }
-        if frame.0 < body.0.saturating_add(FRAME_OVERHEAD_BYTES) {
-            let problem = format!("a body of {body} doesn't fit in a frame of {frame}");
+        if max_frame.0 < max_body.0.saturating_add(FRAME_OVERHEAD_BYTES) {
+            let problem = format!("a body of {max_body} doesn't fit in a frame of {max_frame}");
             let remedy = format!("give at least limits.body_bytes + {FRAME_OVERHEAD_BYTES}");
-            reading.add("limits.frame_bytes", problem, remedy);
+            parsed.add("limits.frame_bytes", problem, remedy);
         }
     }
 }
 
-/// Bytes reserved in a frame for everything but the caller's body.
+/// Minimum by which `limits.frame_bytes` must exceed `limits.body_bytes`, for the other
+/// content of the frame.
 const FRAME_OVERHEAD_BYTES: u64 = 64 << 10;
 
 /// Returns whether two listeners with these addresses conflict: the same port, and the
 /// same IP address or a wildcard.
 fn overlap(a: net::SocketAddr, b: net::SocketAddr) -> bool {
-    let any = a.ip().is_unspecified() || b.ip().is_unspecified();
-    a.port() == b.port() && (any || a.ip() == b.ip())
+    let one_is_wildcard = a.ip().is_unspecified() || b.ip().is_unspecified();
+    a.port() == b.port() && (one_is_wildcard || a.ip() == b.ip())
 }
 
 fn unreadable_file(name: &str, error: &io::Error) -> finding::Finding {
--- a/crates/daemon/src/tests/settings.rs
+++ b/crates/daemon/src/tests/settings.rs
@@ -3,7 +3,7 @@
 const EXAMPLE: &str = include_str!("../../example-settings.jsonc");
 
 #[test]
-fn the_example_is_read_and_shows_the_defaults() {
+fn the_example_is_valid_and_has_the_default_limits_times_and_logging() {
     let settings = Settings::parse("example", EXAMPLE).unwrap();
     assert_eq!(settings.vm.as_str(), "kowhai-1");
     assert_eq!(settings.seeds.len(), 2);
@@ -18,10 +18,9 @@
     found.iter().map(ToString::to_string).collect()
 }
 
-/// An operator copies a listener's line and forgets to change the port. The second
-/// listener can't be bound, or, where the system binds a wildcard address as well,
-/// callers get the pages for operators. The check must report this before anything is
-/// bound.
+/// Of two listeners with the same address the second can't be bound; if one has a wildcard
+/// address, callers may reach the operators' listener instead. The check must report this
+/// before anything is bound.
 #[test]
 fn listeners_on_one_address_are_findings() {
     let text = EXAMPLE.replace("127.0.0.1:7201", "0.0.0.0:7101");
@@ -33,7 +32,7 @@
 }
 
 #[test]
-fn host_names_port_0_wildcard_mesh_and_repeated_seeds_are_findings() {
+fn invalid_addresses_are_findings() {
     let text = EXAMPLE
         .replace("http://127.0.0.1:7000", "http://store:7000")
         .replace("127.0.0.1:7101", "127.0.0.1:0")
