--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -17,8 +17,8 @@
 /// Delay between two reads of the status while waiting.
 const STATUS_POLL_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Checks the document, writes it if nobody else has written since, and waits until
-/// it is in force.
+/// Checks the document, writes it if the stored version is still the one that the edit is
+/// based on, and waits until it is in force at all VMs.
 pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
     let service = invocation.service()?;
     let base = invocation.value::<ids::ObjectVersion>("--if-version")?;
@@ -56,7 +56,7 @@
     base: Option<ids::ObjectVersion>,
 }
 
-/// Writes the text if the stored version is the one that the edit is based on.
+/// Writes the document if the stored version is the one that the edit is based on.
 pub(crate) async fn write(
     store: &dyn store::Api,
     edit: &Edit,
@@ -65,8 +65,8 @@
     let base = match edit.base {
         Some(base) => base,
         None => {
-            let present = show::read_object(store, &key).await?;
-            present.map(|object| object.version).unwrap_or_default()
+            let stored = show::read_object(store, &key).await?;
+            stored.map(|object| object.version).unwrap_or_default()
         }
     };
     let condition = match base {
@@ -85,18 +85,20 @@
 }
 
 /// Reads the document back after the reply to the write was lost, to find out
-/// whether the edit took effect. Applying it again without this check could
-/// conflict with the operator's own write.
+/// whether the edit took effect. Without this check, the operator would have to apply
+/// the document again, which would conflict with their own first write if that took
+/// effect.
 async fn read_back(
     store: &dyn store::Api,
     edit: &Edit,
     key: &str,
 ) -> Result<ids::ObjectVersion, failure::Failure> {
-    let present = show::read_object(store, key).await?;
-    let same = present.filter(|object| object.body == edit.text.as_bytes());
+    let stored = show::read_object(store, key).await?;
+    let same = stored.filter(|object| object.body == edit.text.as_bytes());
     same.map(|object| object.version).ok_or_else(|| {
-        let message =
-            format!("{key}: the reply to the write was lost and the store doesn't hold your text");
+        let message = format!(
+            "{key}: the reply to the write was lost, and the store doesn't hold your document"
+        );
         failure::Failure::Other(format!("{message}; apply it again"))
     })
 }
@@ -126,8 +128,12 @@
 
 fn differences(edit: &Edit, stored: &store::Object) -> String {
     let text = String::from_utf8_lossy(&stored.body);
-    let Ok(stored) = document::parse("present", &text) else {
-        return "  the stored document has findings: see `geraniumgauge status`".to_owned();
+    let Ok(stored) = document::parse("stored", &text) else {
+        return format!(
+            "  the stored document can't be compared, since it has findings: see `geraniumgauge \
+             status {}`",
+            edit.service
+        );
     };
     let fields = document::differences(&stored, &edit.document);
     if fields.is_empty() {
@@ -142,21 +148,22 @@
     fields.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Waits until a keeper has accepted `version` and all VMs apply it.
+/// Waits up to `wait` until a keeper has accepted `version` and all VMs apply it. If it
+/// was accepted, but not all VMs apply it in this time, prints so and succeeds.
 async fn wait_until_in_force(
     store: &dyn store::Api,
     service: &ids::Service,
     version: ids::ObjectVersion,
     wait: time::Duration,
 ) -> Result<(), failure::Failure> {
-    let until = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     let mut accepted = None;
-    while tokio::time::Instant::now() < until {
+    while tokio::time::Instant::now() < deadline {
         tokio::time::sleep(STATUS_POLL_INTERVAL).await;
-        let Ok(Some(found)) = status::read(store, service).await else {
+        let Ok(Some(status)) = status::read(store, service).await else {
             continue;
         };
-        match progress(found, version)? {
+        match progress(status, version)? {
             Progress::Waiting => {}
             Progress::Accepted(status) => accepted = Some(status),
             Progress::InForce(status) => {
@@ -193,7 +200,7 @@
 }
 
 /// Compares the status with the `version` that was written. Fails if the document
-/// was refused, if the store was set back, or if a later version was written.
+/// was refused, if the store was restored to an older state, or if a later version was written.
 fn progress(
     status: document::Status,
     version: ids::ObjectVersion,
@@ -211,11 +218,12 @@
     match &status.document {
         document::Verdict::Refused { findings, .. } => Err(failure::Failure::Findings {
             findings: findings.clone(),
-            consequence: "a document accepted before stays in force; fix them and apply again",
+            consequence: "the previously accepted document, if any, stays in force; fix the findings \
+                          and apply again",
         }),
         document::Verdict::SetBack { .. } => Err(failure::Failure::Other(format!(
-            "the store was set back to an older state during the write, and version {version} \
-             was not treated as an edit; apply it again"
+            "the store was restored to an older state during the write, so version {version} was \
+             ignored; apply it again"
         ))),
         document::Verdict::Vanished => Ok(Progress::Waiting),
         document::Verdict::Accepted { .. } if status.in_force >= status.vms => {
--- a/crates/cli/src/invocation.rs
+++ b/crates/cli/src/invocation.rs
@@ -14,9 +14,9 @@
 
 /// Arguments and flags of one run of the command.
 pub(crate) struct Invocation {
-    /// Positional arguments; their number is the one that the verb requires.
+    /// Positional arguments, as many as the verb requires.
     pub(crate) arguments: Vec<String>,
-    /// Flags that were given with their values; the value of a switch is empty.
+    /// The flags that were given and their values; a switch has an empty value.
     pub(crate) flags: Vec<(&'static str, String)>,
     /// Value of `--store`.
     pub(crate) store: Option<String>,
@@ -64,15 +64,15 @@
         let url = self.store.clone().or_else(|| env::var(STORE_VARIABLE).ok());
         let url = url.ok_or_else(|| {
             self.usage_error(format!(
-                "missing URL of the platform's object API; give --store URL or set {STORE_VARIABLE}"
+                "missing URL of the platform's store; give --store URL or set {STORE_VARIABLE}"
             ))
         })?;
         let other = |error: String| failure::Failure::Other(error);
-        let meter = metrics::Metrics::new().map_err(|error| other(error.to_string()))?;
+        let metrics = metrics::Metrics::new().map_err(|error| other(error.to_string()))?;
         Ok(store::Client::new(
             url,
             time::Clock::start(),
-            &meter.meter(),
+            &metrics.meter(),
         )?)
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
 //! The operators' command line.
 //!
-//! It talks only to the platform's object API: it writes documents and reads what
+//! It talks only to the platform's store: it writes documents and reads what
 //! is in force, and works whether or not VMs are running.
 
 mod apply;
--- a/crates/cli/src/marks.rs
+++ b/crates/cli/src/marks.rs
@@ -11,7 +11,7 @@
 use crate::table;
 
 /// Reads the marks of `service` that are in effect at `now`. VMs write marks to
-/// the store with a delay, so one set in the last second may be missing.
+/// the store with a delay, so a mark made within the last second may be missing.
 pub(crate) async fn read(
     store: &store::Client,
     service: &ids::Service,
@@ -32,8 +32,8 @@
 }
 
 fn in_effect(marks: Vec<quarantine::Mark>, now: time::Wall) -> Vec<quarantine::Mark> {
-    let not_clear = |mark: &quarantine::Mark| mark.verdict(now) != quarantine::Verdict::Clear;
-    marks.into_iter().filter(not_clear).collect()
+    let is_in_effect = |mark: &quarantine::Mark| mark.verdict(now) != quarantine::Verdict::Clear;
+    marks.into_iter().filter(is_in_effect).collect()
 }
 
 /// Formats the marks as a titled table; returns no lines if there are none.
@@ -41,7 +41,13 @@
     if marks.is_empty() {
         return Vec::new();
     }
-    let headers = ["request", "state", "upstreams lost", "since", "expires in"];
+    let headers = [
+        "request",
+        "state",
+        "upstreams crashed or lost",
+        "since",
+        "expires in",
+    ];
     let row = |mark: &quarantine::Mark| {
         let lost = mark.crashed.iter().chain(&mark.lost);
         vec![
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -9,17 +9,17 @@
 use crate::invocation;
 use crate::status;
 
-/// Prints the document's text below a comment with its version and generation. The
+/// Prints the stored document below a comment with its version and generation. The
 /// output is a valid document: it can be edited and applied.
 pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
     let service = invocation.service()?;
     let store = invocation.store()?;
-    let text = read_object(&store, &document::text_key(&service)).await?;
+    let object = read_object(&store, &document::text_key(&service)).await?;
     let accepted = read_accepted(&store, &service).await?;
-    match (text, accepted) {
+    match (object, accepted) {
         (None, None) => Err(status::missing_status(&store, &service).await),
-        (Some(text), accepted) => {
-            print!("{}", annotate(&service, &text, accepted.as_ref()));
+        (Some(object), accepted) => {
+            print!("{}", annotate(&service, &object, accepted.as_ref()));
             Ok(())
         }
         (None, Some(accepted)) => {
@@ -51,18 +51,19 @@
     service: &ids::Service,
 ) -> Result<Option<keeper::Accepted>, failure::Failure> {
     let object = read_object(store, &document::accepted_key(service)).await?;
-    // A record that can't be parsed is ignored: the keeper rewrites it.
+    // An object that can't be parsed is ignored, since the keeper rewrites it.
     Ok(object.and_then(|object| serde_json::from_slice(&object.body).ok()))
 }
 
-/// Returns `text` below a comment with its version and whether it is in force.
+/// Returns the text in `object` below a comment with its version and whether it is in
+/// force.
 fn annotate(
     service: &ids::Service,
-    text: &store::Object,
+    object: &store::Object,
     accepted: Option<&keeper::Accepted>,
 ) -> String {
-    let body = String::from_utf8_lossy(&text.body);
-    let version = text.version;
+    let body = String::from_utf8_lossy(&object.body);
+    let version = object.version;
     let parsed = document::parse(&document::text_key(service), &body);
     let state = match (&parsed, accepted) {
         (_, None) => "// nothing is accepted yet\n".to_owned(),
@@ -76,11 +77,11 @@
     format!("{}{}\n", header, without_header(&body).trim_end())
 }
 
-/// Returns a comment that says whether `text` is in force, and lists the fields in
-/// which it differs from the accepted document.
-fn acceptance_comment(accepted: &keeper::Accepted, text: &document::Document) -> String {
+/// Returns a comment that says whether the stored document is in force, and lists the
+/// fields in which it differs from the accepted one.
+fn acceptance_comment(accepted: &keeper::Accepted, stored: &document::Document) -> String {
     let generation = accepted.generation;
-    let differences = document::differences(&accepted.document, text);
+    let differences = document::differences(&accepted.document, stored);
     if differences.is_empty() {
         return format!("// accepted as generation {generation}\n");
     }
@@ -88,7 +89,7 @@
         .iter()
         .map(|difference| format!("//   {difference}\n"))
         .collect();
-    format!("// not in force; generation {generation} is in force and differs in:\n{lines}")
+    format!("// not in force; generation {generation} is in force instead and differs in:\n{lines}")
 }
 
 /// Returns `text` without the comment that an earlier `show` put above it.
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -64,8 +64,9 @@
     })
 }
 
-/// Fails if no document is accepted for a service. Without this check a mistyped
-/// name would look like a service without problems.
+/// Fails unless a document of the service is accepted, with the message of
+/// [`missing_status`]. Without this check a mistyped name would look like a service
+/// without problems.
 pub(crate) async fn require_accepted(
     store: &store::Client,
     service: &ids::Service,
@@ -118,8 +119,8 @@
     if !status.unconfirmed.is_empty() {
         let names: Vec<_> = status.unconfirmed.iter().map(ToString::to_string).collect();
         lines.push(format!(
-            "started while the store was unavailable and apply what other VMs sent, not yet \
-             confirmed by the store: {}",
+            "VMs that started while the store was unavailable and apply versions from other VMs \
+             that the store hasn't confirmed: {}",
             names.join(", ")
         ));
     }
@@ -131,7 +132,8 @@
     if status.layout.0 == 0 {
         let service = &status.service;
         lines.push(format!(
-            "no layout: every request is refused until layouts/{service} is written"
+            "there is no layout: every request is refused until one is written to the store at \
+             layouts/{service}"
         ));
     }
     lines.push(format!(
@@ -142,35 +144,38 @@
     if age.as_secs() > STALE_AFTER_S {
         lines.push(
             "this status is stale: the VMs can't reach the store, or none is running; \
-             what is in force stays in force"
+             VMs that run keep applying the documents that they have"
                 .to_owned(),
         );
     }
     lines.join("\n")
 }
 
-/// Returns a suffix that names the VMs that don't apply what is in force; empty if
-/// there are none.
+/// Returns a suffix that names the VMs that apply an older version or haven't reported;
+/// empty if there are none.
 fn behind_suffix(status: &document::Status) -> String {
     if status.behind.is_empty() {
         return String::new();
     }
     let names: Vec<_> = status.behind.iter().map(ToString::to_string).collect();
-    format!("; not in force or no report at {}", names.join(", "))
+    format!(
+        "; VMs with an older version or without a report: {}",
+        names.join(", ")
+    )
 }
 
 fn verdict_lines(status: &document::Status) -> Vec<String> {
     match &status.document {
         document::Verdict::Accepted { version } => {
-            vec![format!("document version {version}: accepted")]
+            vec![format!("document version {version} was accepted")]
         }
         document::Verdict::Refused { version, findings } => {
             let consequence = if status.generation.0 == 0 {
                 "nothing was accepted before, so every request is refused"
             } else {
-                "the document accepted before stays in force"
+                "the previously accepted document stays in force"
             };
-            let heading = format!("document version {version}: refused, {consequence}");
+            let heading = format!("document version {version} was refused; {consequence}:");
             findings_lines(&heading, findings)
         }
         document::Verdict::Vanished => vec![
--- a/crates/cli/src/tests/apply.rs
+++ b/crates/cli/src/tests/apply.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn edit(deadline: u64, base: Option<u64>) -> Edit {
-    let text = format!("{{\"team\": \"a\", \"deadline_ms\": {deadline}}}");
+fn edit(deadline_ms: u64, base: Option<u64>) -> Edit {
+    let text = format!("{{\"team\": \"a\", \"deadline_ms\": {deadline_ms}}}");
     Edit {
         service: "desk".parse().unwrap(),
         document: document::parse("f", &text).unwrap(),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_older_verdict_keeps_waiting_and_a_later_one_fails() {
+fn progress_waits_for_the_written_version_and_fails_if_a_later_one_is_stored() {
     let version = ids::ObjectVersion(5);
     let accepted = |version| {
         status(document::Verdict::Accepted {
--- a/crates/cli/src/tests/burn.rs
+++ b/crates/cli/src/tests/burn.rs
@@ -3,8 +3,10 @@
 use geraniumgauge::ids;
 use geraniumgauge::query;
 
+/// 30 of 100 answers are incomplete, while the default objective allows 1 in 100, so the
+/// burn rate is 30. A rate of at least 14.4 calls for action at once.
 #[test]
-fn the_report_shows_fast_burns_and_missing_shards_by_reason() {
+fn the_report_shows_high_burn_rates_and_missing_shards_by_reason() {
     let now = time::Wall(400_000_000);
     let mut series = slo::Series::default();
     let counts = series.at(now);
--- a/crates/cli/src/tests/marks.rs
+++ b/crates/cli/src/tests/marks.rs
@@ -16,8 +16,8 @@
 }
 
 /// Answers report missing shards with the reason `quarantined`, and the team runs
-/// `status` to find out why. It must see the request, the upstreams lost and when the
-/// mark expires; cleared and expired marks would mislead.
+/// `status` to find out why. It must see the request, the upstreams that crashed or were lost
+/// and when the mark expires; cleared and expired marks would mislead.
 #[test]
 fn only_marks_in_effect_are_shown() {
     let marks = vec![
--- a/crates/cli/src/tests/status.rs
+++ b/crates/cli/src/tests/status.rs
@@ -23,10 +23,10 @@
     let text = text(&status, time::Wall(1000 + 200_000));
     for part in [
         "desk: generation 4",
-        "in force at 7 of 8 VMs; not in force or no report at vm-3",
-        "version 9: refused",
+        "in force at 7 of 8 VMs; VMs with an older version or without a report: vm-3",
+        "version 9 was refused",
         "documents/desk:1:10: team: found a number",
-        "no layout",
+        "there is no layout",
         "written by vm-1 3 min ago",
         "this status is stale",
     ] {
--- a/crates/cli/src/tests/vms.rs
+++ b/crates/cli/src/tests/vms.rs
@@ -1,9 +1,10 @@
 use super::*;
 
 /// A VM dies while the platform still lists it as live. If the table said that all
-/// documents are in force there, the operator would look for the fault elsewhere.
+/// documents are in force there, the operator would look for the fault elsewhere. A VM
+/// that isn't listed or hasn't reported, and a fleet without reports, are shown as such.
 #[test]
-fn a_listed_vm_that_others_do_not_see_is_shown_as_not_seen() {
+fn the_table_says_which_vms_are_listed_seen_and_have_reported() {
     let listed = ["a", "b"].map(|name| store::Vm {
         vm: name.parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
--- a/crates/cli/src/unsettled.rs
+++ b/crates/cli/src/unsettled.rs
@@ -14,17 +14,17 @@
     let service = invocation.service()?;
     let store = invocation.store()?;
     status::require_accepted(&store, &service).await?;
-    let found = ledger::unsettled(&store, &service).await?;
+    let claims = ledger::unsettled(&store, &service).await?;
     if invocation.has("--json") {
-        println!("{}", table::json(&found));
+        println!("{}", table::json(&claims));
         return Ok(());
     }
-    if found.is_empty() {
+    if claims.is_empty() {
         println!("{service}: the outcome of every claim is known");
         return Ok(());
     }
     let now = time::Clock::start().wall();
-    let rows = found.iter().map(|claim| {
+    let rows = claims.iter().map(|claim| {
         vec![
             claim.key.to_string(),
             claim.request.to_string(),
@@ -37,7 +37,7 @@
     println!(
         "claims without a known outcome: {}; ask the upstream whether the record ran (a retry with \
          one of these keys won't be run)",
-        found.len()
+        claims.len()
     );
     Ok(())
 }
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -75,8 +75,8 @@
                 name: "--wait",
                 value: Some("SECONDS"),
                 default: "10",
-                about: "how long to wait until the document is accepted and in force at all VMs \
-                        (0 to not wait)",
+                about: "maximum time in seconds to wait for the document to be accepted and in force \
+                        at all VMs (0: don't wait)",
             },
         ],
         example: "geraniumgauge apply port-inspection port-inspection.jsonc --if-version 41",
@@ -107,8 +107,8 @@
             Flag {
                 name: "--output",
                 value: Some("FILE"),
-                default: "none",
-                about: "write the report to FILE as a page (.html) or a plot (.svg) instead",
+                default: "standard output",
+                about: "write the report to FILE instead, as an HTML page (.html) or a plot (.svg)",
             },
         ],
         example: "geraniumgauge burn port-inspection --output burn.html",
@@ -117,8 +117,8 @@
     Verb {
         name: "unsettled",
         arguments: &["SERVICE"],
-        about: "List claims without a known outcome: records sent under an idempotency key that may \
-                or may not have run.",
+        about: "List claims without a known outcome: records that were sent with an \
+                idempotency key and may or may not have been run.",
         flags: &[JSON],
         example: "geraniumgauge unsettled label-printing --json",
         run: |invocation| Box::pin(unsettled::run(invocation)),
@@ -264,13 +264,15 @@
 
 /// Returns the help text of the whole command.
 fn help() -> String {
-    let mut page = String::from("Operates geraniumgauge through the platform's object API.\n\n");
+    let mut page = String::from(
+        "Checks, writes and shows geraniumgauge's documents and status in the platform's store.\n\n",
+    );
     for verb in VERBS {
         let (synopsis, about, example) = (verb.synopsis(), verb.about, verb.example);
         page.push_str(&format!("  {synopsis}\n      {about}\n      {example}\n"));
     }
     page.push_str(&format!(
-        "\n  --store URL\n      base URL of the platform's object API; \
+        "\n  --store URL\n      base URL of the platform's store; \
          default: environment variable {store}\n\n\
          Exit status: 0 success, 1 refusal, conflict or store failure, 2 usage error.\n\
          See `geraniumgauge VERB --help` for details.",
