--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -210,10 +210,10 @@
     Field {
         path: "policy",
         required: false,
-        doc: "How replicas are chosen, and whether and how calls are retried or hedged. full: by load, with canaries, \
-              quarantine and budgeted retries and hedges; no-hedge: the same without hedges; \
-              direct: round robin, with retries until the deadline but no hedges, canaries, \
-              quarantine or budgets. The last two are for comparison in measurements.",
+        doc: "How replicas are chosen, and whether and how calls are retried or hedged. full: by \
+              load, with canaries, quarantine and budgeted retries and hedges; no-hedge: the same \
+              without hedges; direct: round robin, with retries until the deadline but no hedges, \
+              canaries, quarantine or budgets. The last two are for comparison in measurements.",
         kind: jsonc::Kind::Text {
             form: "one of full, no-hedge, direct",
             get: |settings| Some(settings.policy.to_string()),
