--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -218,8 +218,8 @@
     match &status.document {
         document::Verdict::Refused { findings, .. } => Err(failure::Failure::Findings {
             findings: findings.clone(),
-            consequence: "the previously accepted document, if any, stays in force; fix the findings \
-                          and apply again",
+            consequence: "the previously accepted document, if any, stays in force; fix the \
+                          findings and apply again",
         }),
         document::Verdict::SetBack { .. } => Err(failure::Failure::Other(format!(
             "the store was restored to an older state during the write, so version {version} was \
--- a/crates/cli/src/verbs.rs
+++ b/crates/cli/src/verbs.rs
@@ -75,8 +75,8 @@
                 name: "--wait",
                 value: Some("SECONDS"),
                 default: "10",
-                about: "maximum time in seconds to wait for the document to be accepted and in force \
-                        at all VMs (0: don't wait)",
+                about: "maximum time in seconds to wait for the document to be accepted and in \
+                        force at all VMs (0: don't wait)",
             },
         ],
         example: "geraniumgauge apply port-inspection port-inspection.jsonc --if-version 41",
@@ -265,7 +265,8 @@
 /// Returns the help text of the whole command.
 fn help() -> String {
     let mut page = String::from(
-        "Checks, writes and shows geraniumgauge's documents and status in the platform's store.\n\n",
+        "Checks, writes and shows geraniumgauge's documents and status in the platform's \
+         store.\n\n",
     );
     for verb in VERBS {
         let (synopsis, about, example) = (verb.synopsis(), verb.about, verb.example);
--- a/crates/daemon/src/fields.rs
+++ b/crates/daemon/src/fields.rs
@@ -76,8 +76,8 @@
     Field {
         path: "seeds",
         required: false,
-        doc: "Mesh addresses of VMs. If the platform's list of VMs is unavailable, this VM contacts \
-              them to join the fleet.",
+        doc: "Mesh addresses of VMs. If the platform's list of VMs is unavailable, this VM \
+              contacts them to join the fleet.",
         kind: jsonc::Kind::Texts {
             form: "ip:port",
             get: |settings| settings.seeds.iter().map(ToString::to_string).collect(),
