--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -33,25 +33,25 @@
 /// A field whose value differs between two documents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display)]
-#[display("{path}: {was} -> {now}")]
+#[display("{path}: {first} -> {now}")]
 pub struct Difference {
     /// Path of the field.
     pub path: &'static str,
     /// Its value in the first document, as JSON.
-    pub was: String,
+    pub first: String,
     /// Its value in the second one, as JSON.
     pub now: String,
 }
 
 /// Returns the fields whose values differ.
-pub fn differences(was: &document::Document, now: &document::Document) -> Vec<Difference> {
+pub fn differences(first: &document::Document, now: &document::Document) -> Vec<Difference> {
     let show = |field: &Field, of| field.kind.show(of).unwrap_or_else(|| "none".to_owned());
     let all = FIELDS.iter().map(|field| Difference {
         path: field.path,
-        was: show(field, was),
+        first: show(field, first),
         now: show(field, now),
     });
-    all.filter(|field| field.was != field.now).collect()
+    all.filter(|field| field.first != field.now).collect()
 }
 
 /// Checks the rules that relate several fields.
