--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -142,7 +142,7 @@
     let line = |field: &document::Difference| {
         format!(
             "  {}: {} in the store, {} in yours",
-            field.path, field.first, field.now
+            field.path, field.first, field.second
         )
     };
     fields.iter().map(line).collect::<Vec<_>>().join("\n")
--- a/crates/geraniumgauge/src/document/fields.rs
+++ b/crates/geraniumgauge/src/document/fields.rs
@@ -33,25 +33,25 @@
 /// A field whose value differs between two documents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(derive_more::Display)]
-#[display("{path}: {first} -> {now}")]
+#[display("{path}: {first} -> {second}")]
 pub struct Difference {
     /// Path of the field.
     pub path: &'static str,
     /// Its value in the first document, as JSON.
     pub first: String,
     /// Its value in the second one, as JSON.
-    pub now: String,
+    pub second: String,
 }
 
 /// Returns the fields whose values differ.
-pub fn differences(first: &document::Document, now: &document::Document) -> Vec<Difference> {
+pub fn differences(first: &document::Document, second: &document::Document) -> Vec<Difference> {
     let show = |field: &Field, of| field.kind.show(of).unwrap_or_else(|| "none".to_owned());
     let all = FIELDS.iter().map(|field| Difference {
         path: field.path,
         first: show(field, first),
-        now: show(field, now),
+        second: show(field, second),
     });
-    all.filter(|field| field.first != field.now).collect()
+    all.filter(|field| field.first != field.second).collect()
 }
 
 /// Checks the rules that relate several fields.
