--- a/crates/geraniumgauge/src/edge/tests/peers.rs
+++ b/crates/geraniumgauge/src/edge/tests/peers.rs
@@ -9,9 +9,14 @@
 use crate::spread;
 use crate::spread::tests::messages;
 
-/// Reads an answer with `size` bytes of configuration. A tenth of it is sent each
-/// `interval`, and nothing more after `pieces` tenths.
-fn read(size: usize, pieces: usize, interval: time::Duration) -> io::Result<spread::Answer> {
+/// Reads an answer with `size` bytes of configuration that is sent in pieces of a
+/// tenth, plus a last piece for the remainder. Only the first `pieces` of them are
+/// sent, one each `interval`.
+fn read_slowly_sent(
+    size: usize,
+    pieces: usize,
+    interval: time::Duration,
+) -> io::Result<spread::Answer> {
     let answer = spread::Answer {
         config: Some("a".repeat(size)),
         ..messages::answer(messages::nothing())
@@ -24,7 +29,7 @@
 /// slow or shared link.
 #[test]
 fn an_answer_is_read_as_long_as_bytes_arrive() {
-    let answer = read(500_000, 11, time::Duration::from_millis(400));
+    let answer = read_slowly_sent(500_000, 11, time::Duration::from_millis(400));
     let config = answer.expect("an answer").config;
     assert_eq!(config.map(|text| text.len()), Some(500_000));
 }
@@ -32,7 +37,7 @@
 /// Guards against a fetch that waits for a VM that was powered off.
 #[test]
 fn an_answer_that_stops_arriving_times_out() {
-    let answer = read(500_000, 4, time::Duration::from_millis(100));
+    let answer = read_slowly_sent(500_000, 4, time::Duration::from_millis(100));
     let error = answer.expect_err("half an answer");
     assert_eq!(error.kind(), io::ErrorKind::TimedOut);
 }
--- a/crates/geraniumgauge/src/home/service.rs
+++ b/crates/geraniumgauge/src/home/service.rs
@@ -171,7 +171,7 @@
 
     /// Drops the calls of `vm` after the mesh link to it was lost.
     pub fn link_lost(&self, vm: &ids::Vm) {
-        self.inner.context.calls.remove_coordinator(vm);
+        self.inner.context.calls.remove_calls_of(vm);
         for worker in self.inner.all() {
             worker.handle(state::Event::CoordinatorLost(vm.clone()));
         }
--- a/crates/geraniumgauge/src/home/state/mod.rs
+++ b/crates/geraniumgauge/src/home/state/mod.rs
@@ -325,7 +325,7 @@
     }
 
     fn coordinator_lost(&mut self, vm: &ids::Vm, now: Moment) {
-        self.queue.remove_coordinator(vm);
+        self.queue.remove_calls_of(vm);
         let of_coordinator = self.connections.busy().filter(|(_, call)| {
             call.job.id.coordinator == *vm
                 && !call.job.is_record()
--- a/crates/geraniumgauge/src/home/state/queue.rs
+++ b/crates/geraniumgauge/src/home/state/queue.rs
@@ -14,8 +14,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     jobs: collections::BTreeMap<Key, job::Job>,
-    keys: collections::HashMap<job::Id, Key>,
-    trials: collections::BTreeSet<Key>,
+    keys_by_id: collections::HashMap<job::Id, Key>,
+    /// Keys of the isolated trials.
+    trial_keys: collections::BTreeSet<Key>,
     arrivals: u64,
 }
 
@@ -25,22 +26,22 @@
     }
 
     pub(super) fn contains(&self, id: &job::Id) -> bool {
-        self.keys.contains_key(id)
+        self.keys_by_id.contains_key(id)
     }
 
     pub(super) fn insert(&mut self, job: job::Job) {
         self.arrivals += 1;
         let key = (job.deadline, self.arrivals);
         if job.is_trial() {
-            self.trials.insert(key);
+            self.trial_keys.insert(key);
         }
-        self.keys.insert(job.id.clone(), key);
+        self.keys_by_id.insert(job.id.clone(), key);
         self.jobs.insert(key, job);
     }
 
     /// Returns the next call to run.
     pub(super) fn head(&self) -> Option<&job::Job> {
-        let trial = self.trials.first().and_then(|key| self.jobs.get(key));
+        let trial = self.trial_keys.first().and_then(|key| self.jobs.get(key));
         trial.or_else(|| self.jobs.values().next())
     }
 
@@ -50,8 +51,8 @@
     }
 
     pub(super) fn remove(&mut self, id: &job::Id) -> Option<job::Job> {
-        let key = self.keys.remove(id)?;
-        self.trials.remove(&key);
+        let key = self.keys_by_id.remove(id)?;
+        self.trial_keys.remove(&key);
         self.jobs.remove(&key)
     }
 
@@ -62,18 +63,21 @@
 
     /// Removes and returns every call.
     pub(super) fn drain(&mut self) -> Vec<job::Job> {
-        self.keys.clear();
-        self.trials.clear();
+        self.keys_by_id.clear();
+        self.trial_keys.clear();
         std::mem::take(&mut self.jobs).into_values().collect()
     }
 
     /// Removes and returns as few calls as possible so that all others meet their
-    /// deadlines. `too_late` decides by queue position and deadline.
+    /// deadlines. `too_late(position, deadline)` returns whether a call with that
+    /// many calls ahead of it would miss its deadline.
     ///
-    /// Removing any call ahead of a late one could let the late one fit. The call of
-    /// lowest rank is removed, and a query has the same rank at every home. If each
-    /// home removed its latest call instead, homes would refuse different queries: at
-    /// twice the capacity, nearly every query over 8 shards would lose one.
+    /// Any call ahead of a late one could be removed instead of it. The one with the
+    /// lowest [`job::Rank`] is, because the rank depends only on the request's id and
+    /// on whether the call is a hedge, so all homes refuse calls of the same queries.
+    /// If each home refused its latest call instead, homes would refuse different
+    /// queries: with twice as many calls as the upstreams can run, nearly every query
+    /// over 8 shards would miss one of them.
     pub(super) fn remove_late(
         &mut self,
         too_late: impl Fn(usize, Moment) -> bool,
@@ -94,8 +98,11 @@
     }
 
     /// Removes and returns the calls of one coordinator.
-    pub(super) fn remove_coordinator(&mut self, coordinator: &ids::Vm) -> Vec<job::Job> {
-        let of_coordinator = self.keys.keys().filter(|id| id.coordinator == *coordinator);
+    pub(super) fn remove_calls_of(&mut self, coordinator: &ids::Vm) -> Vec<job::Job> {
+        let of_coordinator = self
+            .keys_by_id
+            .keys()
+            .filter(|id| id.coordinator == *coordinator);
         let ids: Vec<_> = of_coordinator.cloned().collect();
         ids.iter().filter_map(|id| self.remove(id)).collect()
     }
--- a/crates/geraniumgauge/src/home/worker.rs
+++ b/crates/geraniumgauge/src/home/worker.rs
@@ -56,7 +56,7 @@
     }
 
     /// Removes the calls of one coordinator.
-    pub(super) fn remove_coordinator(&self, vm: &ids::Vm) {
+    pub(super) fn remove_calls_of(&self, vm: &ids::Vm) {
         self.lock().retain(|id, _| id.coordinator != *vm);
     }
 }
--- a/crates/geraniumgauge/src/http/callers.rs
+++ b/crates/geraniumgauge/src/http/callers.rs
@@ -75,7 +75,7 @@
         .admit()
         .and_then(|_| Ok((parse_id(service)?, parse_id(key)?)));
     let state = match parsed {
-        Ok((service, key)) => context.backend.record(service, key).await,
+        Ok((service, key)) => context.backend.key_status(service, key).await,
         Err(refusal) => Err(refusal),
     };
     to_reply(state, &head, context)
--- a/crates/geraniumgauge/src/http/mod.rs
+++ b/crates/geraniumgauge/src/http/mod.rs
@@ -68,11 +68,11 @@
         registration: ledger::Registration,
     ) -> Result<ledger::Done, query::Refusal>;
 
-    /// Returns the ledger's record of a key, as JSON.
+    /// Returns what the ledger has stored for a key, such as its state, as JSON.
     ///
     /// # Errors
     /// The refusal to send to the caller.
-    async fn record(
+    async fn key_status(
         &self,
         service: ids::Service,
         key: ids::Key,
--- a/crates/geraniumgauge/src/http/tests.rs
+++ b/crates/geraniumgauge/src/http/tests.rs
@@ -52,7 +52,7 @@
         })
     }
 
-    async fn record(
+    async fn key_status(
         &self,
         _: ids::Service,
         key: ids::Key,
--- a/crates/geraniumgauge/src/ledger/change.rs
+++ b/crates/geraniumgauge/src/ledger/change.rs
@@ -76,27 +76,28 @@
     /// The head already contains the change, or doesn't accept it.
     Unchanged(Verdict),
     /// The head must be read again, since the cached one may be stale.
-    Refresh,
+    ReadHead,
     /// This page must be read before the change can be applied.
-    Load(head::Page),
+    ReadPage(head::Page),
 }
 
 /// Hashes of the keys in each page that was read, by the page's store key.
-pub(super) type Indexes = collections::HashMap<String, collections::HashSet<u128>>;
+pub(super) type PageHashes = collections::HashMap<String, collections::HashSet<u128>>;
 
-/// Applies one change to `head`, which is `size` bytes long. `up_to_date` is set if
-/// `head` was just read or written, so that it needs no further read.
+/// Applies one change to `head`, whose encoded form is `head_bytes` long.
+/// `up_to_date` is set if `head` was just read or written, so that it needs no
+/// further read.
 pub(super) fn apply(
     head: &mut head::Head,
     change: &Change,
     up_to_date: bool,
-    size: usize,
-    indexes: &Indexes,
+    head_bytes: usize,
+    page_hashes: &PageHashes,
 ) -> Applied {
     match change {
-        Change::Claim(key, entry) => claim(head, key, entry, up_to_date, size, indexes),
+        Change::Claim(key, entry) => claim(head, key, entry, up_to_date, head_bytes, page_hashes),
         Change::Settle(key, entry) => settle(head, key, entry),
-        Change::Lookup(key) => look_up(head, key, up_to_date, indexes),
+        Change::Lookup(key) => look_up(head, key, up_to_date, page_hashes),
         Change::PageOut(page, moved) => page_out(head, page, moved),
         Change::Expire(cutoff) => Applied::Changed(Verdict::Dropped(head.expire(*cutoff))),
         Change::Compact(old, page) => compact(head, old, page),
@@ -108,8 +109,8 @@
     key: &ids::Key,
     entry: &head::Entry,
     up_to_date: bool,
-    size: usize,
-    indexes: &Indexes,
+    head_bytes: usize,
+    page_hashes: &PageHashes,
 ) -> Applied {
     if let Some(present) = head.entries.get(key) {
         if present.token == entry.token && present.state == head::State::Claimed {
@@ -120,13 +121,13 @@
         }
         match present.state {
             head::State::NotRun => {}
-            head::State::Claimed if !up_to_date => return Applied::Refresh,
+            head::State::Claimed if !up_to_date => return Applied::ReadHead,
             _ => return Applied::Unchanged(Verdict::Taken(present.clone())),
         }
-    } else if let Some(found) = find_expired_or_paged(head, key, indexes) {
+    } else if let Some(found) = find_expired_or_paged(head, key, page_hashes) {
         return found;
     }
-    if size > head::MAX_HEAD_BYTES {
+    if head_bytes > head::MAX_HEAD_BYTES {
         return Applied::Unchanged(Verdict::Full);
     }
     head.entries.insert(key.clone(), entry.clone());
@@ -135,31 +136,40 @@
 
 /// Checks a key that isn't among the head's entries against the expiry floor and
 /// the pages. Returns `None` if nothing is recorded for it.
-fn find_expired_or_paged(head: &head::Head, key: &ids::Key, indexes: &Indexes) -> Option<Applied> {
+fn find_expired_or_paged(
+    head: &head::Head,
+    key: &ids::Key,
+    page_hashes: &PageHashes,
+) -> Option<Applied> {
     let timed = key::time(key);
     if timed.is_some_and(|time| time <= head.floor) {
         return Some(Applied::Unchanged(Verdict::Expired));
     }
     let hash = key::hash(key);
     for page in head.pages.iter().filter(|page| page.may_hold(timed)) {
-        let Some(index) = indexes.get(&page.id) else {
-            return Some(Applied::Load(page.clone()));
+        let Some(hashes) = page_hashes.get(&page.id) else {
+            return Some(Applied::ReadPage(page.clone()));
         };
-        if index.contains(&hash) {
+        if hashes.contains(&hash) {
             return Some(Applied::Unchanged(Verdict::Paged(page.clone())));
         }
     }
     None
 }
 
-fn look_up(head: &head::Head, key: &ids::Key, up_to_date: bool, indexes: &Indexes) -> Applied {
+fn look_up(
+    head: &head::Head,
+    key: &ids::Key,
+    up_to_date: bool,
+    page_hashes: &PageHashes,
+) -> Applied {
     if !up_to_date {
-        return Applied::Refresh;
+        return Applied::ReadHead;
     }
     if let Some(present) = head.entries.get(key) {
         return Applied::Unchanged(Verdict::Taken(present.clone()));
     }
-    find_expired_or_paged(head, key, indexes).unwrap_or(Applied::Unchanged(Verdict::Unrecorded))
+    find_expired_or_paged(head, key, page_hashes).unwrap_or(Applied::Unchanged(Verdict::Unrecorded))
 }
 
 fn settle(head: &mut head::Head, key: &ids::Key, entry: &head::Entry) -> Applied {
--- a/crates/geraniumgauge/src/ledger/claim.rs
+++ b/crates/geraniumgauge/src/ledger/claim.rs
@@ -95,9 +95,9 @@
             Ok(trial) => trial,
             Err(refusal) => return Err(self.find_claim(&service, &key, refusal).await),
         };
-        self.earn(&service, in_force.document.budgets.retry);
+        self.earn_retry(&service, in_force.document.budgets.retry);
         let config = &self.inner.config;
-        let token = head::Token::new(&config.vm, config.incarnation, self.attempt());
+        let token = head::Token::new(&config.vm, config.incarnation, self.new_attempt());
         let entry = head::Entry {
             token,
             request: request.clone(),
@@ -216,7 +216,7 @@
         let (sender, outcome) = tokio::sync::oneshot::channel();
         let left = self.inner.clock.now().until(job.deadline);
         let this = self.clone();
-        let running = self.run();
+        let running = self.count_running();
         tokio::spawn(async move {
             let _running = running;
             this.send(job, sender).await;
@@ -293,8 +293,8 @@
                 send::Action::End(end) => return (delivery, end),
                 send::Action::Send(upstream, home) => {
                     let event = self.attempt_at(job, &upstream, home).await;
-                    let pay = || self.pay(&job.service);
-                    action = delivery.on(event, self.inner.clock.now(), pay);
+                    let spend_retry = || self.spend_retry(&job.service);
+                    action = delivery.on(event, self.inner.clock.now(), spend_retry);
                 }
             }
         }
@@ -311,7 +311,7 @@
         let Some(home) = self.home(&job.service, upstream, which) else {
             return send::Event::Unsent;
         };
-        let attempt = self.attempt();
+        let attempt = self.new_attempt();
         let left = self.inner.clock.now().until(job.deadline);
         let record = message::Record {
             attempt: attempt.0,
--- a/crates/geraniumgauge/src/ledger/commit.rs
+++ b/crates/geraniumgauge/src/ledger/commit.rs
@@ -4,6 +4,10 @@
 //! A state machine without I/O: its worker executes [`Action`]s one at a time and
 //! passes back their results. A claim is granted only after a write with its
 //! token took effect, as shown by the store's reply or by a later read.
+//!
+//! A bucket's head is the store object with its recent claims and the list of its
+//! pages. A page is an object with older claims, or with only the hashes of their
+//! keys.
 
 use std::collections;
 
@@ -28,22 +32,24 @@
 #[derive(Debug)]
 pub(super) enum Action {
     /// Read the head.
-    Read,
+    ReadHead,
     /// Write the head.
-    Write(bytes::Bytes, store::Condition),
+    WriteHead(bytes::Bytes, store::Condition),
     /// Read a page.
-    Load(head::Page),
+    ReadPage(head::Page),
     /// Wait for the backoff delay after a failure.
     Backoff,
     /// Wait for a change.
     Idle,
 }
 
-/// A queued change. One that was part of a write without a reply stays queued
-/// until another write succeeds, even if a read shows the object unchanged: the
-/// earlier write may only be delayed, and can no longer take effect once the
-/// object has a new version. Applying the change again to the unchanged object
-/// always produces that write.
+/// A queued change.
+///
+/// A change whose write got no reply stays queued until a later write succeeds. A
+/// read that shows the object unchanged isn't enough, since the first write may
+/// still arrive. Once the object has a new version, that write can't take effect.
+/// If the object is unchanged, applying the change again modifies the head as
+/// before, so another write follows and gives the object a new version.
 #[derive(Debug)]
 struct Pending {
     ticket: change::Ticket,
@@ -57,8 +63,11 @@
 struct Cached {
     version: ids::ObjectVersion,
     head: head::Head,
-    size: usize,
-    /// Set when it was read or written since the queue was last empty.
+    /// Size of the encoded head.
+    head_bytes: usize,
+    /// Set by a read or write of the head; cleared when the queue is empty and after
+    /// changes that needed no write. If it isn't set, another VM may have written the
+    /// head since, and a verdict that depends on its latest state needs a new read.
     up_to_date: bool,
 }
 
@@ -69,7 +78,7 @@
     changes: Vec<Pending>,
     verdicts: Vec<(change::Ticket, change::Verdict)>,
     head: head::Head,
-    size: usize,
+    head_bytes: usize,
 }
 
 /// The queued changes to one bucket and the cached state of its head.
@@ -80,10 +89,13 @@
     max_version: ids::ObjectVersion,
     queue: collections::VecDeque<Pending>,
     update: Option<Update>,
-    failures: u32,
-    backoff: bool,
-    resolved: u64,
-    indexes: collections::HashMap<String, collections::HashSet<u128>>,
+    consecutive_failures: u32,
+    /// Set when the next action is [`Action::Backoff`].
+    backoff_due: bool,
+    /// Number of unconfirmed writes whose effect became known since the last call of
+    /// [`Self::take_resolved_writes`].
+    resolved_writes: u64,
+    page_hashes: change::PageHashes,
     verdicts: Vec<(change::Ticket, change::Verdict)>,
 }
 
@@ -141,24 +153,24 @@
     }
 
     /// Returns the number of unconfirmed writes resolved since the last call.
-    pub(super) fn take_resolved(&mut self) -> u64 {
-        std::mem::take(&mut self.resolved)
+    pub(super) fn take_resolved_writes(&mut self) -> u64 {
+        std::mem::take(&mut self.resolved_writes)
     }
 
     /// Returns whether the store has failed often enough to refuse claims.
     pub(super) fn is_failing(&self) -> bool {
-        self.failures >= FAILURES_BEFORE_REFUSAL
+        self.consecutive_failures >= FAILURES_BEFORE_REFUSAL
     }
 
     /// Returns the cached head and its size in bytes.
     pub(super) fn head(&self) -> Option<(&head::Head, usize)> {
         let cached = self.cached.as_ref()?;
-        Some((&cached.head, cached.size))
+        Some((&cached.head, cached.head_bytes))
     }
 
     /// Returns the next action.
     pub(super) fn next(&mut self) -> Action {
-        if std::mem::take(&mut self.backoff) && !self.is_idle() {
+        if std::mem::take(&mut self.backoff_due) && !self.is_idle() {
             return Action::Backoff;
         }
         loop {
@@ -172,14 +184,16 @@
         }
     }
 
-    /// Applies queued changes to a copy of the head. Returns `None` if they don't
-    /// have to be written.
+    /// Returns the next action for the queued changes: a read that they need first,
+    /// or the write of the changed head. If no write is needed, sets their verdicts
+    /// and returns `None`.
     fn prepare_update(&mut self) -> Option<Action> {
         let Some(cached) = &self.cached else {
-            return Some(Action::Read);
+            return Some(Action::ReadHead);
         };
         let mut head = cached.head.clone();
-        let (base, up_to_date, size) = (cached.version, cached.up_to_date, cached.size);
+        let (base_version, up_to_date) = (cached.version, cached.up_to_date);
+        let head_bytes = cached.head_bytes;
         let mut verdicts = Vec::new();
         let mut changed = false;
         let mut taken = 0;
@@ -189,43 +203,43 @@
                 break;
             }
             bytes += pending.change.size();
-            let applied =
-                change::apply(&mut head, &pending.change, up_to_date, size, &self.indexes);
+            let hashes = &self.page_hashes;
+            let applied = change::apply(&mut head, &pending.change, up_to_date, head_bytes, hashes);
             match applied {
                 change::Applied::Changed(verdict) => {
                     changed = true;
                     verdicts.push((pending.ticket, verdict));
                 }
                 change::Applied::Unchanged(verdict) => verdicts.push((pending.ticket, verdict)),
-                change::Applied::Refresh => return Some(Action::Read),
-                change::Applied::Load(page) => return Some(Action::Load(page)),
+                change::Applied::ReadHead => return Some(Action::ReadHead),
+                change::Applied::ReadPage(page) => return Some(Action::ReadPage(page)),
             }
             taken += 1;
         }
         let changes: Vec<_> = self.queue.drain(..taken).collect();
         if !changed {
-            self.resolved += count_unconfirmed(&changes);
+            self.resolved_writes += count_unconfirmed(&changes);
             self.verdicts.extend(verdicts);
             self.mark_stale();
             return None;
         }
         let body = serde_json::to_vec(&head).unwrap_or_default();
-        let size = body.len();
+        let head_bytes = body.len();
         self.update = Some(Update {
             changes,
             verdicts,
             head,
-            size,
+            head_bytes,
         });
-        let condition = match base {
+        let condition = match base_version {
             ids::ObjectVersion(0) => store::Condition::Absent,
             version => store::Condition::Version(version),
         };
-        Some(Action::Write(body.into(), condition))
+        Some(Action::WriteHead(body.into(), condition))
     }
 
-    /// Handles the result of [`Action::Read`].
-    pub(super) fn on_read(&mut self, found: Result<store::Object, store::Error>) {
+    /// Handles the result of [`Action::ReadHead`].
+    pub(super) fn on_head_read(&mut self, found: Result<store::Object, store::Error>) {
         let (version, body) = match found {
             Ok(object) => (object.version, object.body),
             Err(store::Error::Missing { .. }) => (ids::ObjectVersion(0), "{}".into()),
@@ -239,38 +253,38 @@
         let Ok(head) = serde_json::from_slice(&body) else {
             return self.on_failure("the ledger's object in the store can't be parsed");
         };
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.max_version = version;
-        let size = body.len();
+        let head_bytes = body.len();
         self.cached = Some(Cached {
             version,
             head,
-            size,
+            head_bytes,
             up_to_date: true,
         });
     }
 
-    /// Handles the result of [`Action::Write`].
-    pub(super) fn on_written(&mut self, done: Result<ids::ObjectVersion, store::Error>) {
+    /// Handles the result of [`Action::WriteHead`].
+    pub(super) fn on_head_written(&mut self, done: Result<ids::ObjectVersion, store::Error>) {
         let Some(update) = self.update.take() else {
             return;
         };
         match done {
             Ok(version) => {
-                self.failures = 0;
+                self.consecutive_failures = 0;
                 self.max_version = self.max_version.max(version);
-                let (head, size) = (update.head, update.size);
+                let (head, head_bytes) = (update.head, update.head_bytes);
                 let listed = |id: &str| head.pages.iter().any(|page| page.id == id);
-                if self.indexes.len() > head.pages.len() {
-                    self.indexes.retain(|id, _| listed(id));
+                if self.page_hashes.len() > head.pages.len() {
+                    self.page_hashes.retain(|id, _| listed(id));
                 }
                 self.cached = Some(Cached {
                     version,
                     head,
-                    size,
+                    head_bytes,
                     up_to_date: true,
                 });
-                self.resolved += count_unconfirmed(&update.changes);
+                self.resolved_writes += count_unconfirmed(&update.changes);
                 self.verdicts.extend(update.verdicts);
             }
             Err(store::Error::Conflict { .. }) => {
@@ -288,16 +302,15 @@
         }
     }
 
-    /// Handles the result of [`Action::Load`].
-    pub(super) fn on_loaded(
+    /// Handles the result of [`Action::ReadPage`].
+    pub(super) fn on_page_read(
         &mut self,
         page: &head::Page,
         found: Result<store::Object, store::Error>,
     ) {
-        let hashes = found.map(|object| hashes(page, &object.body));
-        match hashes {
+        match found.map(|object| key_hashes(page, &object.body)) {
             Ok(Some(hashes)) => {
-                self.indexes.insert(page.id.clone(), hashes);
+                self.page_hashes.insert(page.id.clone(), hashes);
             }
             Ok(None) => self.on_failure("a page of the ledger can't be parsed"),
             Err(store::Error::Missing { .. }) => {
@@ -325,9 +338,9 @@
     }
 
     fn on_failure(&mut self, reason: &str) {
-        self.failures = self.failures.saturating_add(1);
-        self.backoff = true;
-        if self.failures < FAILURES_BEFORE_REFUSAL {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.backoff_due = true;
+        if self.consecutive_failures < FAILURES_BEFORE_REFUSAL {
             return;
         }
         self.refuse(reason);
@@ -358,8 +371,8 @@
 }
 
 /// Returns the hashes of a page's keys, or `None` if the page can't be parsed.
-fn hashes(page: &head::Page, body: &[u8]) -> Option<collections::HashSet<u128>> {
-    if page.hashes {
+fn key_hashes(page: &head::Page, body: &[u8]) -> Option<collections::HashSet<u128>> {
+    if page.hashes_only {
         let (chunks, rest) = body.as_chunks::<16>();
         let read = chunks.iter().map(|chunk| u128::from_le_bytes(*chunk));
         return rest.is_empty().then(|| read.collect());
--- a/crates/geraniumgauge/src/ledger/coordinator.rs
+++ b/crates/geraniumgauge/src/ledger/coordinator.rs
@@ -101,7 +101,7 @@
         let claimant = plan::claimant(&registration.service, bucket, &self.inner.view.borrow());
         let reply_time = (left / REPLY_TIME_DIVISOR).min(MAX_REPLY_TIME);
         let mut register = message::Register {
-            attempt: self.attempt().0,
+            attempt: self.new_attempt().0,
             request: registration.request.to_string(),
             service: registration.service.to_string(),
             key: registration.key.to_string(),
@@ -192,7 +192,7 @@
 /// record, or may run it after a pause, whatever became of the coordinator's own
 /// claim. The caller must therefore never be answered that it did not run.
 fn no_reply() -> query::Refusal {
-    let text = "the VM that claims for the key did not reply; read the key's state";
+    let text = "the VM that handles this key did not reply; read the key's state";
     query::Refusal::unknown(query::Code::Deadline, text)
 }
 
--- a/crates/geraniumgauge/src/ledger/head.rs
+++ b/crates/geraniumgauge/src/ledger/head.rs
@@ -75,7 +75,8 @@
     /// Times of its oldest and newest key, if its keys are timed.
     pub(super) times: Option<(time::Wall, time::Wall)>,
     /// Set when the page contains only hashes of keys.
-    pub(super) hashes: bool,
+    #[serde(rename = "hashes")]
+    pub(super) hashes_only: bool,
 }
 
 impl Page {
--- a/crates/geraniumgauge/src/ledger/instruments.rs
+++ b/crates/geraniumgauge/src/ledger/instruments.rs
@@ -66,7 +66,7 @@
         self.commits.add(1, &[label]);
     }
 
-    pub(super) fn unsure_settled(&self, count: u64) {
+    pub(super) fn unconfirmed_resolved(&self, count: u64) {
         self.settled.add(count, &[]);
     }
 
--- a/crates/geraniumgauge/src/ledger/pages.rs
+++ b/crates/geraniumgauge/src/ledger/pages.rs
@@ -57,7 +57,7 @@
         count: kept.len(),
         newest: newest.unwrap_or_default(),
         times: oldest.zip(times.iter().max().copied()),
-        hashes: false,
+        hashes_only: false,
     };
     let moved = entries
         .iter()
@@ -102,7 +102,9 @@
     wall: clock::Wall,
 ) -> Option<Vec<head::Page>> {
     let outside_window = |page: &&head::Page| {
-        page.times.is_none() && !page.hashes && wall.since(page.newest) > window + MAX_CLOCK_SKEW
+        page.times.is_none()
+            && !page.hashes_only
+            && wall.since(page.newest) > window + MAX_CLOCK_SKEW
     };
     let pages: Vec<_> = head
         .pages
@@ -128,7 +130,7 @@
         count: hashes.len(),
         newest: clock::Wall(0),
         times: None,
-        hashes: true,
+        hashes_only: true,
     };
     (page, body.into())
 }
--- a/crates/geraniumgauge/src/ledger/send.rs
+++ b/crates/geraniumgauge/src/ledger/send.rs
@@ -105,22 +105,22 @@
         Action::Send(self.current.0.clone(), self.current.1)
     }
 
-    /// Handles the result of the attempt. `pay` spends from the retry budget and
+    /// Handles the result of the attempt. `spend_retry` spends from the retry budget and
     /// returns whether the budget allowed it.
     pub(super) fn on(
         &mut self,
         event: Event,
         now: clock::Moment,
-        pay: impl FnOnce() -> bool,
+        spend_retry: impl FnOnce() -> bool,
     ) -> Action {
         use message::Outcome;
         match event {
             Event::Reply(Outcome::Hits, body) => Action::End(End::Done(body)),
             Event::Reply(Outcome::NotHome | Outcome::Stopping, _) | Event::Unsent => {
-                self.other_home(now, pay)
+                self.other_home(now, spend_retry)
             }
             Event::Reply(outcome, _) if outcome.not_run() => {
-                self.other_replica(now, pay, refusal(outcome))
+                self.other_replica(now, spend_retry, refusal(outcome))
             }
             Event::Reply(outcome, _) => {
                 self.crashed = outcome == Outcome::Lost;
@@ -134,11 +134,11 @@
         }
     }
 
-    /// Tries the standby home without paying from the retry budget: the upstream
+    /// Tries the standby home without spending from the retry budget: the upstream
     /// has not seen the record, so this adds no load to it.
-    fn other_home(&mut self, now: clock::Moment, pay: impl FnOnce() -> bool) -> Action {
+    fn other_home(&mut self, now: clock::Moment, spend_retry: impl FnOnce() -> bool) -> Action {
         if self.current.1 == Home::Standby {
-            return self.other_replica(now, pay, unreachable());
+            return self.other_replica(now, spend_retry, unreachable());
         }
         self.current.1 = Home::Standby;
         self.start(now)
@@ -147,10 +147,10 @@
     fn other_replica(
         &mut self,
         now: clock::Moment,
-        pay: impl FnOnce() -> bool,
+        spend_retry: impl FnOnce() -> bool,
         why: query::Refusal,
     ) -> Action {
-        if now >= self.deadline || self.rest.is_empty() || !pay() {
+        if now >= self.deadline || self.rest.is_empty() || !spend_retry() {
             return Action::End(End::NotRun(why));
         }
         let Some(next) = self.rest.pop_front() else {
--- a/crates/geraniumgauge/src/ledger/service.rs
+++ b/crates/geraniumgauge/src/ledger/service.rs
@@ -66,12 +66,15 @@
     pub(super) clock: clock::Clock,
     pub(super) timer: timer::Service,
     pub(super) instruments: instruments::Instruments,
-    attempts: atomic::AtomicU64,
+    /// Number of the next attempt.
+    next_attempt: atomic::AtomicU64,
     buckets: sync::Mutex<collections::HashMap<(ids::Service, u64), bucket::Bucket>>,
+    /// Waits for homes' replies to records that this VM sent, by attempt.
     pub(super) sent_records: table::Table<message::RecordReply>,
+    /// Waits for claimants' replies to registrations that this VM passed on, by attempt.
     pub(super) remote_claims: table::Table<message::Registered>,
     pub(super) limiter: limiter::Limiter,
-    retries: sync::Mutex<collections::HashMap<ids::Service, rate::Budget>>,
+    retry_budgets: sync::Mutex<collections::HashMap<ids::Service, rate::Budget>>,
     running: watch::Sender<u64>,
     leaving: atomic::AtomicBool,
 }
@@ -123,12 +126,12 @@
             clock,
             timer,
             instruments: instruments::Instruments::new(meter),
-            attempts: atomic::AtomicU64::new(first),
+            next_attempt: atomic::AtomicU64::new(first),
             buckets: sync::Mutex::default(),
             sent_records: table::Table::default(),
             remote_claims: table::Table::default(),
             limiter: limiter::Limiter::default(),
-            retries: sync::Mutex::default(),
+            retry_budgets: sync::Mutex::default(),
             running: watch::Sender::new(0),
             leaving: atomic::AtomicBool::new(false),
         };
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Runs a registration, or answers it from the record. Continues to its end even
-    /// if the returned future is dropped.
+    /// Runs a registration, or answers it with the outcome stored in the ledger.
+    /// Continues to its end even if the returned future is dropped.
     ///
     /// # Errors
     /// A refusal that states whether the registration may have run.
@@ -147,7 +150,7 @@
         registration: ledger::Registration,
     ) -> Result<ledger::Done, query::Refusal> {
         let this = self.clone();
-        let running = self.run();
+        let running = self.count_running();
         let task = tokio::spawn(async move {
             let _running = running;
             this.coordinate(registration).await
@@ -164,7 +167,7 @@
     pub fn receive_register(&self, from: &ids::Vm, register: message::Register) {
         let this = self.clone();
         let from = from.clone();
-        let running = self.run();
+        let running = self.count_running();
         tokio::spawn(async move {
             let _running = running;
             let attempt = register.attempt;
@@ -172,7 +175,7 @@
                 true => Err(stopping()),
                 false => this.claim_for(register).await,
             };
-            let body = message::Body::Registered(registered(attempt, outcome));
+            let body = message::Body::Registered(registered_reply(attempt, outcome));
             if let Err(error) = this.inner.sender.send(&from, body) {
                 log::warn!("can't send the outcome of a registration to its coordinator: {error}");
             }
@@ -180,13 +183,13 @@
     }
 
     /// Handles a claimant's reply to a registration that this VM passed to it.
-    pub fn registered(&self, from: &ids::Vm, registered: message::Registered) {
+    pub fn receive_registered(&self, from: &ids::Vm, registered: message::Registered) {
         let attempt = ids::Attempt(registered.attempt);
         self.inner.remote_claims.reply(from, attempt, registered);
     }
 
     /// Handles a home's reply to a record that this VM sent.
-    pub fn record_reply(&self, from: &ids::Vm, reply: message::RecordReply) {
+    pub fn receive_record_reply(&self, from: &ids::Vm, reply: message::RecordReply) {
         let attempt = ids::Attempt(reply.attempt);
         self.inner.sent_records.reply(from, attempt, reply);
     }
@@ -229,7 +232,7 @@
         let bucket = self.bucket(service, key::bucket(key));
         match bucket.look_up(key, LOOKUP_TIMEOUT).await {
             change::Verdict::Taken(entry) => Ok(ledger::Status::of(entry)),
-            change::Verdict::Paged(page) => self.paged(key, &page).await,
+            change::Verdict::Paged(page) => self.status_from_page(key, &page).await,
             change::Verdict::Unrecorded | change::Verdict::Expired => {
                 Ok(ledger::Status::unrecorded())
             }
@@ -240,7 +243,8 @@
         }
     }
 
-    async fn paged(
+    /// Returns what `page` contains about a key.
+    async fn status_from_page(
         &self,
         key: &ids::Key,
         page: &head::Page,
@@ -259,7 +263,7 @@
         key: &ids::Key,
         page: &head::Page,
     ) -> Result<Option<head::Entry>, String> {
-        if page.hashes {
+        if page.hashes_only {
             return Ok(None);
         }
         let found = self.inner.store.get(&page.id).await;
@@ -297,14 +301,19 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    pub(super) fn attempt(&self) -> ids::Attempt {
-        ids::Attempt(self.inner.attempts.fetch_add(1, atomic::Ordering::Relaxed))
+    /// Allocates the number of a new attempt.
+    pub(super) fn new_attempt(&self) -> ids::Attempt {
+        ids::Attempt(
+            self.inner
+                .next_attempt
+                .fetch_add(1, atomic::Ordering::Relaxed),
+        )
     }
 
     /// Adds the share of one first attempt to the retry budget of `service`.
-    pub(super) fn earn(&self, service: &ids::Service, share: rate::Share) {
-        let mut retries = self.retries();
-        let budget = retries
+    pub(super) fn earn_retry(&self, service: &ids::Service, share: rate::Share) {
+        let mut budgets = self.retry_budgets();
+        let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| rate::Budget::new(share, MAX_RETRY_TOKENS));
         budget.set(share, MAX_RETRY_TOKENS);
@@ -312,25 +321,28 @@
     }
 
     /// Spends one retry from the budget of `service`; returns false if it has none.
-    pub(super) fn pay(&self, service: &ids::Service) -> bool {
-        let paid = self
-            .retries()
+    pub(super) fn spend_retry(&self, service: &ids::Service) -> bool {
+        let spent = self
+            .retry_budgets()
             .get_mut(service)
             .is_some_and(rate::Budget::spend);
-        if paid {
+        if spent {
             self.inner.instruments.retry();
         }
-        paid
+        spent
     }
 
-    fn retries(&self) -> sync::MutexGuard<'_, collections::HashMap<ids::Service, rate::Budget>> {
+    fn retry_budgets(
+        &self,
+    ) -> sync::MutexGuard<'_, collections::HashMap<ids::Service, rate::Budget>> {
         self.inner
-            .retries
+            .retry_budgets
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    pub(super) fn run(&self) -> Running {
+    /// Counts a registration as running until the returned guard is dropped.
+    pub(super) fn count_running(&self) -> Running {
         self.inner.running.send_modify(|count| *count += 1);
         Running {
             service: self.clone(),
@@ -345,7 +357,7 @@
 }
 
 fn stopping() -> query::Refusal {
-    let text = "the VM that claims for the key is stopping";
+    let text = "the VM that handles this key is stopping";
     query::Refusal::not_run(query::Code::Stopping, text)
 }
 
@@ -355,7 +367,7 @@
 }
 
 /// Creates the claimant's reply to the coordinator.
-fn registered(
+fn registered_reply(
     attempt: u64,
     outcome: Result<Box<serde_json::value::RawValue>, query::Refusal>,
 ) -> message::Registered {
--- a/crates/geraniumgauge/src/ledger/status.rs
+++ b/crates/geraniumgauge/src/ledger/status.rs
@@ -18,7 +18,7 @@
     /// not run it.
     Unsettled,
     /// Nothing is recorded: the registration has not run, or the key is older than
-    /// the window.
+    /// the service's ledger window.
     Unknown,
 }
 
@@ -37,7 +37,7 @@
     /// The upstream that the record was last sent to, or was about to be.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub upstream: Option<ids::Upstream>,
-    /// The upstream's result, if done and still kept.
+    /// The upstream's result, if the registration is done and the result hasn't expired.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub result: Option<Box<serde_json::value::RawValue>>,
 }
--- a/crates/geraniumgauge/src/ledger/tests/commit.rs
+++ b/crates/geraniumgauge/src/ledger/tests/commit.rs
@@ -34,10 +34,10 @@
 fn step(commit: &mut Commit, objects: &mut store::Objects) -> Action {
     let action = commit.next();
     match &action {
-        Action::Read => commit.on_read(objects.get("head")),
-        Action::Load(page) => commit.on_loaded(page, objects.get(&page.id)),
-        Action::Write(body, condition) => {
-            commit.on_written(objects.put("head", body.clone(), *condition));
+        Action::ReadHead => commit.on_head_read(objects.get("head")),
+        Action::ReadPage(page) => commit.on_page_read(page, objects.get(&page.id)),
+        Action::WriteHead(body, condition) => {
+            commit.on_head_written(objects.put("head", body.clone(), *condition));
         }
         Action::Backoff | Action::Idle => {}
     }
@@ -49,7 +49,7 @@
     loop {
         match step(commit, objects) {
             Action::Idle => return writes,
-            Action::Write(..) => writes += 1,
+            Action::WriteHead(..) => writes += 1,
             _ => {}
         }
     }
@@ -82,13 +82,13 @@
 fn a_late_write_does_not_restore_an_abandoned_claim() {
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
     claim(&mut commit, 1, "lot-1");
-    assert!(matches!(step(&mut commit, &mut objects), Action::Read));
-    let Action::Write(late, condition) = commit.next() else {
+    assert!(matches!(step(&mut commit, &mut objects), Action::ReadHead));
+    let Action::WriteHead(late, condition) = commit.next() else {
         panic!("no write");
     };
-    commit.on_written(Err(lost_reply()));
+    commit.on_head_written(Err(lost_reply()));
     commit.abandon(change::Ticket(1), key("lot-1"), entry(1));
-    assert!(matches!(step(&mut commit, &mut objects), Action::Read));
+    assert!(matches!(step(&mut commit, &mut objects), Action::ReadHead));
     until_idle(&mut commit, &mut objects);
     let written = objects.put("head", late, condition);
     assert!(written.is_err(), "the late write took effect");
@@ -102,13 +102,13 @@
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
     claim(&mut commit, 1, "lot-1");
     step(&mut commit, &mut objects);
-    let Action::Write(body, condition) = commit.next() else {
+    let Action::WriteHead(body, condition) = commit.next() else {
         panic!("no write");
     };
     objects.put("head", body, condition).unwrap();
-    commit.on_written(Err(lost_reply()));
+    commit.on_head_written(Err(lost_reply()));
     assert_eq!(until_idle(&mut commit, &mut objects), 0);
-    assert_eq!(commit.take_resolved(), 1);
+    assert_eq!(commit.take_resolved_writes(), 1);
     let verdicts = commit.take_verdicts();
     assert!(
         matches!(verdicts[..], [(_, change::Verdict::Granted)]),
@@ -121,11 +121,11 @@
 #[test]
 fn an_older_state_of_the_store_grants_nothing() {
     let (mut commit, mut objects) = (Commit::default(), store::Objects::default());
-    let find_expired_or_paged = objects.clone();
+    let older = objects.clone();
     claim(&mut commit, 1, "lot-1");
     until_idle(&mut commit, &mut objects);
     commit.take_verdicts();
-    let mut objects = find_expired_or_paged;
+    let mut objects = older;
     claim(&mut commit, 2, "lot-2");
     until_idle(&mut commit, &mut objects);
     let verdicts = commit.take_verdicts();
@@ -145,13 +145,13 @@
     let mut commit = Commit::default();
     claim(&mut commit, 1, "lot-1");
     for _ in 0..FAILURES_BEFORE_REFUSAL {
-        while !matches!(commit.next(), Action::Read) {}
-        commit.on_read(Err(down()));
+        while !matches!(commit.next(), Action::ReadHead) {}
+        commit.on_head_read(Err(down()));
     }
     assert_eq!(commit.take_verdicts().len(), 1);
     claim(&mut commit, 2, "lot-2");
-    while !matches!(commit.next(), Action::Read) {}
-    commit.on_read(Err(down()));
+    while !matches!(commit.next(), Action::ReadHead) {}
+    commit.on_head_read(Err(down()));
     assert_eq!(commit.take_verdicts().len(), 1);
     assert!(commit.is_idle());
 }
--- a/crates/geraniumgauge/src/ledger/tests/world.rs
+++ b/crates/geraniumgauge/src/ledger/tests/world.rs
@@ -345,7 +345,7 @@
         if self.fault(0.05) {
             node.service().link_lost(&home);
         } else if !node.is_crashed() {
-            node.service().record_reply(&home, reply);
+            node.service().receive_record_reply(&home, reply);
         }
     }
 
@@ -370,7 +370,9 @@
         self.maybe_pause().await;
         match body {
             message::Body::Register(register) => node.service().receive_register(&from, register),
-            message::Body::Registered(registered) => node.service().registered(&from, registered),
+            message::Body::Registered(registered) => {
+                node.service().receive_registered(&from, registered)
+            }
             _ => {}
         }
     }
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -191,7 +191,7 @@
     fn deliver_verdicts(&mut self) {
         self.context
             .instruments
-            .unsure_settled(self.commit.take_resolved());
+            .unconfirmed_resolved(self.commit.take_resolved_writes());
         for (ticket, verdict) in self.commit.take_verdicts() {
             if let change::Verdict::Dropped(pages) = &verdict {
                 self.unlisted_pages.extend(pages.iter().cloned());
@@ -223,19 +223,19 @@
 
     async fn call(&mut self, action: commit::Action) {
         match action {
-            commit::Action::Read => {
+            commit::Action::ReadHead => {
                 let (store, key) = (self.context.store.clone(), self.key.clone());
                 let found = self.await_call(store.get(&key)).await;
                 self.update_backoff(found.as_ref().err());
-                self.commit.on_read(found);
+                self.commit.on_head_read(found);
             }
-            commit::Action::Load(page) => {
+            commit::Action::ReadPage(page) => {
                 let store = self.context.store.clone();
                 let found = self.await_call(store.get(&page.id)).await;
                 self.update_backoff(found.as_ref().err());
-                self.commit.on_loaded(&page, found);
+                self.commit.on_page_read(&page, found);
             }
-            commit::Action::Write(body, condition) => self.write(body, condition).await,
+            commit::Action::WriteHead(body, condition) => self.write(body, condition).await,
             commit::Action::Backoff | commit::Action::Idle => {}
         }
     }
@@ -246,7 +246,7 @@
         self.update_backoff(done.as_ref().err());
         self.context.instruments.commit(done.as_ref().err());
         let succeeded = done.is_ok();
-        self.commit.on_written(done);
+        self.commit.on_head_written(done);
         self.deliver_verdicts();
         self.next_update = self.context.clock.now() + UPDATE_INTERVAL;
         if succeeded {
--- a/crates/geraniumgauge/src/query/answer.rs
+++ b/crates/geraniumgauge/src/query/answer.rs
@@ -86,9 +86,10 @@
     VersionUnavailable,
     /// The query is suspected of crashing upstreams.
     Quarantined,
-    /// The latency objective cut it off.
+    /// The answer was sent at the service's latency target, before this shard replied.
     CutOff,
-    /// The upstream's reply was an error, malformed or of another shard or version.
+    /// The upstream replied with an error, with a malformed body, or for another shard
+    /// or version.
     BadReply,
 }
 
--- a/crates/geraniumgauge/src/vm/backend.rs
+++ b/crates/geraniumgauge/src/vm/backend.rs
@@ -55,7 +55,7 @@
         self.components.ledger.register(registration).await
     }
 
-    async fn record(
+    async fn key_status(
         &self,
         service: ids::Service,
         key: ids::Key,
--- a/crates/geraniumgauge/src/vm/dispatch.rs
+++ b/crates/geraniumgauge/src/vm/dispatch.rs
@@ -50,9 +50,9 @@
             message::Body::Cancel(cancel) => targets.home.cancel(from, cancel),
             message::Body::Record(record) => targets.home.record(from, record),
             message::Body::Replies(replies) => targets.query.replies(from, replies),
-            message::Body::RecordReply(reply) => targets.ledger.record_reply(from, reply),
+            message::Body::RecordReply(reply) => targets.ledger.receive_record_reply(from, reply),
             message::Body::Register(register) => targets.ledger.receive_register(from, register),
-            message::Body::Registered(done) => targets.ledger.registered(from, done),
+            message::Body::Registered(done) => targets.ledger.receive_registered(from, done),
             message::Body::Pull(pull) => targets.document.pull(from, pull),
             message::Body::Pulled(pulled) => targets.document.pulled(from, pulled),
             message::Body::Mark(mark) => {
