--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -120,7 +120,7 @@
     /// The relay that makes the call; `None` where this VM makes it.
     pub(super) via: Option<net::SocketAddr>,
     /// Typical duration of such calls.
-    pub(super) typical: time::Duration,
+    pub(super) typical_call_time: time::Duration,
     /// Whether the result is no longer wanted.
     pub(super) abandoned: bool,
 }
@@ -131,7 +131,7 @@
         owner: Owner,
         upstream: registry::Handle,
         message: rc::Rc<Message>,
-        typical: time::Duration,
+        typical_call_time: time::Duration,
         now: clock::Moment,
     ) -> Self {
         Self {
@@ -141,7 +141,7 @@
             message,
             link: None,
             via: None,
-            typical,
+            typical_call_time,
             abandoned: false,
         }
     }
@@ -151,7 +151,7 @@
         forward::StartedCall {
             upstream: self.upstream,
             began: self.began,
-            typical: self.typical,
+            typical_call_time: self.typical_call_time,
         }
     }
 }
--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -321,9 +321,9 @@
         self.instruments.call(send.why);
         let message = running.message.clone();
         let owner = call::Owner::of(job, &send);
-        let typical = running.job.latency().median();
+        let typical_call_time = running.job.latency().median();
         self.log_extra_call(&message, &send, now);
-        let call = call::Call::new(owner, send.upstream, message, typical, now);
+        let call = call::Call::new(owner, send.upstream, message, typical_call_time, now);
         self.calls.insert(send.call, call);
         self.pool(send.upstream).waiting.push_back(send.call);
         self.dispatch(send.upstream, now);
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -123,10 +123,16 @@
             return;
         };
         let message = running.message.clone();
-        let typical = running.job.latency().median();
+        let typical_call_time = running.job.latency().median();
         for send in sends {
             let owner = call::Owner::of(job, &send);
-            let call = call::Call::new(owner, send.upstream, message.clone(), typical, now);
+            let call = call::Call::new(
+                owner,
+                send.upstream,
+                message.clone(),
+                typical_call_time,
+                now,
+            );
             self.calls.insert(send.call, call);
             self.end(send.call, forward::Verdict::Unpaid, now);
         }
@@ -146,7 +152,7 @@
             return Vec::new();
         };
         let message = running.message.clone();
-        let typical = running.job.latency().median();
+        let typical_call_time = running.job.latency().median();
         let merge_after = running
             .job
             .hedge_after()
@@ -177,7 +183,7 @@
                 .collect(),
             first: group.first,
             charge_relay: group.payer == forward::Payer::Relay,
-            typical_us: clock::micros(typical),
+            typical_us: clock::micros(typical_call_time),
             mandatory: group.mandatory,
         };
         let bytes = frame::Frame::bytes(frame::Kind::Batch(batch));
@@ -194,7 +200,13 @@
             self.instruments.call(send.why);
             self.log_extra_call(&message, &send, now);
             let owner = call::Owner::of(job, &send);
-            let mut call = call::Call::new(owner, send.upstream, message.clone(), typical, now);
+            let mut call = call::Call::new(
+                owner,
+                send.upstream,
+                message.clone(),
+                typical_call_time,
+                now,
+            );
             call.via = Some(address);
             self.calls.insert(send.call, call);
         }
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -42,7 +42,7 @@
     /// Whether the calls are made even to upstreams this VM advises against.
     mandatory: bool,
     /// Typical duration of the calls.
-    typical: time::Duration,
+    typical_call_time: time::Duration,
 }
 
 impl state::State {
@@ -125,7 +125,7 @@
             first: batch.first,
             charge_relay: batch.charge_relay,
             mandatory: batch.mandatory,
-            typical: time::Duration::from_micros(batch.typical_us),
+            typical_call_time: time::Duration::from_micros(batch.typical_us),
         };
         let requested = batch.calls.iter();
         let not_made: Vec<frame::End> = requested
@@ -191,7 +191,13 @@
             batch,
             remote: requested.id,
         };
-        let call = call::Call::new(owner, upstream, message.clone(), terms.typical, now);
+        let call = call::Call::new(
+            owner,
+            upstream,
+            message.clone(),
+            terms.typical_call_time,
+            now,
+        );
         self.calls.insert(id, call);
         self.pool(upstream).waiting.push_back(id);
         self.dispatch(upstream, now);
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -31,7 +31,7 @@
     /// When the call began.
     pub began: clock::Moment,
     /// The typical time of the route's calls.
-    pub typical: time::Duration,
+    pub typical_call_time: time::Duration,
 }
 
 /// The known upstreams, their health, and the budgets for extra calls.
@@ -165,12 +165,12 @@
     }
 
     /// Returns the cheapest upstream of `service` that isn't in `tried`, for a
-    /// call that typically takes `typical`.
+    /// call that typically takes `typical_call_time`.
     pub fn choose(
         &mut self,
         service: &ids::Service,
         tried: &[registry::Handle],
-        typical: time::Duration,
+        typical_call_time: time::Duration,
         now: clock::Moment,
     ) -> Option<registry::Handle> {
         if self.health.len() < self.registry.handles() {
@@ -186,7 +186,7 @@
             if tried.contains(handle) {
                 continue;
             }
-            let Some(cost) = self.cost(*handle, typical, now) else {
+            let Some(cost) = self.cost(*handle, typical_call_time, now) else {
                 continue;
             };
             if best.is_none_or(|(least, _)| cost < least) {
@@ -201,7 +201,7 @@
     fn cost(
         &self,
         handle: registry::Handle,
-        typical: time::Duration,
+        typical_call_time: time::Duration,
         now: clock::Moment,
     ) -> Option<time::Duration> {
         let upstream = self.registry.get(handle);
@@ -211,7 +211,7 @@
             return None;
         }
         let cold = now < upstream.warm_at;
-        let mut cost = health.expected_time(typical, upstream.entry.slots, cold, now);
+        let mut cost = health.expected_time(typical_call_time, upstream.entry.slots, cold, now);
         cost += health.decline_cost(now);
         if upstream.entry.data_centre != self.own.data_centre {
             cost += self.policy.remote_penalty;
@@ -251,7 +251,11 @@
         health.end();
         match verdict {
             forward::Verdict::Good(_) => {
-                health.replied(forward::ratio(took, call.typical), call.began, now);
+                health.replied(
+                    forward::ratio(took, call.typical_call_time),
+                    call.began,
+                    now,
+                );
             }
             forward::Verdict::Failure(_) | forward::Verdict::Lost => health.failed(now),
             forward::Verdict::NotRun => health.mark_full(forward::NO_CAPACITY_DELAY, now),
@@ -286,7 +290,7 @@
     /// Records the end of an abandoned call: `replied` is whether a reply came
     /// before the call was given up.
     pub fn record_abandoned(&mut self, call: &StartedCall, replied: bool, now: clock::Moment) {
-        let ratio = forward::ratio(now.since(call.began), call.typical);
+        let ratio = forward::ratio(now.since(call.began), call.typical_call_time);
         let health = self.health(call.upstream);
         health.end();
         if replied {
--- a/crates/geraniumgauge/src/forward/health.rs
+++ b/crates/geraniumgauge/src/forward/health.rs
@@ -264,16 +264,16 @@
         1.0 + (self.slowness - 1.0) * (-age).exp()
     }
 
-    /// Returns the expected time of a call that typically takes `typical`.
+    /// Returns the expected time of a call that typically takes `typical_call_time`.
     pub fn expected_time(
         &self,
-        typical: time::Duration,
+        typical_call_time: time::Duration,
         slots: u32,
         cold: bool,
         now: clock::Moment,
     ) -> time::Duration {
         let queued = f64::from((self.running + 1).saturating_sub(slots)) / f64::from(slots.max(1));
         let cold = if cold { WARM_UP_SLOWNESS } else { 1.0 };
-        typical.mul_f64(self.slowness(now).max(MIN_SLOWNESS) * cold * (1.0 + queued))
+        typical_call_time.mul_f64(self.slowness(now).max(MIN_SLOWNESS) * cold * (1.0 + queued))
     }
 }
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -29,15 +29,15 @@
         fleet: &mut forward::Fleet,
         now: clock::Moment,
     ) -> Option<registry::Handle> {
-        let typical = self.latency.median();
+        let typical_call_time = self.latency.median();
         let is_sharded = self.is_sharded();
         let part = &mut self.parts[index];
-        let upstream = fleet.choose(&part.service, &part.tried, typical, now);
+        let upstream = fleet.choose(&part.service, &part.tried, typical_call_time, now);
         if upstream.is_some() || !is_sharded || !part.calls.is_empty() {
             return upstream;
         }
         part.retry_declined();
-        fleet.choose(&part.service, &part.tried, typical, now)
+        fleet.choose(&part.service, &part.tried, typical_call_time, now)
     }
 
     /// Makes a call for a part, or fails the part if no call can be made.
@@ -123,9 +123,9 @@
         part.arrivals -= 1;
         part.may_have_run -= 1;
         part.advised = true;
-        let typical = self.latency.median();
+        let typical_call_time = self.latency.median();
         if fleet
-            .choose(&part.service, &part.tried, typical, now)
+            .choose(&part.service, &part.tried, typical_call_time, now)
             .is_none()
         {
             part.tried.retain(|tried| *tried != call.upstream);
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -197,7 +197,7 @@
         let started = forward::StartedCall {
             upstream: call.upstream,
             began: call.began,
-            typical: self.latency.median(),
+            typical_call_time: self.latency.median(),
         };
         fleet.record_end(&started, &end.verdict, end.took, now);
         match end.verdict {
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -246,8 +246,8 @@
 }
 
 /// Returns the time that a call took relative to the typical time.
-fn ratio(took: time::Duration, typical: time::Duration) -> f64 {
-    took.as_secs_f64() / typical.as_secs_f64().max(1e-6)
+fn ratio(took: time::Duration, typical_call_time: time::Duration) -> f64 {
+    took.as_secs_f64() / typical_call_time.as_secs_f64().max(1e-6)
 }
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -129,12 +129,14 @@
     // Treats all data centres alike, so that no upstream is preferred as local.
     world.fleet.policy.remote_penalty = time::Duration::ZERO;
     let upstreams = world.fleet.registry.of(&world::name(0)).to_vec();
-    let typical = time::Duration::from_millis(10);
+    let typical_call_time = time::Duration::from_millis(10);
     let now = world.now;
     world.fleet.health(upstreams[0]).apply_advice(SLOW, now);
     let mut counts = [0; 3];
     for _ in 0..100 {
-        let chosen = world.fleet.choose(&world::name(0), &[], typical, now);
+        let chosen = world
+            .fleet
+            .choose(&world::name(0), &[], typical_call_time, now);
         let chosen = chosen.expect("an upstream");
         world.fleet.next_call();
         counts[chosen.index()] += 1;
@@ -148,7 +150,9 @@
     for upstream in &upstreams[1..] {
         world.fleet.health(*upstream).apply_advice(worse, now);
     }
-    let chosen = world.fleet.choose(&world::name(0), &[], typical, now);
+    let chosen = world
+        .fleet
+        .choose(&world::name(0), &[], typical_call_time, now);
     assert_eq!(chosen, Some(upstreams[0]));
 }
 
--- a/crates/geraniumgauge/src/forward/tests/health.rs
+++ b/crates/geraniumgauge/src/forward/tests/health.rs
@@ -61,16 +61,16 @@
 
 #[test]
 fn queued_calls_and_warm_up_increase_the_expected_time() {
-    let typical = time::Duration::from_millis(10);
+    let typical_call_time = time::Duration::from_millis(10);
     let mut health = forward::Health::default();
-    let idle = health.expected_time(typical, 2, false, at(1));
+    let idle = health.expected_time(typical_call_time, 2, false, at(1));
     for _ in 0..4 {
         health.start();
     }
-    assert!(health.expected_time(typical, 2, false, at(1)) > idle.mul_f64(2.0));
+    assert!(health.expected_time(typical_call_time, 2, false, at(1)) > idle.mul_f64(2.0));
     assert!(
-        health.expected_time(typical, 2, true, at(1))
-            > health.expected_time(typical, 2, false, at(1))
+        health.expected_time(typical_call_time, 2, true, at(1))
+            > health.expected_time(typical_call_time, 2, false, at(1))
     );
 }
 
@@ -82,14 +82,14 @@
 fn an_upstream_that_declines_for_no_reason_gets_few_calls() {
     let mut world = world::World::new(1, 2);
     let handles = world.fleet.registry.of(&world::name(0)).to_vec();
-    let typical = time::Duration::from_millis(11);
+    let typical_call_time = time::Duration::from_millis(11);
     let mut sent = [0, 0];
     // The first upstream is in this VM's data centre and is preferred for that.
     for call in 0..400 {
         world.now = world.now + time::Duration::from_millis(20);
         let chosen = world
             .fleet
-            .choose(&world::name(0), &[], typical, world.now)
+            .choose(&world::name(0), &[], typical_call_time, world.now)
             .expect("both are up");
         let index = usize::from(chosen == handles[1]);
         sent[index] += 1;
@@ -121,7 +121,9 @@
         }
     }
     let later = world.now + time::Duration::from_millis(50);
-    let typical = time::Duration::from_millis(11);
-    let chosen = world.fleet.choose(&world::name(0), &[], typical, later);
+    let typical_call_time = time::Duration::from_millis(11);
+    let chosen = world
+        .fleet
+        .choose(&world::name(0), &[], typical_call_time, later);
     assert_eq!(chosen, Some(handles[0]));
 }
--- a/crates/geraniumgauge/src/quarantine/tests/simulation.rs
+++ b/crates/geraniumgauge/src/quarantine/tests/simulation.rs
@@ -239,7 +239,7 @@
             subset: false,
             canary: !recently,
             hedge_after: time::Duration::from_millis(20),
-            typical: time::Duration::from_millis(5),
+            typical_call_time: time::Duration::from_millis(5),
             early_hedge_shards: 0,
             policy: query::Policy::Full,
             first_attempt: (number as u64) << 20,
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -28,9 +28,9 @@
 const ANSWER_MARGIN_DIVISOR: u32 = 20;
 /// Maximum time reserved for merging and sending the answer.
 const MAX_ANSWER_MARGIN: time::Duration = time::Duration::from_millis(15);
-/// Until a hedge point is measured it is the time left divided by this.
+/// Until call times are measured, `hedge_after` is the time left divided by this.
 const DEFAULT_HEDGE_DIVISOR: u32 = 4;
-/// Minimum hedge point.
+/// Minimum of `hedge_after`.
 const MIN_HEDGE_AFTER: time::Duration = time::Duration::from_micros(500);
 /// Typical call time until one is measured.
 const DEFAULT_CALL_TIME: time::Duration = time::Duration::from_millis(1);
@@ -51,9 +51,13 @@
         let requested = requested_shards(&plan, search.shards.as_deref())?;
         let time_left = search.time_left.unwrap_or(document.deadline);
         let time_left = time_left.min(document.max_deadline);
-        let typical = state.upstreams.typical().unwrap_or(DEFAULT_CALL_TIME);
-        if time_left <= typical {
-            let message = format!("a shard call takes {typical:?}; allow more than {time_left:?}");
+        let typical_call_time = state
+            .upstreams
+            .typical_call_time()
+            .unwrap_or(DEFAULT_CALL_TIME);
+        if time_left <= typical_call_time {
+            let message =
+                format!("a shard call takes {typical_call_time:?}; allow more than {time_left:?}");
             return Err(query::Refusal::not_run(query::Code::Deadline, message));
         }
         let body = body(&search)?;
@@ -84,7 +88,7 @@
                 .unwrap_or(time_left / DEFAULT_HEDGE_DIVISOR)
                 .max(MIN_HEDGE_AFTER),
             early_hedge_shards: early_hedge_shards(&document.budgets, requested.len()),
-            typical,
+            typical_call_time,
             policy: self.config.policy,
             first_attempt: router::Router::first_attempt(number),
             seed: number ^ started.0 ^ fingerprint.0,
@@ -226,7 +230,7 @@
 
 /// Returns the number of last shards to hedge early: half of what the hedge
 /// budget earns with `requested` shards. The other half is left for calls that
-/// reach their hedge point first.
+/// have already run for `hedge_after`.
 fn early_hedge_shards(budgets: &document::Budgets, requested: usize) -> usize {
     (budgets.hedge.get() * requested as f64 / 2.0) as usize
 }
--- a/crates/geraniumgauge/src/query/gather/calls.rs
+++ b/crates/geraniumgauge/src/query/gather/calls.rs
@@ -110,7 +110,7 @@
         let vm = self.homes.number(vm);
         let called = self.plan.replica(replica);
         called.stats.sent();
-        called.stats.probe(now);
+        called.stats.record_probe(now);
         let call = super::call(id, &called.id, &shard.id, kind);
         self.outbox.calls.push((vm, call));
         self.attempts.push(attempt::Attempt {
@@ -137,9 +137,10 @@
         }
     }
 
-    /// Returns whether a call of this kind gets a hedge timer. Lead calls are
-    /// followed by a second one under every policy; other calls are hedged under
-    /// the full policy only; trials never.
+    /// Returns whether a call of this kind gets a hedge timer. A lead call, which is
+    /// sent before the fan-out as a canary or to learn the index version, is followed
+    /// by a second one under every policy. Other calls are hedged under the full policy
+    /// only, and trials never.
     fn is_hedged(&self, kind: message::Kind) -> bool {
         match kind {
             message::Kind::Trial => false,
@@ -167,12 +168,13 @@
     /// Chooses the replica to call for `slot` and returns its position in the
     /// shard. Excludes the positions in the bit mask `excluded` and replicas known to
     /// lack the pinned version, prefers replicas that aren't avoided, and takes
-    /// the less loaded of two random candidates.
+    /// the less loaded of two random candidates. Under [`query::Policy::Direct`] the
+    /// eligible replicas are taken in turn instead, avoided or not.
     pub(super) fn choose(&mut self, slot: u32, excluded: u64, now: clock::Moment) -> Option<usize> {
         let shard = self.plan.shard(self.slots[slot as usize].shard);
         let mut eligible = 0;
         let mut healthy = 0;
-        for position in 0..shard.replicas.len().min(MAX_REPLICAS) {
+        for position in 0..shard.replicas.len().min(MAX_REPLICAS_PER_SHARD) {
             if excluded & bit(position) == 0 && self.may_offer(shard, position, now) {
                 eligible |= bit(position);
                 let avoided = self.stats(shard, position).avoided(now);
@@ -186,7 +188,10 @@
         let candidates = if healthy == 0 { eligible } else { healthy };
         let (first, second) = pick_two(&mut self.rng, candidates)?;
         let shard = self.plan.shard(self.slots[slot as usize].shard);
-        let load = |position| self.stats(shard, position).load(self.setup.typical, now);
+        let load = |position| {
+            self.stats(shard, position)
+                .load(self.setup.typical_call_time, now)
+        };
         let better = load(second) < load(first);
         Some(if better { second } else { first })
     }
@@ -204,9 +209,10 @@
         &self.plan.replica(shard.replicas[position]).stats
     }
 
-    /// Hedges a call that wasn't answered by its hedge point, if state, load and
-    /// budget permit.
-    pub(super) fn hedge_due(&mut self, attempt: u32, now: clock::Moment) {
+    /// Hedges a call that is still unanswered when its hedge timer fires, if the
+    /// search isn't suspect, the queue of the other replica isn't long and the budget
+    /// allows it. A lead call is followed by a second one instead.
+    pub(super) fn on_hedge_timer(&mut self, attempt: u32, now: clock::Moment) {
         let called = &self.attempts[attempt as usize];
         if called.ended || self.verdict != query::CLEAR || self.verdict_pending {
             return;
@@ -224,10 +230,10 @@
             return;
         }
         if !self.hedge_allowed(attempt, now) {
-            let long = self.attempts[attempt as usize].sent
-                + self.setup.hedge_after * LONG_CALL_HEDGE_POINTS;
+            let retry_at =
+                self.attempts[attempt as usize].sent + self.setup.hedge_after * LONG_CALL_FACTOR;
             self.timers
-                .push(cmp::Reverse((long, Timer::Hedge(attempt))));
+                .push(cmp::Reverse((retry_at, Timer::Hedge(attempt))));
             return;
         }
         let Some(position) = self.hedge_position(slot, replica, now) else {
@@ -238,7 +244,7 @@
         }
         if !self.upstreams.spend_hedge() {
             self.counts.hedges_refused += 1;
-            let retry_at = now + self.setup.hedge_after.max(MIN_HEDGE_DELAY);
+            let retry_at = now + self.setup.hedge_after.max(MIN_HEDGE_RETRY_INTERVAL);
             self.timers
                 .push(cmp::Reverse((retry_at, Timer::Hedge(attempt))));
             return;
@@ -251,27 +257,27 @@
     /// stragglers of this search.
     ///
     /// While many are outstanding, everything is slow: hedges would double the
-    /// load at that moment and use up the budget for the real stragglers. So the
-    /// hedge point applies only when few shards are outstanding, and the very
-    /// last ones are hedged early, because the quantile over the last seconds
-    /// doesn't reflect this search. A short delay lets calls that are about to
-    /// end do so.
+    /// load at that moment and use up the budget for the real stragglers. So calls
+    /// are hedged after `hedge_after` only when few shards are outstanding. The very
+    /// last ones are hedged earlier, because `hedge_after` is a quantile of the call
+    /// times of all searches of the last seconds and may be too long for this one. A
+    /// short delay lets calls that are about to end do so.
     pub(super) fn schedule_last_hedges(&mut self, now: clock::Moment) {
         let outstanding = self.slots.len() - self.covered;
         let hedge_early = outstanding == self.setup.early_hedge_shards;
-        let few = outstanding == self.hedge_shards();
+        let few = outstanding == self.max_outstanding_for_hedges();
         if !(hedge_early || few) || outstanding == 0 || self.phase != Phase::FanOut {
             return;
         }
         for slot in &self.slots {
             if let (slot::State::Running, [attempt]) = (&slot.state, slot.open()) {
                 let sent = self.attempts[*attempt as usize].sent;
-                let hedge_point = sent + self.setup.hedge_after;
-                let early = now + self.setup.typical / EARLY_HEDGE_DIVISOR;
+                let hedge_at = sent + self.setup.hedge_after;
+                let early = now + self.setup.typical_call_time / EARLY_HEDGE_DIVISOR;
                 let due = if hedge_early {
                     early
                 } else {
-                    hedge_point.max(now + self.setup.typical)
+                    hedge_at.max(now + self.setup.typical_call_time)
                 };
                 self.timers
                     .push(cmp::Reverse((due, Timer::Hedge(*attempt))));
@@ -279,18 +285,19 @@
         }
     }
 
-    /// Returns the number of outstanding shards from which the hedge point
-    /// applies.
-    fn hedge_shards(&self) -> usize {
+    /// Returns the maximum number of outstanding shards at which calls are hedged
+    /// after `hedge_after`.
+    fn max_outstanding_for_hedges(&self) -> usize {
         (self.setup.early_hedge_shards * HEDGE_SHARDS_FACTOR).max(MIN_HEDGE_SHARDS)
     }
 
-    /// Returns whether few shards are outstanding or the call has run for several
-    /// hedge points.
+    /// Returns whether few shards are outstanding or the call has run for
+    /// [`LONG_CALL_FACTOR`] times `hedge_after`.
     fn hedge_allowed(&self, attempt: u32, now: clock::Moment) -> bool {
         let left = self.slots.len() - self.covered;
         let waited = now.since(self.attempts[attempt as usize].sent);
-        left <= self.hedge_shards() || waited >= self.setup.hedge_after * LONG_CALL_HEDGE_POINTS
+        left <= self.max_outstanding_for_hedges()
+            || waited >= self.setup.hedge_after * LONG_CALL_FACTOR
     }
 
     /// Returns whether calls to the replica wait for a slot for more than half of
@@ -299,11 +306,11 @@
     fn queue_is_long(&self, slot: u32, position: usize, now: clock::Moment) -> bool {
         let shard = self.plan.shard(self.slots[slot as usize].shard);
         let wait = self.stats(shard, position).wait(now);
-        wait > self.setup.typical / LONG_QUEUE_DIVISOR
+        wait > self.setup.typical_call_time / LONG_QUEUE_DIVISOR
     }
 
     /// Chooses the position of a replica for a hedge: one that isn't running the
-    /// call, otherwise the same one, which the other home calls over another
+    /// call, otherwise the same replica, called from another home and so over another
     /// connection.
     fn hedge_position(&mut self, slot: u32, replica: u32, now: clock::Moment) -> Option<usize> {
         let entry = &self.slots[slot as usize];
@@ -362,24 +369,26 @@
     }
 }
 
-/// Minimum time between two attempts to hedge a call.
-const MIN_HEDGE_DELAY: time::Duration = time::Duration::from_millis(2);
-/// The hedge point applies once no more than this many times `Setup::early_hedge_shards`
-/// shards are outstanding.
+/// Minimum time until a hedge that the budget refused is tried again.
+const MIN_HEDGE_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(2);
+/// Calls are hedged after `hedge_after` once at most this many times
+/// `Setup::early_hedge_shards` shards are outstanding.
 const HEDGE_SHARDS_FACTOR: usize = 2;
 /// The last shards are hedged after a typical call time divided by this.
 const EARLY_HEDGE_DIVISOR: u32 = 4;
-/// In narrow searches the hedge point applies once no more than this many shards
-/// are outstanding.
+/// In narrow searches, calls are hedged after `hedge_after` once at most this many
+/// shards are outstanding.
 const MIN_HEDGE_SHARDS: usize = 2;
-/// A call is hedged after this many hedge points, however many shards are
-/// outstanding: a home that went silent holds many calls.
-const LONG_CALL_HEDGE_POINTS: u32 = 3;
+/// A call that has run for this many times `hedge_after` is hedged however many
+/// shards are outstanding, since a home that stopped responding can delay many calls
+/// at once.
+const LONG_CALL_FACTOR: u32 = 3;
 /// A replica's queue is long if calls wait for more than a typical call time
 /// divided by this.
 const LONG_QUEUE_DIVISOR: u32 = 2;
-/// Replicas of one shard that may be called, bounded by the bits of a mask.
-const MAX_REPLICAS: usize = 64;
+/// Maximum number of a shard's replicas that are considered: one bit of a `u64` for
+/// each.
+const MAX_REPLICAS_PER_SHARD: usize = 64;
 
 /// Returns the mask bit of a replica's position; zero beyond the mask.
 pub(super) fn bit(position: usize) -> u64 {
--- a/crates/geraniumgauge/src/query/gather/event.rs
+++ b/crates/geraniumgauge/src/query/gather/event.rs
@@ -37,7 +37,7 @@
     /// for `hedge_after`, since they are the stragglers of a wide search.
     pub early_hedge_shards: usize,
     /// Typical (median) duration of a call.
-    pub typical: time::Duration,
+    pub typical_call_time: time::Duration,
     /// How replicas are chosen and calls retried or hedged.
     pub policy: query::Policy,
     /// Number of the first attempt; later ones count up from it.
--- a/crates/geraniumgauge/src/query/gather/fail.rs
+++ b/crates/geraniumgauge/src/query/gather/fail.rs
@@ -78,7 +78,7 @@
 
     /// Reads the hits of a reply; `None` if it is malformed or of another shard,
     /// layout or index version than requested.
-    fn hits(&self, attempt: u32, reply: &message::Reply) -> Option<merge::Found> {
+    fn hits(&self, attempt: u32, reply: &message::Reply) -> Option<merge::ShardHits> {
         let called = &self.attempts[attempt as usize];
         let shard = &self.plan.shard(self.slots[called.slot as usize].shard).id;
         let version = ids::IndexVersion(reply.index_version);
@@ -95,7 +95,7 @@
         &mut self,
         attempt: u32,
         reply: &message::Reply,
-        found: merge::Found,
+        found: merge::ShardHits,
         now: clock::Moment,
     ) {
         let called = &self.attempts[attempt as usize];
@@ -301,7 +301,7 @@
         let doublings = failures.min(MAX_BACKOFF_DOUBLINGS);
         let wait = retry_after.max(INITIAL_BACKOFF * 2_u32.pow(doublings));
         let at = now + wait;
-        if at + self.setup.typical >= self.setup.deadline {
+        if at + self.setup.typical_call_time >= self.setup.deadline {
             let reason = last_reason(&self.slots[slot as usize]);
             self.give_up(slot, reason);
             return;
--- a/crates/geraniumgauge/src/query/gather/lead.rs
+++ b/crates/geraniumgauge/src/query/gather/lead.rs
@@ -17,8 +17,8 @@
 use crate::query;
 use crate::time as clock;
 
-/// Lead calls that may run at the same time. The second one starts at the hedge
-/// point of the first.
+/// Lead calls that may run at the same time. The second one starts when the first
+/// has run for `hedge_after`.
 const MAX_CONCURRENT_LEADS: usize = 2;
 /// Delay of the next canary after one whose upstream was unreachable: long
 /// enough to receive the quarantine mark of the VM whose canary crashed it.
@@ -42,7 +42,7 @@
         self.send(slot, position, message::Kind::Canary, None, now);
     }
 
-    /// Sends a second lead call when the running one reaches its hedge point.
+    /// Sends a second lead call when the running one has run for `hedge_after`.
     pub(super) fn send_second_lead(&mut self, now: clock::Moment) {
         let one = self.open_calls > 0 && self.open_calls < MAX_CONCURRENT_LEADS;
         if matches!(self.phase, Phase::Lead { .. }) && one && self.has_time_for_call(now) {
--- a/crates/geraniumgauge/src/query/gather/mod.rs
+++ b/crates/geraniumgauge/src/query/gather/mod.rs
@@ -253,7 +253,7 @@
             }
             self.timers.pop();
             match due {
-                Timer::Hedge(attempt) => self.hedge_due(attempt, now),
+                Timer::Hedge(attempt) => self.on_hedge_timer(attempt, now),
                 Timer::Retry { slot, restarts } => self.retry_due(slot, restarts, now),
                 Timer::Trial => self.trial_due(now),
                 Timer::Lead => self.lead_due(now),
@@ -263,7 +263,7 @@
 
     /// Returns whether a typical call would still end before the deadline.
     fn has_time_for_call(&self, now: clock::Moment) -> bool {
-        now + self.setup.typical < self.setup.deadline
+        now + self.setup.typical_call_time < self.setup.deadline
     }
 }
 
--- a/crates/geraniumgauge/src/query/gather/restart.rs
+++ b/crates/geraniumgauge/src/query/gather/restart.rs
@@ -78,7 +78,7 @@
     /// Returns whether a restart with `plan` would cover more shards and fits in
     /// the time left.
     fn should_restart(&self, plan: &plan::Plan, now: clock::Moment) -> bool {
-        let time_needed = self.setup.typical * MIN_CALLS_LEFT;
+        let time_needed = self.setup.typical_call_time * MIN_CALLS_LEFT;
         let clear = self.verdict == query::CLEAR && !self.verdict_pending;
         if self.restart.count >= MAX_RESTARTS || now + time_needed >= self.setup.deadline || !clear
         {
@@ -101,7 +101,7 @@
         };
         let same = plan.layout.version == self.plan.layout.version;
         let other = !same || Some(pick.version) != self.pin;
-        other && pick.covers * self.slots.len() > possible * requested.len()
+        other && pick.covered * self.slots.len() > possible * requested.len()
     }
 
     /// Returns the requested shards as indexes into another plan; `None` if the
--- a/crates/geraniumgauge/src/query/gather/slot.rs
+++ b/crates/geraniumgauge/src/query/gather/slot.rs
@@ -48,7 +48,7 @@
     /// Waits for a new plan because its home has moved.
     AwaitingPlan,
     /// Has a valid reply.
-    Covered(merge::Found),
+    Covered(merge::ShardHits),
     /// No further call is made.
     GivenUp,
 }
--- a/crates/geraniumgauge/src/query/gather/suspect.rs
+++ b/crates/geraniumgauge/src/query/gather/suspect.rs
@@ -116,7 +116,7 @@
 
     /// Requests a trial if time and the request limit permit.
     fn request_trial(&mut self, now: clock::Moment) {
-        let has_time = now + self.setup.typical * MIN_CALLS_LEFT < self.setup.deadline;
+        let has_time = now + self.setup.typical_call_time * MIN_CALLS_LEFT < self.setup.deadline;
         if !has_time || self.trial.requests >= MAX_TRIAL_REQUESTS {
             self.give_up_trial();
             return;
@@ -173,7 +173,7 @@
 
     /// Schedules another request, or gives up if it would come too late.
     fn delay_trial(&mut self, at: clock::Moment) {
-        if at + self.setup.typical * MIN_CALLS_LEFT >= self.setup.deadline {
+        if at + self.setup.typical_call_time * MIN_CALLS_LEFT >= self.setup.deadline {
             self.give_up_trial();
             return;
         }
--- a/crates/geraniumgauge/src/query/gather/tests/failures.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/failures.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// Makes the versions of all upstreams known, so that no lead call is needed.
+/// Makes the versions of all upstreams known, so that the search doesn't have to ask
+/// one upstream for its versions first.
 fn learn_versions(world: &world::World) {
     for replica in &world.plan.replicas {
         let reply = message::Reply {
@@ -75,7 +76,7 @@
         },
     );
     learn_versions(&world);
-    let setup = world.setup(1 << 20);
+    let setup = world.setup(world::FIRST_ATTEMPT);
     let counts = world.run(setup);
     assert!(counts.retries > 0);
     assert!(world.answers[0].coverage.complete);
@@ -95,13 +96,13 @@
         },
     );
     learn_versions(&world);
-    let setup = world.setup(1 << 20);
-    let started = world.now;
-    let counts = world.run(setup.clone());
+    let setup = world.setup(world::FIRST_ATTEMPT);
+    let deadline = setup.deadline;
+    let counts = world.run(setup);
     assert!(counts.hedges > 0);
     assert!(world.answers[0].coverage.complete);
     assert_eq!(world.cancelled.len() as u64, counts.cancels);
-    assert!(counts.cancels > 0 && started < setup.deadline);
+    assert!(counts.cancels > 0 && world.now < deadline);
 }
 
 /// A search is pinned to a version that one shard no longer offers. Without a
@@ -113,7 +114,7 @@
     for position in 0..2 {
         world.ranges.insert(format!("u-3-{position}"), (1, 4));
     }
-    let setup = world.setup(1 << 20);
+    let setup = world.setup(world::FIRST_ATTEMPT);
     let counts = world.run(setup);
     assert_eq!(counts.restarts, 1);
     assert_eq!(world.answers[0].snapshot.version, ids::IndexVersion(4));
@@ -123,14 +124,14 @@
 /// After a repartition every upstream refuses the old layout. A running search
 /// would end without hits; it must restart at the new layout instead.
 #[test]
-fn a_repartition_restarts_a_search_that_it_leaves_without_shards() {
+fn a_search_restarts_when_a_repartition_removes_all_its_shards() {
     let mut world = world::World::new(5, 4, 2, world::NO_FAULTS);
     learn_versions(&world);
     world.repartition(6, 2);
     for range in world.ranges.values_mut() {
         *range = (9, 9);
     }
-    let setup = world.setup(1 << 20);
+    let setup = world.setup(world::FIRST_ATTEMPT);
     let counts = world.run(setup);
     assert!(counts.restarts >= 1);
     assert_eq!(world.answers[0].coverage.shards, 6);
@@ -142,7 +143,7 @@
 #[test]
 fn a_final_answer_does_not_wait_for_the_deadline() {
     let world = world::World::new(6, 1, 1, world::NO_FAULTS);
-    let mut setup = world.setup(1 << 20);
+    let mut setup = world.setup(world::FIRST_ATTEMPT);
     setup.deadline = world.now + time::Duration::from_millis(60);
     let mut search = search(&world, setup);
     let mut now = world.now;
@@ -182,22 +183,23 @@
     );
     learn_versions(&world);
     while world.upstreams.spend_retry() {}
-    let setup = world.setup(1 << 20);
+    let setup = world.setup(world::FIRST_ATTEMPT);
     let counts = world.run(setup);
     assert_eq!(counts.retries, 0);
     assert!(counts.retries_refused > 0);
     assert!(!world.answers[0].coverage.complete);
 }
 
-/// A wide search that never ran before is sent to one upstream first. If it
-/// crashes upstreams, a full fan-out would take a replica from every shard.
+/// Several coordinators receive the same query, and each sends a canary. If they
+/// chose different upstreams, a query that crashes upstreams would crash one for each
+/// coordinator.
 #[test]
 fn canaries_of_one_request_go_to_the_same_replica() {
     let world = world::World::new(8, 20, 2, world::NO_FAULTS);
     learn_versions(&world);
     let targets: Vec<_> = (0..4)
         .map(|coordinator| {
-            let mut setup = world.setup(coordinator << 20);
+            let mut setup = world.setup(coordinator * world::FIRST_ATTEMPT);
             setup.canary = true;
             let mut search = search(&world, setup);
             let start = gather::Event::Start(quarantine::Verdict::Clear);
@@ -217,7 +219,7 @@
 fn a_lost_canary_stops_the_search_until_a_trial() {
     let world = world::World::new(9, 20, 2, world::NO_FAULTS);
     learn_versions(&world);
-    let mut setup = world.setup(1 << 20);
+    let mut setup = world.setup(world::FIRST_ATTEMPT);
     setup.canary = true;
     let mut search = search(&world, setup);
     let start = gather::Event::Start(quarantine::Verdict::Clear);
@@ -247,7 +249,7 @@
 fn a_completed_trial_lets_the_search_go_on() {
     let world = world::World::new(10, 6, 2, world::NO_FAULTS);
     learn_versions(&world);
-    let mut search = search(&world, world.setup(1 << 20));
+    let mut search = search(&world, world.setup(world::FIRST_ATTEMPT));
     let now = world.now;
     let start = gather::Event::Start(quarantine::Verdict::Suspect);
     assert!(matches!(
@@ -275,14 +277,15 @@
     assert_eq!(rest, 5);
 }
 
-/// A home has handed over its upstreams and refuses calls. Calls to the new home
-/// must not use up the retry budget, since no upstream has failed.
+/// A home that has handed over its upstreams refuses calls. The first move to another
+/// home is free, since no upstream failed. A second move needs the retry budget, which
+/// is empty here.
 #[test]
-fn a_call_moves_to_another_home_without_budget_only_once() {
+fn only_the_first_move_to_another_home_is_free() {
     let world = world::World::new(11, 4, 1, world::NO_FAULTS);
     learn_versions(&world);
     while world.upstreams.spend_retry() {}
-    let mut search = search(&world, world.setup(1 << 20));
+    let mut search = search(&world, world.setup(world::FIRST_ATTEMPT));
     let start = gather::Event::Start(quarantine::Verdict::Clear);
     let mut actions = search.handle(start, world.now);
     for moved in [true, false] {
@@ -313,7 +316,7 @@
 }
 
 /// Under the latency objective the answer is given at the latency target, and
-/// outstanding shards are missing as cut off.
+/// outstanding shards are listed as missing with the reason `CutOff`.
 #[test]
 fn the_latency_objective_cuts_the_last_shards_off() {
     let mut world = world::World::new(
@@ -326,7 +329,7 @@
         },
     );
     learn_versions(&world);
-    let mut setup = world.setup(1 << 20);
+    let mut setup = world.setup(world::FIRST_ATTEMPT);
     let at = world.now + time::Duration::from_millis(30);
     setup.policy = query::Policy::NoHedge;
     setup.soft_deadline = Some(gather::SoftDeadline { at, min_covered: 5 });
@@ -341,12 +344,14 @@
     );
 }
 
+/// Guards against a hedge budget that starts above its maximum and so allows a burst
+/// of hedges.
 #[test]
-fn budgets_start_full_and_no_fuller() {
+fn a_new_hedge_budget_holds_at_most_its_maximum() {
     let world = world::World::new(13, 1, 1, world::NO_FAULTS);
-    let mut paid = 0.0;
+    let mut allowed = 0.0;
     while world.upstreams.spend_hedge() {
-        paid += 1.0;
+        allowed += 1.0;
     }
-    assert!(paid <= upstreams::MAX_HEDGE_TOKENS);
+    assert!(allowed <= upstreams::MAX_HEDGE_TOKENS);
 }
--- a/crates/geraniumgauge/src/query/gather/tests/properties.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/properties.rs
@@ -29,7 +29,7 @@
     if seed.is_multiple_of(3) {
         world.repartition(shards + 2, replicas);
     }
-    let mut setup = world.setup(1 << 20);
+    let mut setup = world.setup(world::FIRST_ATTEMPT);
     setup.canary = seed.is_multiple_of(2);
     setup.limit = 1000;
     setup.early_hedge_shards = (seed / 7 % 4) as usize;
@@ -110,7 +110,7 @@
         let (shards, replicas) = size(seed);
         let ids = |seed| {
             let mut world = world::World::new(seed, shards, replicas, world::NO_FAULTS);
-            let setup = world.setup(1 << 20);
+            let setup = world.setup(world::FIRST_ATTEMPT);
             world.run(setup);
             let hits = world.answers.remove(0).hits;
             hits.into_iter().map(|hit| hit.id).collect::<Vec<_>>()
--- a/crates/geraniumgauge/src/query/gather/tests/world.rs
+++ b/crates/geraniumgauge/src/query/gather/tests/world.rs
@@ -48,6 +48,10 @@
     versions_change: false,
 };
 
+/// Number of a search's first attempt. Searches of one test use multiples of it, so
+/// that the numbers of their attempts don't overlap.
+pub(super) const FIRST_ATTEMPT: u64 = 1 << 20;
+
 pub(super) struct World {
     pub(super) upstreams: sync::Arc<upstreams::Upstreams>,
     pub(super) plan: sync::Arc<plan::Plan>,
@@ -168,7 +172,7 @@
             subset: false,
             canary: false,
             hedge_after: time::Duration::from_millis(20),
-            typical: time::Duration::from_millis(5),
+            typical_call_time: time::Duration::from_millis(5),
             early_hedge_shards: 0,
             policy: query::Policy::Full,
             first_attempt,
--- a/crates/geraniumgauge/src/query/merge.rs
+++ b/crates/geraniumgauge/src/query/merge.rs
@@ -11,7 +11,7 @@
 
 /// The hits of one shard's reply, best first, as byte ranges of its body.
 #[derive(Debug, Clone)]
-pub struct Found {
+pub struct ShardHits {
     body: Bytes,
     hits: Vec<Candidate>,
 }
@@ -53,7 +53,7 @@
 /// Parses a shard's reply and keeps the best `limit` hits; `None` if it is
 /// malformed or names another shard. Decodes only ids and scores, since most hits
 /// don't reach the answer.
-pub fn parse(body: Bytes, shard: &ids::Shard, limit: usize) -> Option<Found> {
+pub fn parse(body: Bytes, shard: &ids::Shard, limit: usize) -> Option<ShardHits> {
     let mut hits = {
         let reply: Reply<'_> = serde_json::from_slice(&body).ok()?;
         let base = body.as_ptr() as usize;
@@ -75,20 +75,21 @@
     };
     hits.sort_by(by_rank);
     hits.truncate(limit);
-    Some(Found { body, hits })
+    Some(ShardHits { body, hits })
 }
 
 /// Returns the best `limit` hits, best first. Equal scores are ordered by shard,
 /// then by id, so that the order of replies doesn't affect the answer.
 pub fn merge<'a>(
-    found: impl Iterator<Item = (&'a ids::Shard, &'a Found)>,
+    found: impl Iterator<Item = (&'a ids::Shard, &'a ShardHits)>,
     limit: usize,
 ) -> Vec<query::Hit> {
     let mut all = Vec::new();
     for (shard, found) in found {
         all.extend(found.hits.iter().map(|candidate| (shard, found, candidate)));
     }
-    let order = |a: &(&ids::Shard, &Found, &Candidate), b: &(&ids::Shard, &Found, &Candidate)| {
+    let order = |a: &(&ids::Shard, &ShardHits, &Candidate),
+                 b: &(&ids::Shard, &ShardHits, &Candidate)| {
         let score = b.2.score.total_cmp(&a.2.score);
         score
             .then_with(|| a.0.cmp(b.0))
@@ -105,7 +106,7 @@
     hits.collect()
 }
 
-impl Found {
+impl ShardHits {
     fn hit(&self, shard: &ids::Shard, candidate: &Candidate) -> Option<query::Hit> {
         let raw = self.body.get(candidate.start..candidate.end)?;
         let mut hit: FullHit = serde_json::from_slice(raw).ok()?;
--- a/crates/geraniumgauge/src/query/replica.rs
+++ b/crates/geraniumgauge/src/query/replica.rs
@@ -116,7 +116,7 @@
 
     /// Records a call to a lost replica as its probe: other calls avoid the replica
     /// until the probe has ended or [`PROBE_TIMEOUT`] has passed.
-    pub fn probe(&self, now: clock::Moment) {
+    pub fn record_probe(&self, now: clock::Moment) {
         if self.down() {
             self.avoid_until.fetch_max((now + PROBE_TIMEOUT).0, ORDER);
         }
@@ -124,12 +124,12 @@
 
     /// Returns the expected duration of a call behind the running ones, in
     /// microseconds, weighted by the penalty for failures.
-    pub fn load(&self, typical: time::Duration, now: clock::Moment) -> u64 {
+    pub fn load(&self, typical_call_time: time::Duration, now: clock::Moment) -> u64 {
         let recent = now.0 < self.times_updated.load(ORDER) + clock::micros(CALL_TIME_TTL);
         let call_time = if recent {
             self.call_time.load(ORDER)
         } else {
-            clock::micros(typical)
+            clock::micros(typical_call_time)
         };
         u64::from(self.outstanding() + 1) * call_time.max(1) * self.penalty(now)
     }
--- a/crates/geraniumgauge/src/query/tests/replica.rs
+++ b/crates/geraniumgauge/src/query/tests/replica.rs
@@ -44,7 +44,7 @@
     assert!(lost.down() && lost.avoided(now));
     let later = now + time::Duration::from_secs(1);
     assert!(!lost.avoided(later));
-    lost.probe(later);
+    lost.record_probe(later);
     assert!(lost.avoided(later));
     lost.record_success(later);
     assert!(!lost.down() && !lost.avoided(later));
@@ -65,7 +65,7 @@
     assert!(!lost.avoided(later));
     let mut at = later;
     for (loss, span) in [(2, 250), (3, 500), (4, 1000)] {
-        lost.probe(at);
+        lost.record_probe(at);
         lost.record_failure(Outcome::Unreachable, time::Duration::ZERO, at);
         at = at + time::Duration::from_millis(span - 1);
         assert!(lost.avoided(at), "a probe that fails is loss {loss}");
--- a/crates/geraniumgauge/src/query/times.rs
+++ b/crates/geraniumgauge/src/query/times.rs
@@ -31,7 +31,7 @@
     /// Time after which a call is hedged.
     pub hedge: time::Duration,
     /// The median call time.
-    pub typical: time::Duration,
+    pub typical_call_time: time::Duration,
 }
 
 impl Default for Times {
@@ -76,7 +76,7 @@
         let at = |quantile| time::Duration::from_micros(both.value_at_quantile(quantile));
         Some(Quantiles {
             hedge: at(hedge_quantile(budgets)),
-            typical: at(0.5),
+            typical_call_time: at(0.5),
         })
     }
 }
--- a/crates/geraniumgauge/src/query/upstreams.rs
+++ b/crates/geraniumgauge/src/query/upstreams.rs
@@ -29,7 +29,7 @@
     /// Hedge point in microseconds; zero until measured.
     hedge_after: atomic::AtomicU64,
     /// Median call time in microseconds; zero until measured.
-    typical: atomic::AtomicU64,
+    typical_call_time: atomic::AtomicU64,
     /// Counter of the round robin.
     turn: atomic::AtomicUsize,
     replicas: sync::Mutex<collections::HashMap<ids::Upstream, sync::Arc<replica::Stats>>>,
@@ -43,7 +43,7 @@
             retry: sync::Mutex::new(rate::Budget::new(budgets.retry, MAX_RETRY_TOKENS)),
             times: sync::Mutex::default(),
             hedge_after: atomic::AtomicU64::new(0),
-            typical: atomic::AtomicU64::new(0),
+            typical_call_time: atomic::AtomicU64::new(0),
             turn: atomic::AtomicUsize::new(0),
             replicas: sync::Mutex::default(),
         }
@@ -78,8 +78,8 @@
     }
 
     /// Returns the median call time; `None` until enough calls are measured.
-    pub fn typical(&self) -> Option<time::Duration> {
-        known(&self.typical)
+    pub fn typical_call_time(&self) -> Option<time::Duration> {
+        known(&self.typical_call_time)
     }
 
     /// Records the shard call times of one search.
@@ -95,7 +95,7 @@
             return;
         };
         store(&self.hedge_after, quantiles.hedge);
-        store(&self.typical, quantiles.typical);
+        store(&self.typical_call_time, quantiles.typical_call_time);
     }
 
     /// Returns the next number of a round robin.
--- a/crates/geraniumgauge/src/query/version.rs
+++ b/crates/geraniumgauge/src/query/version.rs
@@ -10,22 +10,22 @@
     /// The index version.
     pub version: ids::IndexVersion,
     /// Number of shards with a replica that offers it, or whose range is unknown.
-    pub covers: usize,
+    pub covered: usize,
 }
 
-/// Returns the version that most of `shards` offer, the newest of several; `None`
-/// if no replica's range is known.
+/// Returns the version offered by the most of `shards`, and the newest of them if
+/// several are; `None` if no replica's range is known.
 pub fn pick(plan: &plan::Plan, shards: &[u32], now: clock::Moment) -> Option<Pick> {
     let mut versions: Vec<_> = newest(plan, shards, now).collect();
     versions.sort_unstable();
     versions.dedup();
     let mut best: Option<Pick> = None;
     for version in versions.into_iter().rev() {
-        let covers = covers(plan, shards, version, now);
-        if best.is_none_or(|best| covers > best.covers) {
-            best = Some(Pick { version, covers });
+        let covered = count_covered(plan, shards, version, now);
+        if best.is_none_or(|best| covered > best.covered) {
+            best = Some(Pick { version, covered });
         }
-        if covers == shards.len() {
+        if covered == shards.len() {
             break;
         }
     }
@@ -34,7 +34,7 @@
 
 /// Returns how many of `shards` offer `version`; a replica of unknown range counts
 /// as offering it.
-pub fn covers(
+pub fn count_covered(
     plan: &plan::Plan,
     shards: &[u32],
     version: ids::IndexVersion,
