--- a/crates/geraniumgauge/src/document/keeper.rs
+++ b/crates/geraniumgauge/src/document/keeper.rs
@@ -19,7 +19,8 @@
 pub struct Accepted {
     /// Number of documents accepted for the service so far.
     pub generation: ids::Generation,
-    /// The version of `documents/{service}` that was last considered.
+    /// The version of `documents/{service}` that a keeper last checked, whether it was
+    /// accepted or not.
     pub considered: ids::ObjectVersion,
     /// The document in force.
     pub document: document::Document,
--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -51,16 +51,16 @@
 
 use crate::ids;
 
-/// Store key prefix of the teams' texts.
+/// Store key prefix of the documents as the teams wrote them.
 pub const TEXTS: &str = "documents/";
-/// Store key prefix of the accepted records.
+/// Store key prefix of the documents in force, as [`Accepted`] stores them.
 pub const ACCEPTED: &str = "accepted/";
 /// Store key prefix of the status objects.
 pub const STATUS: &str = "status/";
 /// Store key prefix of the layouts.
 pub const LAYOUTS: &str = "layouts/";
 
-/// Returns the store key of a service's text.
+/// Returns the store key of a service's document as its team wrote it.
 pub fn text_key(service: &ids::Service) -> String {
     format!("{TEXTS}{service}")
 }
--- a/crates/geraniumgauge/src/document/schema.rs
+++ b/crates/geraniumgauge/src/document/schema.rs
@@ -84,7 +84,8 @@
     pub canary_width: u32,
 }
 
-/// Objectives of the burn report, as shares of requests.
+/// Service-level objectives, as shares of requests. `geraniumgauge burn` reports how
+/// fast their error budgets are spent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
--- a/crates/geraniumgauge/src/document/status.rs
+++ b/crates/geraniumgauge/src/document/status.rs
@@ -50,7 +50,7 @@
     pub vms: collections::BTreeMap<ids::Vm, Report>,
 }
 
-/// Store key of [`Reported`].
+/// Store key of the object with the VMs' reports to the keeper, [`Reported`].
 pub const REPORTED: &str = "vms/reported";
 
 /// The keeper's summary of one VM's report.
--- a/crates/geraniumgauge/src/edge/engine.rs
+++ b/crates/geraniumgauge/src/edge/engine.rs
@@ -37,8 +37,9 @@
     Closing,
 }
 
-/// The edge of one VM. Clones share its state and are cheap; all of them must be
-/// used from one local set.
+/// Serves one VM's callers, upstream connections and requests from other VMs, and
+/// carries out the actions of [`forward`](crate::forward). Clones share its state and
+/// are cheap; all of them must be used from one local set.
 #[derive(Clone, derive_more::Debug)]
 pub struct Engine {
     state: rc::Rc<cell::RefCell<state::State>>,
--- a/crates/geraniumgauge/src/forward/budget.rs
+++ b/crates/geraniumgauge/src/forward/budget.rs
@@ -49,12 +49,16 @@
 ///
 /// The allowance of a window is a share of the requests in that window or in
 /// the previous one, whichever has more. A window may begin at any time, so
-/// each extra call is checked against every window that contains it. The
-/// requests counted are the mean of that window and the previous one, which is
-/// never more than the larger of the two, not even after adding up all VMs.
-/// Counting all requests of the last ten seconds would allow too many extra
-/// calls when requests come in two bursts ten seconds apart, e.g. 192 where 136
-/// are allowed.
+/// each extra call must be allowed in every window that contains it.
+///
+/// A budget allows a share of the mean of a window's requests and those of the
+/// window before it. It uses the mean instead of the larger count because the
+/// sum of all VMs' means never exceeds the larger of the fleet's two counts,
+/// whereas the sum of their larger counts may.
+///
+/// Allowing a share of all requests of the last ten seconds instead would
+/// allow too many extra calls when requests come in two bursts ten seconds
+/// apart, e.g. 192 instead of 136.
 #[derive(Debug, Clone)]
 pub struct Budget {
     requests: [u32; BUCKETS],
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -55,12 +55,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
     /// Share of a route's latency target after which a call counts as late and
-    /// its part is hedged. With a share of about a third, the other upstream
-    /// has time to answer within the target.
+    /// its part is hedged. Must leave the second upstream enough time to answer
+    /// within the target, as about a third does.
     pub hedge_share: rate::Share,
     /// Time before the latency target at which an answer must be sent, in
-    /// addition to this process's own lag. Callers are up to 3 ms away one way
-    /// and mostly open a connection first, which makes four one-way trips.
+    /// addition to this process's own lag. Covers the network time to the
+    /// caller: four one-way trips of up to 3 ms if the caller opens a connection
+    /// first, as most do.
     pub answer_margin: time::Duration,
     /// Time before the deadline at which the final answer must be sent.
     pub deadline_margin: time::Duration,
--- a/crates/geraniumgauge/src/home/state/mod.rs
+++ b/crates/geraniumgauge/src/home/state/mod.rs
@@ -37,8 +37,8 @@
 /// How long calls are still sent to an upstream after a layout no longer lists it:
 /// queries under way have pinned the older layout.
 pub const UNLISTED_GRACE: time::Duration = time::Duration::from_secs(1);
-/// Maximum number of waiting calls.
-pub const QUEUE_LIMIT: usize = 4096;
+/// Maximum number of calls that wait for one upstream at one home.
+pub const MAX_QUEUED_CALLS: usize = 4096;
 
 /// An event that [`State::handle`] processes.
 #[derive(Debug, Clone)]
@@ -299,7 +299,7 @@
         if self.queue.contains(&job.id) || self.connections.carrying(&job.id).is_some() {
             return;
         }
-        if self.queue.len() >= QUEUE_LIMIT {
+        if self.queue.len() >= MAX_QUEUED_CALLS {
             return self.refuse(job, message::Outcome::Late, now);
         }
         self.queue.insert(job);
--- a/crates/geraniumgauge/src/ledger/key.rs
+++ b/crates/geraniumgauge/src/ledger/key.rs
@@ -10,11 +10,14 @@
 use crate::ids;
 use crate::time;
 
-/// Number of buckets of a service. Store writes grow with the number of buckets,
-/// not of claims, since all waiting claims of a bucket are written together. So
-/// there is one bucket for each service: 54 busy services divide the store's
-/// writes among 54 buckets. The VM of one bucket handles thousands of claims a
-/// second, and if it fails, the coordinators create the claims on their own.
+/// Number of buckets of a service.
+///
+/// The number of store writes grows with the number of buckets and not of claims,
+/// since all waiting claims of a bucket are written together. One bucket for each
+/// service keeps it lowest: with 54 busy services, 54 buckets share the writes that
+/// the store accepts. One bucket is enough, since its VM handles thousands of claims
+/// a second, and if that VM fails, the coordinators create the claims on their own.
+///
 /// Changing the number requires an empty ledger, since keys would map to other
 /// buckets.
 pub const BUCKETS_PER_SERVICE: u64 = 1;
--- a/crates/geraniumgauge/src/ledger/mod.rs
+++ b/crates/geraniumgauge/src/ledger/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! Before a record is sent, a claim with the token of this attempt is created in
 //! the store by conditional update. The attempt that created the claim may send
-//! the record once. A VM that was paused, a second home or a caller that retries
-//! at another VM finds an existing claim, so none of them can run the record
-//! again. This is the only safeguard needed: assigning the keys of a bucket to
-//! one VM merely avoids conflicts between writers.
+//! the record once. Whoever tries again, such as a VM that was paused, another
+//! coordinator or a caller that retries at another VM, finds the claim and can't
+//! run the record again. This is the only safeguard needed: assigning the keys of
+//! a bucket to one VM merely avoids conflicts between writers.
 
 pub mod key;
 
--- a/crates/geraniumgauge/src/member/settings.rs
+++ b/crates/geraniumgauge/src/member/settings.rs
@@ -31,8 +31,9 @@
     pub sync_interval: time::Duration,
     /// Most datagrams sent in answer to one digest.
     pub max_sync_datagrams: usize,
-    /// Interval at which a dead member or an address without a known member is tried.
-    pub retry_interval: time::Duration,
+    /// Interval between probes of dead members and of seed addresses whose member isn't
+    /// known.
+    pub dead_probe_interval: time::Duration,
     /// Time for which a dead member is remembered.
     pub tombstone_lifetime: time::Duration,
     /// Bandwidth of gossip and digest comparisons, headers included.
@@ -61,7 +62,7 @@
             extra_retransmissions: 2,
             sync_interval: time::Duration::from_secs(10),
             max_sync_datagrams: 8,
-            retry_interval: time::Duration::from_secs(3),
+            dead_probe_interval: time::Duration::from_secs(3),
             tombstone_lifetime: time::Duration::from_secs(24 * 3600),
             byte_rate: rate::PerSecond(8_000.0),
             burst_bytes: 16_000.0,
--- a/crates/geraniumgauge/src/member/state/join.rs
+++ b/crates/geraniumgauge/src/member/state/join.rs
@@ -72,7 +72,7 @@
         let interval = if alone {
             self.settings.probe_interval
         } else {
-            self.settings.retry_interval
+            self.settings.dead_probe_interval
         };
         let count = if alone { CONTACTS_WHILE_ALONE } else { 1 };
         self.contacts.next_attempt = now + interval;
--- a/crates/geraniumgauge/src/member/state/mod.rs
+++ b/crates/geraniumgauge/src/member/state/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! This is SWIM with four additions:
 //!
-//! - Each datagram to a VM that is held suspect or dead carries that record, so
-//!   that the VM refutes it without waiting for gossip.
+//! - A datagram to a VM that this VM considers suspect or dead contains its record
+//!   of that VM, so that the VM can refute it without waiting for gossip.
 //! - A VM that was paused doesn't mistake its own pause for silence of others.
 //! - Dead members are probed now and then, so that the two sides of a network
 //!   partition find each other again.
--- a/crates/geraniumgauge/src/mesh/inbound.rs
+++ b/crates/geraniumgauge/src/mesh/inbound.rs
@@ -133,7 +133,7 @@
         .set_nodelay(true)
         .map_err(|error| error.to_string())?;
     let (read, write) = stream.into_split();
-    let limit = mesh.limits.frame_bytes;
+    let limit = mesh.limits.max_frame_bytes;
     let mut reader = framing::FramedRead::new(read, codec::Codec::new(limit));
     let mut writer = framing::FramedWrite::new(write, codec::Codec::new(limit));
     let handshake = exchange_hello(mesh, &mut reader, &mut writer);
--- a/crates/geraniumgauge/src/mesh/message/mod.rs
+++ b/crates/geraniumgauge/src/mesh/message/mod.rs
@@ -124,5 +124,5 @@
     /// Size of the group of consecutive members in the view, starting with the
     /// receiver, to which the receiver forwards the mark; 0 if it doesn't forward.
     #[prost(uint32, tag = "4")]
-    pub relay: u32,
+    pub relay_group_size: u32,
 }
--- a/crates/geraniumgauge/src/mesh/message/search.rs
+++ b/crates/geraniumgauge/src/mesh/message/search.rs
@@ -124,7 +124,7 @@
 pub enum Outcome {
     /// Unset, or a value of a newer version: treated as [`Outcome::Lost`].
     Unknown = 0,
-    /// The call ran, and the reply holds the hits.
+    /// The call or record ran, and the reply contains the hits or the result.
     Hits = 1,
     /// Not run: the call would not have left the home's queue in time.
     Late = 2,
@@ -143,7 +143,8 @@
     Lost = 8,
     /// The connection stayed silent; it is unknown whether the call ran.
     Silent = 9,
-    /// The reply belongs to another request; it was dropped and the connection closed.
+    /// The reply belongs to another call, or its body is too large; it was dropped and
+    /// the connection closed.
     Crossed = 10,
     /// The upstream answered with an error.
     Failed = 11,
--- a/crates/geraniumgauge/src/mesh/service.rs
+++ b/crates/geraniumgauge/src/mesh/service.rs
@@ -34,11 +34,11 @@
     /// Bound listener for links from other VMs.
     pub listen: sockets::TcpListener,
     /// Largest frame, in bytes.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
     /// Most frames queued on one link.
-    pub queue_frames: usize,
+    pub max_queued_frames: usize,
     /// Most bytes queued on one link.
-    pub queue_bytes: usize,
+    pub max_queued_bytes: usize,
     /// Timeout of connecting and, separately, of the exchange of hellos.
     pub connect_timeout: time::Duration,
     /// Interval of heartbeats on links that carry frames.
@@ -57,9 +57,9 @@
             vm,
             incarnation,
             listen,
-            frame_bytes: 8 << 20,
-            queue_frames: 16_384,
-            queue_bytes: 16 << 20,
+            max_frame_bytes: 8 << 20,
+            max_queued_frames: 16_384,
+            max_queued_bytes: 16 << 20,
             connect_timeout: time::Duration::from_secs(1),
             heartbeat_interval: time::Duration::from_millis(250),
             max_missed_heartbeats: 4,
@@ -71,7 +71,7 @@
 /// Limits and timeouts that the mesh's tasks use.
 #[derive(Debug)]
 pub(super) struct Limits {
-    pub(super) frame_bytes: usize,
+    pub(super) max_frame_bytes: usize,
     pub(super) connect_timeout: time::Duration,
     queue: outbox::Limits,
     heartbeat: heartbeat::Limits,
@@ -110,7 +110,7 @@
         meter: &metrics::Meter,
     ) -> sync::Arc<Self> {
         let address = config.listen.local_addr();
-        let (local, delivered) = mpsc::channel(config.queue_frames.max(1));
+        let (local, delivered) = mpsc::channel(config.max_queued_frames.max(1));
         let limits = Limits::of(&config);
         let hello = message::Hello {
             vm: config.vm.to_string(),
@@ -277,7 +277,7 @@
         if *to == self.vm {
             return self.local.try_send(body).map_err(|_| full);
         }
-        let (size, limit) = (body.encoded_len(), self.limits.frame_bytes);
+        let (size, limit) = (body.encoded_len(), self.limits.max_frame_bytes);
         if size > limit {
             return Err(mesh::Error::Large { vm, size, limit });
         }
@@ -308,12 +308,12 @@
         let idle_ticks =
             u32::try_from(config.idle_timeout.as_micros() / interval_us).unwrap_or(u32::MAX);
         Self {
-            frame_bytes: config.frame_bytes,
+            max_frame_bytes: config.max_frame_bytes,
             connect_timeout: config.connect_timeout,
             queue: outbox::Limits {
-                max_frames: config.queue_frames,
-                max_bytes: config.queue_bytes,
-                max_frame_bytes: config.frame_bytes,
+                max_frames: config.max_queued_frames,
+                max_bytes: config.max_queued_bytes,
+                max_frame_bytes: config.max_frame_bytes,
             },
             heartbeat: heartbeat::Limits {
                 silent_ticks: config.max_missed_heartbeats,
--- a/crates/geraniumgauge/src/mesh/tests/service.rs
+++ b/crates/geraniumgauge/src/mesh/tests/service.rs
@@ -123,8 +123,8 @@
 #[tokio::test]
 async fn frames_that_cannot_be_sent_are_refused_at_once() {
     let a = node("a", 1, |config| {
-        config.frame_bytes = 100;
-        config.queue_frames = 3;
+        config.max_frame_bytes = 100;
+        config.max_queued_frames = 3;
     })
     .await;
     let unknown = a.mesh.send(&vm("z"), pull(1));
@@ -249,7 +249,7 @@
 
 #[tokio::test]
 async fn a_frame_over_the_limit_ends_its_link() {
-    let mut a = node("a", 1, |config| config.frame_bytes = 100).await;
+    let mut a = node("a", 1, |config| config.max_frame_bytes = 100).await;
     let stream = sockets::TcpStream::connect(a.address).await.unwrap();
     let mut peer = framing::Framed::new(stream, codec::Codec::new(1 << 20));
     peer.send(&hello_frame("b", 1)).await.unwrap();
--- a/crates/geraniumgauge/src/quarantine/broadcast.rs
+++ b/crates/geraniumgauge/src/quarantine/broadcast.rs
@@ -31,16 +31,16 @@
     /// Forwards a received mark to the members of this VM's group if the frame asks
     /// for it.
     pub fn relay(&self, mark: &message::Mark) {
-        if mark.relay == 0 {
+        if mark.relay_group_size == 0 {
             return;
         }
         let view = self.view.borrow().clone();
         let local = view.members.iter().position(|m| m.vm == view.local);
-        let (Some(local), stride) = (local, mark.relay as usize) else {
+        let (Some(local), stride) = (local, mark.relay_group_size as usize) else {
             return;
         };
         let forwarded = message::Mark {
-            relay: 0,
+            relay_group_size: 0,
             ..mark.clone()
         };
         let group = (1..).map(|n| local + n).take(stride - 1);
@@ -65,7 +65,7 @@
             key: update.key.clone(),
             version: update.version,
             body: update.body.clone(),
-            relay: if stride > 1 { stride as u32 } else { 0 },
+            relay_group_size: if stride > 1 { stride as u32 } else { 0 },
         };
         let first_receivers = view.members.iter().step_by(stride);
         for member in first_receivers.filter(|member| member.vm != view.local) {
--- a/crates/geraniumgauge/src/quarantine/persist.rs
+++ b/crates/geraniumgauge/src/quarantine/persist.rs
@@ -75,11 +75,11 @@
     }
 
     async fn load_all(&self) {
-        let Ok(listing) = self.inner.store.list(trial::PREFIX).await else {
+        let Ok(listing) = self.inner.store.list(trial::STORE_KEY_PREFIX).await else {
             return;
         };
         for change in listing.changes {
-            let Some(name) = change.key.strip_prefix(trial::PREFIX) else {
+            let Some(name) = change.key.strip_prefix(trial::STORE_KEY_PREFIX) else {
                 continue;
             };
             let Ok(service) = name.parse::<ids::Service>() else {
--- a/crates/geraniumgauge/src/quarantine/trial.rs
+++ b/crates/geraniumgauge/src/quarantine/trial.rs
@@ -20,13 +20,14 @@
 
 /// Returns the key of a service's object in the store.
 pub fn key(service: &ids::Service) -> String {
-    format!("{PREFIX}{service}")
+    format!("{STORE_KEY_PREFIX}{service}")
 }
 
-/// Prefix of the keys of all services' objects.
-pub const PREFIX: &str = "quarantine/";
+/// Store key prefix of the services' quarantine objects.
+pub const STORE_KEY_PREFIX: &str = "quarantine/";
 
-/// Content of a service's object in the store.
+/// Content of the store object `quarantine/{service}`: what all VMs know of the
+/// service's suspect requests and their trials.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(default)]
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -14,8 +14,8 @@
 /// How long an upstream whose registration vanished without a drain may still be used
 /// if its service has no other. Registrations that lapsed during a store outage
 /// reappear within about two seconds of its end; until then a missing one doesn't
-/// mean that the upstream is gone. Must be well below the time allowed until requests
-/// to a departed upstream have stopped.
+/// mean that the upstream is gone. Must be well below the time within which requests to
+/// an upstream that has left must stop.
 pub const VANISHED_GRACE: time::Duration = time::Duration::from_millis(2000);
 
 /// The placeholder service of upstreams that are known only from other VMs' calls.
--- a/crates/geraniumgauge/src/route/mod.rs
+++ b/crates/geraniumgauge/src/route/mod.rs
@@ -106,9 +106,11 @@
     pub attempts: u32,
     /// Maximum time until the final answer.
     pub timeout: time::Duration,
-    /// Time within which an answer is worth the most.
+    /// Time within which a request should be answered. Hedges are timed by it, and a
+    /// sharded answer may be sent at it without its late shards.
     pub latency_target: time::Duration,
-    /// Priority of the route. 0 comes first.
+    /// Priority of the route, 0 being the highest. It is read from the configuration
+    /// but doesn't affect how requests are handled.
     pub priority: u32,
     /// The services that the requests go to.
     pub target: Target,
--- a/crates/geraniumgauge/src/slo/report.rs
+++ b/crates/geraniumgauge/src/slo/report.rs
@@ -20,8 +20,8 @@
     ("3 days", time::Duration::from_secs(72 * 3600)),
 ];
 
-/// Burn rate that needs immediate attention if both short windows reach it: at this
-/// rate the budget of three days is spent in five hours.
+/// Burn rate that needs immediate attention if the two shortest windows, 5 min and 1 h,
+/// both reach it: at this rate the budget of three days is spent in five hours.
 pub const FAST_BURN_RATE: f64 = 14.4;
 
 /// Burn rates of a service's objectives.
@@ -57,7 +57,8 @@
     pub windows: Vec<Window>,
     /// Remaining part of the longest window's budget; negative if overspent.
     pub budget_left: f64,
-    /// Set if both short windows burn at [`FAST_BURN_RATE`] or more.
+    /// Set if the two shortest windows both have a burn rate of at least
+    /// [`FAST_BURN_RATE`].
     pub fast: bool,
     /// Returns the number of bad and of all events in counts.
     #[serde(skip)]
--- a/crates/geraniumgauge/src/spread/admission.rs
+++ b/crates/geraniumgauge/src/spread/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of answers to other VMs: at most as many at a time as the link carries
-//! in a short time.
+//! Admission of answers to other VMs: at most as many at a time as this VM's outgoing
+//! bandwidth carries in a short time.
 //!
 //! VMs learn of a change at the same moment and ask at the same moment. If all were
-//! answered at once, each would get a small share of the link and no answer would
+//! answered at once, each would get a small share of the bandwidth and no answer would
 //! arrive in time. So the first ones get a full answer, and the others are
 //! redirected to those.
 
@@ -13,7 +13,7 @@
 use crate::rate;
 use crate::time as clock;
 
-/// Most time that the link may need for the answers in progress. Requesters wait
+/// Longest time that sending the answers in progress may take. Requesters wait
 /// several times as long.
 const MAX_BACKLOG: time::Duration = time::Duration::from_millis(400);
 /// Largest answer that is always sent, such as one with a few changes.
@@ -31,7 +31,7 @@
 /// Most VMs that a redirect names.
 const MAX_NAMED: usize = 8;
 
-/// Redirect of a requester, sent by a VM whose link has no capacity.
+/// Redirect of a requester, sent by a VM whose bandwidth for answers is used up.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Redirect {
     /// VMs that were served recently, the latest first.
@@ -40,9 +40,9 @@
     pub retry_after: time::Duration,
 }
 
-/// Identifies the part of the link that one answer has reserved.
+/// Identifies the bandwidth that is reserved for one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(u64);
+pub struct ReservationId(u64);
 
 /// An answer in progress.
 #[derive(Debug)]
@@ -55,8 +55,9 @@
 /// Admission of the answers that one VM sends.
 #[derive(Debug)]
 pub(super) struct Admission {
-    link: rate::BytesPerSecond,
-    running: collections::BTreeMap<Ticket, Running>,
+    /// Outgoing bandwidth of this VM.
+    bandwidth: rate::BytesPerSecond,
+    running: collections::BTreeMap<ReservationId, Running>,
     /// Number of answers that were started.
     started: u64,
     served: collections::VecDeque<net::SocketAddr>,
@@ -67,10 +68,10 @@
 }
 
 impl Admission {
-    /// Creates the admission for a link of the given bandwidth.
-    pub(super) fn new(link: rate::BytesPerSecond, now: clock::Moment) -> Self {
+    /// Creates the admission for a VM with the given outgoing bandwidth.
+    pub(super) fn new(bandwidth: rate::BytesPerSecond, now: clock::Moment) -> Self {
         Self {
-            link,
+            bandwidth,
             running: collections::BTreeMap::new(),
             started: 0,
             served: collections::VecDeque::new(),
@@ -87,7 +88,7 @@
 
     /// Starts to send an answer of `size` bytes to the VM at `to`, unless too much
     /// is in progress or the VM has to wait for others to be served first
-    /// (`waits`). One answer is always admitted, however large. Returns the ticket
+    /// (`must_wait`). One answer is always admitted, however large. Returns the reservation
     /// to pass to [`Self::end`], or `None` for a small answer.
     ///
     /// # Errors
@@ -99,7 +100,7 @@
         size: rate::Bytes,
         must_wait: bool,
         now: clock::Moment,
-    ) -> Result<Option<Ticket>, Redirect> {
+    ) -> Result<Option<ReservationId>, Redirect> {
         if size <= MAX_SMALL_ANSWER {
             return Ok(None);
         }
@@ -125,15 +126,16 @@
         self.waiting.retain(|vm| *vm != to);
         let since = now;
         self.started += 1;
-        let ticket = Ticket(self.started);
-        self.running.insert(ticket, Running { to, size, since });
-        Ok(Some(ticket))
+        let reservation = ReservationId(self.started);
+        self.running
+            .insert(reservation, Running { to, size, since });
+        Ok(Some(reservation))
     }
 
     /// Ends an answer that was sent or abandoned. Returns the waiting VMs to notify
-    /// of the free capacity; `None` if the ticket has already ended or expired.
-    pub(super) fn end(&mut self, ticket: Ticket) -> Option<Vec<net::SocketAddr>> {
-        let Running { to, .. } = self.running.remove(&ticket)?;
+    /// of the free capacity; `None` if the reservation has already ended or expired.
+    pub(super) fn end(&mut self, reservation: ReservationId) -> Option<Vec<net::SocketAddr>> {
+        let Running { to, .. } = self.running.remove(&reservation)?;
         self.served.retain(|vm| *vm != to);
         self.served.push_front(to);
         self.served.truncate(MAX_NAMED);
@@ -160,7 +162,7 @@
     }
 
     fn transfer_time(&self, size: rate::Bytes) -> time::Duration {
-        let seconds = size.0 as f64 / self.link.0;
+        let seconds = size.0 as f64 / self.bandwidth.0;
         time::Duration::try_from_secs_f64(seconds).unwrap_or(ANSWER_TIMEOUT)
     }
 }
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -40,8 +40,9 @@
         self.0.content.borrow().registrations.revision()
     }
 
-    /// Returns the answer to another VM's request, and the reservation of its link.
-    /// If the link has no capacity, the answer only contains what is small.
+    /// Returns the answer to another VM's request, and the reservation of
+    /// bandwidth for it. If the bandwidth is used up, the answer only contains what is
+    /// small.
     pub fn answer(&self, fetch: &spread::Fetch) -> (spread::Answer, Option<spread::Slot>) {
         let mut answer = self.handle(|state, now| state.answer(fetch, now));
         if fetch.members_only {
@@ -66,7 +67,7 @@
                 log::info!(
                     asker:% = fetch.member.vm, bytes = size, named = redirect.vms.len(),
                     after_ms = clock::millis(redirect.retry_after);
-                    "no capacity on the link for an answer; redirected the VM"
+                    "no bandwidth left for an answer; redirected the VM"
                 );
                 answer.redirect = Some(redirect);
                 (answer, None)
--- a/crates/geraniumgauge/src/spread/mod.rs
+++ b/crates/geraniumgauge/src/spread/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) mod wire;
 
 pub use admission::Redirect;
-pub use admission::Ticket;
+pub use admission::ReservationId;
 pub use member::Member;
 pub use member::Members;
 pub use service::Listener;
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -26,7 +26,8 @@
 /// that doesn't know the suspect may crash another upstream with it.
 const RESEND_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// Receives what is distributed, and sends requests to other VMs.
+/// Applies received configuration, registrations and views on this VM, and sends
+/// fetches to other VMs.
 #[expect(async_fn_in_trait, reason = "everything runs on one thread")]
 pub trait Listener: 'static {
     /// Applies a configuration that is newer than the one before.
@@ -53,7 +54,8 @@
     ) -> io::Result<spread::Answer>;
 }
 
-/// A reserved part of the link for an answer. Dropping it releases the part.
+/// A share of this VM's outgoing bandwidth, reserved for an answer. Dropping it
+/// releases the share.
 #[derive(derive_more::Debug)]
 #[debug("Slot")]
 pub struct Slot(Box<dyn Fn()>);
@@ -277,24 +279,24 @@
         self.handle(|state, now| state.receive(from, datagram, now));
     }
 
-    /// Reserves part of the link for the answer to a request; `None` if the answer
+    /// Reserves outgoing bandwidth for the answer to a request; `None` if the answer
     /// is small.
     ///
     /// # Errors
     ///
-    /// Returns where to ask instead if the link has no capacity.
+    /// Returns where to ask instead if the bandwidth for answers is used up.
     pub(super) fn reserve(
         &self,
         fetch: &spread::Fetch,
         size: rate::Bytes,
     ) -> Result<Option<Slot>, spread::Redirect> {
         let now = self.clock().now();
-        let ticket = self.0.state.borrow_mut().admit(fetch, size, now)?;
-        Ok(ticket.map(|ticket| {
+        let reservation = self.0.state.borrow_mut().admit(fetch, size, now)?;
+        Ok(reservation.map(|reservation| {
             let service = self.clone();
             Slot(Box::new(move || {
                 let now = service.clock().now();
-                service.0.state.borrow_mut().release(ticket, now);
+                service.0.state.borrow_mut().release(reservation, now);
                 service.0.wake.notify_one();
             }))
         }))
--- a/crates/geraniumgauge/src/spread/state/broadcast.rs
+++ b/crates/geraniumgauge/src/spread/state/broadcast.rs
@@ -163,7 +163,7 @@
     }
 
     /// Notifies some VMs of this data centre that this one has a configuration that
-    /// they may wait for, and capacity on its link.
+    /// they may wait for, and bandwidth for sending it.
     pub(super) fn offer(&mut self, count: usize, now: clock::Moment) {
         let own = self.members.own().data_centre.clone();
         let others = self.members.others();
--- a/crates/geraniumgauge/src/spread/state/fetch.rs
+++ b/crates/geraniumgauge/src/spread/state/fetch.rs
@@ -99,7 +99,7 @@
 
     /// Requests missing content from the sender of an update. If another VM has
     /// already been asked, it gets some time first, since two answers would share
-    /// this VM's link. A VM that has no content yet doesn't wait, because the other
+    /// this VM's bandwidth. A VM that has no content yet doesn't wait, because the other
     /// VM may be down.
     pub(super) fn fetch_content(&mut self, from: net::SocketAddr, now: clock::Moment) {
         let fetches = &self.pending.fetches;
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Handles the answer of a VM that has newer content but no capacity on its
-    /// link: schedules a request to one of the VMs that it has served, or to itself
-    /// once it has capacity.
+    /// Handles the answer of a VM that has newer content but no bandwidth left
+    /// for it: schedules a request to one of the VMs that it has served, or to itself
+    /// once it has bandwidth again.
     fn follow_redirect(
         &mut self,
         from: net::SocketAddr,
@@ -275,21 +275,21 @@
         }
     }
 
-    /// Admits an answer of `size` bytes to a request. A returned ticket reserves
-    /// part of the link until [`Self::release`] is called; small answers need none.
+    /// Admits an answer of `size` bytes to a request. A returned reservation
+    /// holds bandwidth until [`Self::release`] is called; small answers need none.
     /// VMs that serve more VMs than most are admitted first: those with more cores,
     /// and those that fetch for another data centre. So are VMs that have no
     /// content yet.
     ///
     /// # Errors
     ///
-    /// Returns where to ask instead if the link has no capacity.
+    /// Returns where to ask instead if the bandwidth for answers is used up.
     pub fn admit(
         &mut self,
         fetch: &spread::Fetch,
         size: rate::Bytes,
         now: clock::Moment,
-    ) -> Result<Option<spread::Ticket>, spread::Redirect> {
+    ) -> Result<Option<spread::ReservationId>, spread::Redirect> {
         let requester = &fetch.member;
         let has_config = fetch.position.config.is_some();
         let new = self.answers.is_content_new(now);
@@ -315,10 +315,10 @@
         more && local.all(|vm| vm.cores >= requester.cores)
     }
 
-    /// Releases the part of the link that an answer used, once it has been sent or
+    /// Releases the bandwidth that was reserved for an answer, once it has been sent or
     /// abandoned.
-    pub fn release(&mut self, ticket: spread::Ticket, now: clock::Moment) {
-        let Some(waiting) = self.answers.end(ticket) else {
+    pub fn release(&mut self, reservation: spread::ReservationId, now: clock::Moment) {
+        let Some(waiting) = self.answers.end(reservation) else {
             return;
         };
         if waiting.is_empty() {
--- a/crates/geraniumgauge/src/spread/state/mod.rs
+++ b/crates/geraniumgauge/src/spread/state/mod.rs
@@ -186,14 +186,14 @@
 }
 
 impl State {
-    /// Creates the state of a VM that knows no other VM, with a link of the given
+    /// Creates the state of a VM that knows no other VM, with the given outgoing
     /// bandwidth. `seeds` are addresses that may belong to other VMs; `seed`
     /// initializes the random choices.
     pub fn new(
         own: spread::Member,
         poll_interval: time::Duration,
         seeds: Vec<net::SocketAddr>,
-        link: rate::BytesPerSecond,
+        bandwidth: rate::BytesPerSecond,
         seed: u64,
         now: clock::Moment,
     ) -> Self {
@@ -229,7 +229,7 @@
             scheduled_fetch: None,
             comparison: None,
             deferred: None,
-            answers: admission::Admission::new(link, now),
+            answers: admission::Admission::new(bandwidth, now),
             backup: None,
             broadcast_at: None,
             last_broadcast: None,
--- a/crates/geraniumgauge/src/spread/tests/admission.rs
+++ b/crates/geraniumgauge/src/spread/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of answers that share a link.
+//! Admission of answers that share a VM's bandwidth.
 
 use std::net;
 use std::time;
@@ -19,11 +19,15 @@
     clock::Moment::from_millis(millis)
 }
 
-/// Starts an answer for which the link has capacity, and returns its ticket.
-fn begin(admission: &mut admission::Admission, to: u8, now: clock::Moment) -> spread::Ticket {
+/// Starts an answer for which there is bandwidth, and returns its reservation.
+fn begin(
+    admission: &mut admission::Admission,
+    to: u8,
+    now: clock::Moment,
+) -> spread::ReservationId {
     let started = admission.begin(vm(to), LARGE, false, now);
-    let ticket = started.expect("capacity on the link");
-    ticket.expect("a large answer needs a ticket")
+    let reservation = started.expect("bandwidth for an answer");
+    reservation.expect("a large answer needs a reservation")
 }
 
 #[test]
@@ -55,7 +59,7 @@
     assert!(admission.begin(vm(2), LARGE, false, at(1000)).is_err());
 }
 
-/// Guards against a VM that lost power after its request and blocks the link
+/// Guards against a VM that lost power after its request and blocks the bandwidth
 /// forever.
 #[test]
 fn an_abandoned_answer_releases_its_part_of_the_link() {
@@ -71,14 +75,16 @@
     let mut admission = admission::Admission::new(LINK, at(0));
     let half = rate::Bytes(LARGE.0 / 2);
     let first = admission.begin(vm(1), half, false, at(1000));
-    let first = first.expect("capacity on the link").expect("a ticket");
+    let first = first
+        .expect("bandwidth for an answer")
+        .expect("a reservation");
     assert!(admission.begin(vm(1), half, false, at(1000)).is_ok());
     assert!(admission.end(first).is_some());
     assert_eq!(admission.end(first), None);
     assert!(admission.begin(vm(2), LARGE, false, at(1000)).is_err());
 }
 
-/// Guards against VMs with few cores that fill the link before VMs that serve many
+/// Guards against VMs with few cores that use up the bandwidth before VMs that serve many
 /// others are admitted.
 #[test]
 fn vms_that_serve_more_vms_are_admitted_first() {
--- a/crates/geraniumgauge/src/spread/tests/world/answers.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/answers.rs
@@ -27,12 +27,12 @@
         };
         let known = &mut self.vms[vm];
         match known.state.admit(fetch, size, self.now) {
-            Ok(Some(ticket)) => {
+            Ok(Some(reservation)) => {
                 let transfer = links::Transfer {
                     to,
                     request,
                     answer,
-                    ticket,
+                    reservation,
                     bytes_left: self.size,
                 };
                 known.link.begin(transfer, self.now);
@@ -68,7 +68,7 @@
     /// Closes the connection of a request on the requester's side.
     pub(super) fn close_request(&mut self, vm: usize, request: u64) {
         if let Some(transfer) = self.vms[vm].link.abort(request, self.now) {
-            self.vms[vm].state.release(transfer.ticket, self.now);
+            self.vms[vm].state.release(transfer.reservation, self.now);
             self.advance(vm);
             self.send_next(vm);
         }
--- a/crates/geraniumgauge/src/spread/tests/world/links.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/links.rs
@@ -37,8 +37,8 @@
     /// Number of the request.
     pub(crate) request: u64,
     pub(crate) answer: spread::Answer,
-    /// Part of the link that the sender's state has reserved.
-    pub(crate) ticket: spread::Ticket,
+    /// Bandwidth that the sender's state has reserved.
+    pub(crate) reservation: spread::ReservationId,
     /// Bytes that are left to send.
     pub(crate) bytes_left: f64,
 }
--- a/crates/geraniumgauge/src/spread/tests/world/mod.rs
+++ b/crates/geraniumgauge/src/spread/tests/world/mod.rs
@@ -293,7 +293,7 @@
             }
             Event::Transferred(generation) => {
                 for transfer in self.vms[vm].link.take_complete(generation, now) {
-                    self.vms[vm].state.release(transfer.ticket, now);
+                    self.vms[vm].state.release(transfer.reservation, now);
                     self.deliver(vm, transfer.to, transfer.request, transfer.answer);
                 }
                 self.send_next(vm);
--- a/crates/geraniumgauge/src/spread/update.rs
+++ b/crates/geraniumgauge/src/spread/update.rs
@@ -112,8 +112,8 @@
     pub config: Option<String>,
     /// Registrations that the requester lacks.
     pub registrations: Option<spread::Registrations>,
-    /// Where to ask for content that this answer leaves out because the link has no
-    /// capacity.
+    /// Where to ask for content that this answer leaves out because the
+    /// sender's bandwidth for answers is used up.
     pub redirect: Option<spread::Redirect>,
 }
 
--- a/crates/geraniumgauge/src/store/objects.rs
+++ b/crates/geraniumgauge/src/store/objects.rs
@@ -6,7 +6,8 @@
 use crate::ids;
 use crate::store;
 
-/// Versioned objects in memory.
+/// An in-memory object store with versions and conditional writes. Fake stores are made
+/// from it.
 #[derive(Debug, Clone, Default)]
 pub struct Objects {
     revision: ids::Revision,
--- a/crates/geraniumgauge/src/upstream/reply.rs
+++ b/crates/geraniumgauge/src/upstream/reply.rs
@@ -28,7 +28,8 @@
     /// The connection broke after the call may have been sent.
     #[display("lost")]
     Lost,
-    /// The reply belongs to another call, or its body is too large.
+    /// The reply can't be used and the connection must be closed: it belongs to another
+    /// call, or its body is too large.
     #[display("crossed")]
     Crossed,
     /// The upstream reports an error.
--- a/crates/geraniumgauge/src/vm/config.rs
+++ b/crates/geraniumgauge/src/vm/config.rs
@@ -36,7 +36,7 @@
     /// Delay between reporting that the VM is not ready and waiting for its requests to
     /// end. It gives the balancer time to stop sending requests.
     pub balancer_wait: time::Duration,
-    /// Longest wait for running requests after that.
+    /// Longest wait, after `balancer_wait`, for running requests to end.
     pub grace: time::Duration,
 }
 
--- a/crates/geraniumgauge/src/vm/wiring.rs
+++ b/crates/geraniumgauge/src/vm/wiring.rs
@@ -126,7 +126,7 @@
         receiver: sync::Arc<dyn mesh::Receiver>,
     ) -> sync::Arc<mesh::Mesh> {
         let mut config = mesh::Config::new(self.config.vm.clone(), self.incarnation, listener);
-        config.frame_bytes = usize::try_from(self.config.max_frame.0).unwrap_or(usize::MAX);
+        config.max_frame_bytes = usize::try_from(self.config.max_frame.0).unwrap_or(usize::MAX);
         mesh::Mesh::start(
             config,
             member.view(),
