--- a/crates/geraniumgauge/src/document/keeper_task.rs
+++ b/crates/geraniumgauge/src/document/keeper_task.rs
@@ -45,7 +45,11 @@
     checks: channel::mpsc::Receiver<ids::Service>,
 ) {
     let (updates, texts) = channel::mpsc::channel(8);
-    tokio::spawn(load::follow(inner.clone(), document::TEXTS, updates));
+    tokio::spawn(load::follow(
+        inner.clone(),
+        document::DOCUMENT_PREFIX,
+        updates,
+    ));
     let worker = Worker {
         inner: inner.clone(),
         due: collections::BTreeMap::new(),
@@ -334,7 +338,7 @@
 }
 
 fn service_of(change: &store::Change) -> Option<(ids::Service, ids::ObjectVersion)> {
-    let name = change.key.strip_prefix(document::TEXTS)?;
+    let name = change.key.strip_prefix(document::DOCUMENT_PREFIX)?;
     Some((name.parse().ok()?, change.version))
 }
 
--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -316,7 +316,7 @@
 
 fn prefix(kind: held::Kind) -> &'static str {
     match kind {
-        held::Kind::Document => document::ACCEPTED,
-        held::Kind::Layout => document::LAYOUTS,
+        held::Kind::Document => document::ACCEPTED_PREFIX,
+        held::Kind::Layout => document::LAYOUT_PREFIX,
     }
 }
--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -52,22 +52,22 @@
 use crate::ids;
 
 /// Store key prefix of the documents as the teams wrote them.
-pub const TEXTS: &str = "documents/";
+pub const DOCUMENT_PREFIX: &str = "documents/";
 /// Store key prefix of the documents in force, as [`Accepted`] stores them.
-pub const ACCEPTED: &str = "accepted/";
+pub const ACCEPTED_PREFIX: &str = "accepted/";
 /// Store key prefix of the status objects.
 pub const STATUS: &str = "status/";
 /// Store key prefix of the layouts.
-pub const LAYOUTS: &str = "layouts/";
+pub const LAYOUT_PREFIX: &str = "layouts/";
 
 /// Returns the store key of a service's document as its team wrote it.
 pub fn text_key(service: &ids::Service) -> String {
-    format!("{TEXTS}{service}")
+    format!("{DOCUMENT_PREFIX}{service}")
 }
 
 /// Returns the store key of a service's accepted record.
 pub fn accepted_key(service: &ids::Service) -> String {
-    format!("{ACCEPTED}{service}")
+    format!("{ACCEPTED_PREFIX}{service}")
 }
 
 /// Returns the store key of a service's status.
--- a/crates/geraniumgauge/src/edge/call.rs
+++ b/crates/geraniumgauge/src/edge/call.rs
@@ -72,7 +72,7 @@
         if reply.not_run {
             return forward::Verdict::NotRun;
         }
-        if reply.coded || !signed && success {
+        if reply.has_content_encoding || !signed && success {
             return forward::Verdict::Lost;
         }
         // A status below 500 concerns the request itself, so another upstream would
--- a/crates/geraniumgauge/src/edge/caller.rs
+++ b/crates/geraniumgauge/src/edge/caller.rs
@@ -289,7 +289,7 @@
         let status = match error {
             h1::Error::HeadTooLarge(_) => 431,
             h1::Error::BodyTooLarge(_) => 413,
-            h1::Error::Coding => 501,
+            h1::Error::UnsupportedTransferCoding => 501,
             h1::Error::Malformed(_) | h1::Error::Io(_) => 400,
         };
         self.answer("", true).plain(status, "bad_request")
--- a/crates/geraniumgauge/src/edge/frame.rs
+++ b/crates/geraniumgauge/src/edge/frame.rs
@@ -250,7 +250,7 @@
     /// Not sent: the relay doesn't know the upstream.
     Unknown = 6,
     /// Not sent: the relay's allowance of extra calls is used up.
-    Unpaid = 7,
+    NoBudget = 7,
     /// Not sent: the relay advises against the upstream, see [`End::advice`].
     Advised = 8,
 }
--- a/crates/geraniumgauge/src/edge/instruments.rs
+++ b/crates/geraniumgauge/src/edge/instruments.rs
@@ -78,8 +78,8 @@
     }
 
     /// Counts a call that begins.
-    pub fn call(&self, why: forward::Why) {
-        self.calls.add(1, &[KeyValue::new("why", why.name())]);
+    pub fn call(&self, reason: forward::CallReason) {
+        self.calls.add(1, &[KeyValue::new("why", reason.name())]);
     }
 
     /// Records a call that ended.
--- a/crates/geraniumgauge/src/edge/state/mod.rs
+++ b/crates/geraniumgauge/src/edge/state/mod.rs
@@ -231,7 +231,7 @@
             match action {
                 forward::Action::Send(send) => sends.push(send),
                 forward::Action::Abandon(call) => self.abandon(call, now),
-                forward::Action::Silent(call) => self.relay_silent(call),
+                forward::Action::ReportSilentRelay(call) => self.relay_silent(call),
                 forward::Action::Finish(outcome) => {
                     if let Some(running) = self.running.get_mut(&id) {
                         running.outcome = Some(outcome);
@@ -318,7 +318,7 @@
         let Some(running) = self.running.get(&job) else {
             return;
         };
-        self.instruments.call(send.why);
+        self.instruments.call(send.reason);
         let message = running.message.clone();
         let owner = call::Owner::of(job, &send);
         let typical_call_time = running.job.latency().median();
@@ -331,13 +331,13 @@
 
     /// Logs a call unless it is the first one for its part.
     fn log_extra_call(&self, message: &call::Message, send: &forward::Send, now: clock::Moment) {
-        if send.why == forward::Why::First {
+        if send.reason == forward::CallReason::First {
             return;
         }
         let entry = &self.fleet.registry.get(send.upstream).entry;
         log::info!(
             request = message.id.as_str(), service = entry.service.as_str(),
-            upstream = entry.id.as_str(), why:% = send.why, payer:% = send.payer,
+            upstream = entry.id.as_str(), why:% = send.reason, payer:% = send.charged_vm,
             left_ms = now.until(message.deadline).as_millis() as u64;
             "extra call"
         );
@@ -357,7 +357,7 @@
         forward::Verdict::Misdirected => "misdirected",
         forward::Verdict::NotSent => "not_sent",
         forward::Verdict::Advised(_) => "advised",
-        forward::Verdict::Unpaid => "unpaid",
+        forward::Verdict::NoBudget => "unpaid",
         forward::Verdict::Lost => "lost",
     }
 }
--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -46,7 +46,7 @@
 struct Group {
     data_centre: ids::DataCentre,
     first: bool,
-    payer: forward::Payer,
+    charged_vm: forward::ChargedVm,
     mandatory: bool,
 }
 
@@ -75,14 +75,14 @@
             let upstream = &self.fleet.registry.get(send.upstream).entry;
             let group = Group {
                 data_centre: upstream.data_centre.clone(),
-                first: send.why == forward::Why::First,
-                payer: send.payer,
+                first: send.reason == forward::CallReason::First,
+                charged_vm: send.charged_vm,
                 mandatory: send.mandatory,
             };
             // An extra call that is charged to this VM's budget is made directly if
             // this VM can make the search's calls itself or has an idle connection to
             // the upstream.
-            let charged_here = send.payer == forward::Payer::Own;
+            let charged_here = send.charged_vm == forward::ChargedVm::Own;
             if !group.first
                 && charged_here
                 && (!exceeds_own_capacity || self.has_idle_connection(send.upstream))
@@ -109,16 +109,17 @@
                 Some(address) => self.send_batch(job, address, sends, &group, now),
                 None => sends,
             };
-            match group.payer {
-                forward::Payer::Own => own.extend(remaining),
-                forward::Payer::Relay => self.end_unpaid(job, remaining, now),
+            match group.charged_vm {
+                forward::ChargedVm::Own => own.extend(remaining),
+                forward::ChargedVm::Relay => self.end_without_budget(job, remaining, now),
             }
         }
         own
     }
 
-    /// Ends calls as unpaid: a relay was to pay for them and none is available.
-    fn end_unpaid(&mut self, job: u64, sends: Vec<forward::Send>, now: clock::Moment) {
+    /// Ends calls that no budget allows: they were to be charged to a relay, and none is
+    /// available.
+    fn end_without_budget(&mut self, job: u64, sends: Vec<forward::Send>, now: clock::Moment) {
         let Some(running) = self.running.get(&job) else {
             return;
         };
@@ -134,7 +135,7 @@
                 now,
             );
             self.calls.insert(send.call, call);
-            self.end(send.call, forward::Verdict::Unpaid, now);
+            self.end(send.call, forward::Verdict::NoBudget, now);
         }
     }
 
@@ -182,7 +183,7 @@
                 })
                 .collect(),
             first: group.first,
-            charge_relay: group.payer == forward::Payer::Relay,
+            charge_relay: group.charged_vm == forward::ChargedVm::Relay,
             typical_us: clock::micros(typical_call_time),
             mandatory: group.mandatory,
         };
@@ -197,7 +198,7 @@
             .job
             .delegated(&sends, merge_after + self.relays.lateness());
         for send in sends {
-            self.instruments.call(send.why);
+            self.instruments.call(send.reason);
             self.log_extra_call(&message, &send, now);
             let owner = call::Owner::of(job, &send);
             let mut call = call::Call::new(
--- a/crates/geraniumgauge/src/edge/state/report.rs
+++ b/crates/geraniumgauge/src/edge/state/report.rs
@@ -54,7 +54,7 @@
                 frame::How::NotRun => forward::Verdict::NotRun,
                 frame::How::Misdirected => forward::Verdict::Misdirected,
                 frame::How::NotSent => forward::Verdict::NotSent,
-                frame::How::Unpaid => forward::Verdict::Unpaid,
+                frame::How::NoBudget => forward::Verdict::NoBudget,
                 frame::How::Advised => forward::Verdict::Advised(end.advice()),
                 frame::How::Unknown => {
                     self.relays.lacked_upstream(address, now);
--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -178,8 +178,8 @@
         {
             return Err(frame::End::advised(requested.id, advice));
         }
-        if !self.is_paid(upstream, terms, now) {
-            return Err(frame::End::new(requested.id, frame::How::Unpaid));
+        if !self.is_allowed(upstream, terms, now) {
+            return Err(frame::End::new(requested.id, frame::How::NoBudget));
         }
         let id = self.fleet.next_call();
         if let Some(batch) = self.peers.batches.get_mut(&batch) {
@@ -204,9 +204,9 @@
         Ok(())
     }
 
-    /// Counts a requester's first call to an upstream. Returns whether the call is
-    /// paid for: by the requester, or from this VM's allowance.
-    fn is_paid(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
+    /// Counts a requester's first call to an upstream. Returns whether a budget allows
+    /// the call: the requester's, unless this VM's is to be charged.
+    fn is_allowed(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
         if terms.first {
             self.fleet.count_relayed_request(upstream, now);
         }
@@ -261,7 +261,7 @@
             forward::Verdict::NotRun => (frame::How::NotRun, None),
             forward::Verdict::Misdirected => (frame::How::Misdirected, None),
             forward::Verdict::NotSent => (frame::How::NotSent, None),
-            forward::Verdict::Unpaid => (frame::How::Unpaid, None),
+            forward::Verdict::NoBudget => (frame::How::NoBudget, None),
             forward::Verdict::Advised(_) => (frame::How::Advised, None),
             forward::Verdict::Lost => (frame::How::Lost, None),
         };
--- a/crates/geraniumgauge/src/forward/allowance.rs
+++ b/crates/geraniumgauge/src/forward/allowance.rs
@@ -80,7 +80,7 @@
 /// The VM whose budget an extra call is charged to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
-pub enum Payer {
+pub enum ChargedVm {
     /// This VM.
     #[display("own")]
     Own,
@@ -145,18 +145,18 @@
         service: &ids::Service,
         policy: &forward::Policy,
         now: clock::Moment,
-    ) -> Option<Payer> {
+    ) -> Option<ChargedVm> {
         let share = self.shares.own;
         let own = self
             .own
             .of(service, |budget| budget.take_extra(policy, share, now));
         if own || self.take_extra_for_other(service, policy, now) {
-            return Some(Payer::Own);
+            return Some(ChargedVm::Own);
         }
-        Some(Payer::Relay).filter(|_| self.shares.may_ask)
+        Some(ChargedVm::Relay).filter(|_| self.shares.may_ask)
     }
 
-    /// Removes an own extra call that was charged at `paid` but wasn't made. If
+    /// Removes an own extra call that was charged at `charged_at` but wasn't made. If
     /// the shared budget was charged, the call is removed from the own budget
     /// instead, provided that one was charged at that time. The sum of both
     /// stays correct.
@@ -164,11 +164,11 @@
         &mut self,
         service: &ids::Service,
         policy: &forward::Policy,
-        paid: clock::Moment,
+        charged_at: clock::Moment,
         now: clock::Moment,
     ) {
         self.own
-            .of(service, |budget| budget.refund(policy, paid, now));
+            .of(service, |budget| budget.refund(policy, charged_at, now));
     }
 
     /// Charges an extra call to the shared budget. Returns whether the budget
--- a/crates/geraniumgauge/src/forward/budget.rs
+++ b/crates/geraniumgauge/src/forward/budget.rs
@@ -98,12 +98,17 @@
         true
     }
 
-    /// Removes an extra call that was counted at `paid` but wasn't made.
-    pub fn refund(&mut self, policy: &forward::Policy, paid: clock::Moment, now: clock::Moment) {
+    /// Removes an extra call that was counted at `charged_at` but wasn't made.
+    pub fn refund(
+        &mut self,
+        policy: &forward::Policy,
+        charged_at: clock::Moment,
+        now: clock::Moment,
+    ) {
         self.advance(policy.extra_window, now);
         let age = self
             .bucket
-            .saturating_sub(Self::bucket_of(policy.extra_window, paid));
+            .saturating_sub(Self::bucket_of(policy.extra_window, charged_at));
         if let Some(age) = usize::try_from(age).ok().filter(|age| *age < BUCKETS) {
             let index = self.index(age);
             self.extras[index] = self.extras[index].saturating_sub(1);
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -134,13 +134,19 @@
         &mut self,
         service: &ids::Service,
         now: clock::Moment,
-    ) -> Option<forward::Payer> {
+    ) -> Option<forward::ChargedVm> {
         self.allowance.take_extra(service, &self.policy, now)
     }
 
-    /// Removes an extra call that was charged at `paid` but wasn't made.
-    pub fn refund(&mut self, service: &ids::Service, paid: clock::Moment, now: clock::Moment) {
-        self.allowance.refund(service, &self.policy, paid, now);
+    /// Removes an extra call that was charged at `charged_at` but wasn't made.
+    pub fn refund(
+        &mut self,
+        service: &ids::Service,
+        charged_at: clock::Moment,
+        now: clock::Moment,
+    ) {
+        self.allowance
+            .refund(service, &self.policy, charged_at, now);
     }
 
     /// Counts a request of another VM whose first call this VM makes.
@@ -261,7 +267,7 @@
             forward::Verdict::NotRun => health.mark_full(forward::NO_CAPACITY_DELAY, now),
             forward::Verdict::Misdirected => health.mark_misdirected(),
             forward::Verdict::Advised(advice) => health.apply_advice(*advice, now),
-            forward::Verdict::NotSent | forward::Verdict::Unpaid => {}
+            forward::Verdict::NotSent | forward::Verdict::NoBudget => {}
         }
     }
 
--- a/crates/geraniumgauge/src/forward/job/calls.rs
+++ b/crates/geraniumgauge/src/forward/job/calls.rs
@@ -44,7 +44,7 @@
     pub(super) fn call(
         &mut self,
         index: usize,
-        why: forward::Why,
+        reason: forward::CallReason,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
@@ -53,13 +53,13 @@
             return self.fail_unless_called(index, forward::Reason::NoUpstream);
         };
         let part = &mut self.parts[index];
-        let payer = if part.arrivals > 0 {
+        let charged_vm = if part.arrivals > 0 {
             fleet.take_extra(&part.service, now)
         } else {
-            Some(forward::Payer::Own)
+            Some(forward::ChargedVm::Own)
         };
-        let Some(payer) = payer else {
-            part.unpaid = true;
+        let Some(charged_vm) = charged_vm else {
+            part.refused_by_budget = true;
             return self.fail_unless_called(index, forward::Reason::NoCapacity);
         };
         let id = fleet.next_call();
@@ -72,8 +72,8 @@
             upstream,
             began: now,
             progress: part::Progress::Pending,
-            why,
-            payer,
+            reason,
+            charged_vm,
         });
         part.hedge_at = None;
         let repeatable = self.entry.route.repeat == route::Repeat::Idempotent;
@@ -84,8 +84,8 @@
             call: id,
             part: index,
             upstream,
-            why,
-            payer,
+            reason,
+            charged_vm,
             mandatory: part.advised,
         }));
     }
@@ -103,7 +103,7 @@
         if part.not_run > part::MAX_NOT_RUN_CALLS {
             return self.fail_unless_called(index, forward::Reason::NoCapacity);
         }
-        self.retry(index, forward::Why::NotRun, fleet, now, actions);
+        self.retry(index, forward::CallReason::NotRun, fleet, now, actions);
     }
 
     /// Handles a relay's advice against a call: calls another upstream, or the
@@ -117,7 +117,7 @@
         actions: &mut Vec<forward::Action>,
     ) {
         let part = &mut self.parts[index];
-        if part.arrivals > 1 && call.payer == forward::Payer::Own {
+        if part.arrivals > 1 && call.charged_vm == forward::ChargedVm::Own {
             fleet.refund(&part.service, call.began, now);
         }
         part.arrivals -= 1;
@@ -130,16 +130,16 @@
         {
             part.tried.retain(|tried| *tried != call.upstream);
         }
-        self.retry(index, call.why, fleet, now, actions);
+        self.retry(index, call.reason, fleet, now, actions);
     }
 
     /// Handles an extra call that no budget allowed. The service's allowance is
     /// used up, so another attempt would get the same result.
-    pub(super) fn unpaid(&mut self, index: usize, upstream: registry::Handle) {
+    pub(super) fn refused_by_budget(&mut self, index: usize, upstream: registry::Handle) {
         let part = &mut self.parts[index];
         part.arrivals -= 1;
         part.may_have_run -= 1;
-        part.unpaid = true;
+        part.refused_by_budget = true;
         part.tried.retain(|tried| *tried != upstream);
         self.fail_unless_called(index, forward::Reason::NoCapacity);
     }
@@ -149,7 +149,7 @@
     pub(super) fn retry(
         &mut self,
         index: usize,
-        why: forward::Why,
+        reason: forward::CallReason,
         fleet: &mut forward::Fleet,
         now: clock::Moment,
         actions: &mut Vec<forward::Action>,
@@ -164,7 +164,7 @@
             route::Repeat::Once => part.may_have_run == 0,
         };
         if may_retry {
-            self.call(index, why, fleet, now, actions);
+            self.call(index, reason, fleet, now, actions);
         } else {
             self.fail_unless_called(index, forward::Reason::UpstreamsFailed);
         }
@@ -183,18 +183,18 @@
                 continue;
             }
             part.hedge_at = None;
-            let mut why = forward::Why::Hedge;
+            let mut reason = forward::CallReason::Hedge;
             for call in &part.calls {
                 match call.progress {
                     part::Progress::Pending => fleet.health(call.upstream).mark_late(),
                     // The upstream may have replied in time.
                     part::Progress::Delegated => {
-                        why = forward::Why::Silent;
-                        actions.push(forward::Action::Silent(call.id));
+                        reason = forward::CallReason::Silent;
+                        actions.push(forward::Action::ReportSilentRelay(call.id));
                     }
                 }
             }
-            self.call(index, why, fleet, now, actions);
+            self.call(index, reason, fleet, now, actions);
         }
     }
 
--- a/crates/geraniumgauge/src/forward/job/mod.rs
+++ b/crates/geraniumgauge/src/forward/job/mod.rs
@@ -163,7 +163,7 @@
             );
         }
         for index in 0..self.parts.len() {
-            self.call(index, forward::Why::First, fleet, now, actions);
+            self.call(index, forward::CallReason::First, fleet, now, actions);
         }
         self.plan_hedges();
         self.settle(actions);
@@ -207,7 +207,7 @@
             }
             forward::Verdict::Failure(reply) => {
                 part.failure = Some(reply);
-                self.retry(index, forward::Why::Failed, fleet, now, actions);
+                self.retry(index, forward::CallReason::Failed, fleet, now, actions);
             }
             forward::Verdict::NotRun => {
                 part.declined.push(call.upstream);
@@ -223,9 +223,9 @@
             forward::Verdict::Advised(_) => {
                 self.advised(index, &call, fleet, now, actions);
             }
-            forward::Verdict::Unpaid => self.unpaid(index, call.upstream),
+            forward::Verdict::NoBudget => self.refused_by_budget(index, call.upstream),
             forward::Verdict::Lost => {
-                self.retry(index, forward::Why::Failed, fleet, now, actions);
+                self.retry(index, forward::CallReason::Failed, fleet, now, actions);
             }
         }
         self.settle(actions);
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -19,7 +19,7 @@
 mod suspects;
 
 pub use allowance::Allowance;
-pub use allowance::Payer;
+pub use allowance::ChargedVm;
 pub use allowance::Shares;
 pub use allowance::SizeClass;
 pub use budget::Budget;
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display("{}", self.name())]
-pub enum Why {
+pub enum CallReason {
     /// First call of its part.
     First,
     /// The upstream of the previous call is late.
@@ -110,7 +110,7 @@
     Failed,
 }
 
-impl Why {
+impl CallReason {
     /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -131,7 +131,7 @@
     /// Stop waiting for a call whose result is no longer wanted.
     Abandon(ids::Attempt),
     /// Report that the relay that was asked to make this call doesn't respond.
-    Silent(ids::Attempt),
+    ReportSilentRelay(ids::Attempt),
     /// End the job with this outcome.
     Finish(Outcome),
 }
@@ -146,9 +146,9 @@
     /// The upstream to call.
     pub upstream: registry::Handle,
     /// The reason for making the call.
-    pub why: Why,
+    pub reason: CallReason,
     /// The VM whose budget is charged if this is an extra call.
-    pub payer: Payer,
+    pub charged_vm: ChargedVm,
     /// Set when a relay must make the call even if it would advise against it.
     pub mandatory: bool,
 }
@@ -184,7 +184,7 @@
     /// calls.
     Advised(Advice),
     /// Not made: no budget allows the extra call.
-    Unpaid,
+    NoBudget,
     /// The connection ended or the reply can't be used, so the request may have
     /// run.
     Lost,
--- a/crates/geraniumgauge/src/forward/part.rs
+++ b/crates/geraniumgauge/src/forward/part.rs
@@ -18,8 +18,8 @@
     pub(super) upstream: registry::Handle,
     pub(super) began: clock::Moment,
     pub(super) progress: Progress,
-    pub(super) why: forward::Why,
-    pub(super) payer: forward::Payer,
+    pub(super) reason: forward::CallReason,
+    pub(super) charged_vm: forward::ChargedVm,
 }
 
 /// How much is known about a call that has no reply.
@@ -48,7 +48,7 @@
 pub enum MissingReason {
     /// An extra call was needed, but the service's allowance was used up.
     #[display("unpaid")]
-    Unpaid,
+    NoBudget,
     /// No upstream could be tried.
     #[display("no_upstream")]
     NoUpstream,
@@ -82,7 +82,7 @@
     /// Set when a relay advised against a call. The next call is mandatory.
     pub(super) advised: bool,
     /// Set when an extra call was needed that no budget allowed.
-    pub(super) unpaid: bool,
+    pub(super) refused_by_budget: bool,
     /// When the part is hedged. `None` if it was hedged already or can't be.
     pub(super) hedge_at: Option<clock::Moment>,
     /// An upstream's failure reply, returned to the caller if no better reply
@@ -102,7 +102,7 @@
             not_run: 0,
             arrivals: 0,
             advised: false,
-            unpaid: false,
+            refused_by_budget: false,
             hedge_at: None,
             failure: None,
         }
@@ -120,7 +120,7 @@
     pub(super) fn missing_reason(&self) -> Option<MissingReason> {
         match self.state {
             State::Done(_) => None,
-            _ if self.unpaid => Some(MissingReason::Unpaid),
+            _ if self.refused_by_budget => Some(MissingReason::NoBudget),
             State::Failed(forward::Reason::NoUpstream) => Some(MissingReason::NoUpstream),
             State::Failed(_) => Some(MissingReason::Failed),
             State::Open if self.tried.len() > 1 => Some(MissingReason::AllLate),
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -34,7 +34,7 @@
     let mut job = world.start(world::shards(2, 50));
     world.end(&mut job, 0, forward::Verdict::Advised(SLOW));
     let (first, moved) = (world.sends[0], world.sends[2]);
-    assert_eq!((moved.part, moved.why), (0, forward::Why::First));
+    assert_eq!((moved.part, moved.reason), (0, forward::CallReason::First));
     assert_ne!(moved.upstream, first.upstream);
     assert!(moved.mandatory, "a part is moved only once");
     world.end(&mut job, 1, world::good(b'a'));
@@ -59,10 +59,10 @@
     world.fleet.policy.extra_calls = 2.0;
     let mut job = world.start(world::shards(1, 50));
     world.advance_to(&mut job, 40);
-    assert_eq!(world.sends[1].why, forward::Why::Hedge);
+    assert_eq!(world.sends[1].reason, forward::CallReason::Hedge);
     world.end(&mut job, 1, forward::Verdict::Advised(SLOW));
     let moved = world.sends[2];
-    assert_eq!(moved.why, forward::Why::Hedge);
+    assert_eq!(moved.reason, forward::CallReason::Hedge);
     assert!(moved.mandatory);
     assert_ne!(moved.upstream, world.sends[0].upstream);
     assert_ne!(moved.upstream, world.sends[1].upstream);
--- a/crates/geraniumgauge/src/forward/tests/allowance.rs
+++ b/crates/geraniumgauge/src/forward/tests/allowance.rs
@@ -99,9 +99,9 @@
         let now = self.now;
         let coordinator = &mut self.vms[vm % SMALL];
         let at = coordinator.clock(now);
-        let paid = match coordinator.allowance.take_extra(&self.service, &policy, at) {
-            Some(forward::Payer::Own) => true,
-            Some(forward::Payer::Relay) => {
+        let allowed = match coordinator.allowance.take_extra(&self.service, &policy, at) {
+            Some(forward::ChargedVm::Own) => true,
+            Some(forward::ChargedVm::Relay) => {
                 let relay = &mut self.vms[SMALL + relay % LARGE];
                 let at = relay.clock(now);
                 relay
@@ -110,10 +110,10 @@
             }
             None => false,
         };
-        if paid {
+        if allowed {
             self.extras.push(now);
         }
-        paid
+        allowed
     }
 
     /// Replaces a large VM by a newly started one.
@@ -161,9 +161,9 @@
     let now = fleet.now;
     let mut spent = 0;
     for vm in &mut fleet.vms[..SMALL] {
-        let mut pay = || vm.allowance.take_extra(&world::name(0), &policy, now);
+        let mut take_extra = || vm.allowance.take_extra(&world::name(0), &policy, now);
         spent += (0..100)
-            .filter(|_| pay() == Some(forward::Payer::Own))
+            .filter(|_| take_extra() == Some(forward::ChargedVm::Own))
             .count();
     }
     assert!((SMALL..=FIXED as usize / 2).contains(&spent), "{spent}");
@@ -210,12 +210,12 @@
     let mut allowance = forward::Allowance::default();
     allowance.set_shares(forward::Shares::new(forward::SizeClass::Equal, 4, 0));
     let now = clock::Moment::from_millis(30_000);
-    let mut pay = || allowance.take_extra(&world::name(0), &policy(), now);
-    let paid = (0..100)
-        .filter(|_| pay() == Some(forward::Payer::Own))
+    let mut take_extra = || allowance.take_extra(&world::name(0), &policy(), now);
+    let allowed = (0..100)
+        .filter(|_| take_extra() == Some(forward::ChargedVm::Own))
         .count();
-    assert_eq!(paid, 13, "a quarter of what is used of {FIXED}");
-    assert_eq!(pay(), None);
+    assert_eq!(allowed, 13, "a quarter of what is used of {FIXED}");
+    assert_eq!(take_extra(), None);
 }
 
 quickcheck::quickcheck! {
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -56,7 +56,10 @@
     world.advance_to(&mut job, HEDGE_MS);
     let extras = extras(&world);
     assert_eq!(extras.len(), 1);
-    assert_eq!((extras[0].part, extras[0].why), (0, forward::Why::Hedge));
+    assert_eq!(
+        (extras[0].part, extras[0].reason),
+        (0, forward::CallReason::Hedge)
+    );
     for send in 0..SHARDS {
         let upstream = world.sends[send].upstream;
         let late = world.fleet.health(upstream).is_late();
@@ -76,7 +79,11 @@
         world.advance_to(&mut job, hedged);
         let extras = extras(&world);
         assert_eq!(extras.len(), SHARDS);
-        assert!(extras.iter().all(|send| send.why == forward::Why::Silent));
+        assert!(
+            extras
+                .iter()
+                .all(|send| send.reason == forward::CallReason::Silent)
+        );
         assert_eq!(world.silent.len(), SHARDS);
         for send in 0..SHARDS {
             let upstream = world.sends[send].upstream;
--- a/crates/geraniumgauge/src/forward/tests/job.rs
+++ b/crates/geraniumgauge/src/forward/tests/job.rs
@@ -38,7 +38,7 @@
     world.advance_to(&mut job, 40);
     assert_eq!(world.sends.len(), 3);
     let (first, hedge) = (world.sends[1], world.sends[2]);
-    assert_eq!((hedge.why, hedge.part), (forward::Why::Hedge, 1));
+    assert_eq!((hedge.reason, hedge.part), (forward::CallReason::Hedge, 1));
     assert_ne!(first.upstream, hedge.upstream);
     world.end(&mut job, 2, world::good(b'b'));
     assert_eq!(merged(&world), Some((2, 0)));
--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -119,7 +119,7 @@
             match action {
                 forward::Action::Send(send) => self.sends.push(send),
                 forward::Action::Abandon(call) => self.abandoned.push(call),
-                forward::Action::Silent(call) => self.silent.push(call),
+                forward::Action::ReportSilentRelay(call) => self.silent.push(call),
                 forward::Action::Finish(outcome) => {
                     assert!(self.outcome.is_none(), "a job ends once");
                     self.outcome = Some(outcome);
--- a/crates/geraniumgauge/src/h1/head.rs
+++ b/crates/geraniumgauge/src/h1/head.rs
@@ -77,7 +77,7 @@
 
     fn add_coding(&mut self, value: &[u8]) -> Result<(), h1::Error> {
         if self.chunked || !text(value)?.trim().eq_ignore_ascii_case("chunked") {
-            return Err(h1::Error::Coding);
+            return Err(h1::Error::UnsupportedTransferCoding);
         }
         self.chunked = true;
         Ok(())
--- a/crates/geraniumgauge/src/h1/mod.rs
+++ b/crates/geraniumgauge/src/h1/mod.rs
@@ -62,7 +62,7 @@
     Malformed(&'static str),
     /// The message has a transfer coding other than chunked.
     #[display("unsupported transfer coding")]
-    Coding,
+    UnsupportedTransferCoding,
     /// The connection failed.
     #[display("connection failed: {_0}")]
     Io(std::io::Error),
--- a/crates/geraniumgauge/src/h1/reply.rs
+++ b/crates/geraniumgauge/src/h1/reply.rs
@@ -24,7 +24,7 @@
     /// The reply body.
     pub body: bytes::Bytes,
     /// Whether the body has a content encoding, which no caller asks for.
-    pub coded: bool,
+    pub has_content_encoding: bool,
     /// Whether the connection is closed after the reply.
     pub close: bool,
     /// How long the upstream keeps the idle connection open, if stated.
@@ -41,7 +41,7 @@
             not_run: false,
             headers: Vec::new(),
             body,
-            coded: false,
+            has_content_encoding: false,
             close: false,
             keep_alive: None,
         }
@@ -96,7 +96,7 @@
             not_run: false,
             headers: Vec::new(),
             body: bytes::Bytes::new(),
-            coded: false,
+            has_content_encoding: false,
             close: framing.close || (parsed.version == Some(0) && !framing.keep_alive),
             keep_alive: None,
         };
@@ -123,7 +123,7 @@
         } else if is(self.names.not_run) {
             reply.not_run = true;
         } else if is("content-encoding") {
-            reply.coded = !header.value.eq_ignore_ascii_case(b"identity");
+            reply.has_content_encoding = !header.value.eq_ignore_ascii_case(b"identity");
         } else if is("keep-alive") {
             reply.keep_alive = keep_alive_timeout(head::text(header.value)?);
         }
--- a/crates/geraniumgauge/src/home/state/dispatch.rs
+++ b/crates/geraniumgauge/src/home/state/dispatch.rs
@@ -68,7 +68,7 @@
         if self.leaving {
             return Some(message::Outcome::Stopping);
         }
-        if self.share(now).connections == 0 {
+        if self.limits(now).connections == 0 {
             return Some(message::Outcome::NotHome);
         }
         if self.is_unlisted(now) {
@@ -118,7 +118,7 @@
 
     /// Returns the maximum number of calls that may run at once now.
     pub(super) fn calls(&self, now: Moment) -> u32 {
-        let calls = self.share(now).calls.min(self.limit.calls());
+        let calls = self.limits(now).calls.min(self.limit.calls());
         match self.availability.current() {
             availability::Availability::Unconfirmed => calls.min(1),
             _ => calls,
@@ -212,7 +212,7 @@
         if let Some(connection_id) = self.connections.idle(since) {
             return Some((connection_id, false));
         }
-        let max = self.share(now).call_connections() as usize;
+        let max = self.limits(now).call_connections() as usize;
         if self.connections.len() >= max {
             let stalest = self.connections.stalest()?;
             self.close(stalest, super::CloseReason::Replaced);
--- a/crates/geraniumgauge/src/home/state/share.rs
+++ b/crates/geraniumgauge/src/home/state/home_limits.rs
@@ -1,4 +1,4 @@
-//! The share of an upstream's connections and slots that one home may use.
+//! Limits on the connections and slots of an upstream that one home may use.
 
 use crate::home::placement;
 use crate::layout;
@@ -13,7 +13,7 @@
 /// Number of slots for which a home other than the primary may run one call.
 const OTHER_SLOTS_PER_CALL: u32 = 4;
 
-/// Connections and concurrent calls of one home.
+/// Maximum connections and concurrent calls of one home.
 ///
 /// In each view, an upstream's primary, standby and reserve home may together hold
 /// 50% of its connections. While a new view spreads, some VMs follow the old one and
@@ -21,15 +21,15 @@
 /// ten connections can the minimum of one connection for each home exceed the
 /// upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
+pub struct Limits {
     /// Maximum number of connections, including the control connection.
     pub connections: u32,
     /// Maximum number of calls that run at once.
     pub calls: u32,
 }
 
-impl Share {
-    /// Returns the share of a home in `role`; zero if the VM is no home.
+impl Limits {
+    /// Returns the limits of a home in `role`; zero if the VM is no home.
     pub fn of(upstream: &layout::Upstream, role: Option<placement::Role>) -> Self {
         match role {
             Some(placement::Role::Primary) => Self {
--- a/crates/geraniumgauge/src/home/state/maintenance.rs
+++ b/crates/geraniumgauge/src/home/state/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintains connections within the share, and requests health reports.
+//! Maintains connections within the limits, and requests health reports.
 
 use std::time;
 
@@ -143,7 +143,7 @@
     }
 
     fn close_unneeded(&mut self, now: Moment) {
-        let max = self.share(now).call_connections() as usize;
+        let max = self.limits(now).call_connections() as usize;
         while self.connections.len() > max {
             let Some(connection_id) = self.connections.stalest() else {
                 break;
@@ -191,7 +191,7 @@
                 });
             }
         }
-        if self.connections.len() == 0 && self.share(now).call_connections() > 0 {
+        if self.connections.len() == 0 && self.limits(now).call_connections() > 0 {
             let connection_id = self
                 .connections
                 .open(connections::Phase::Checking(now), now);
@@ -209,7 +209,7 @@
         if suspected_since.is_some_and(|since| self.latest_answered_send <= since) {
             self.probe.make_due(now);
         }
-        let may_probe = self.share(now).has_control() && !self.leaving;
+        let may_probe = self.limits(now).has_control() && !self.leaving;
         if may_probe && !self.probe.running && self.probe.due <= now {
             self.probe.running = true;
             self.actions.push(Action::Probe);
--- a/crates/geraniumgauge/src/home/state/mod.rs
+++ b/crates/geraniumgauge/src/home/state/mod.rs
@@ -7,20 +7,20 @@
 mod availability;
 mod connections;
 mod dispatch;
+mod home_limits;
 mod job;
 mod latency;
 mod limit;
 mod maintenance;
 mod queue;
 mod running;
-mod share;
 
 pub use connections::Id as ConnectionId;
+pub use home_limits::Limits;
 pub use job::Answer;
 pub use job::Id;
 pub use job::Job;
 pub use job::Work;
-pub use share::Share;
 
 use std::time;
 
@@ -266,11 +266,11 @@
     /// VM is no longer a home of the upstream or no layout lists it.
     pub fn is_finished(&self, now: Moment) -> bool {
         let is_empty = self.is_idle() && self.connections.len() == 0;
-        is_empty && (self.share(now).connections == 0 || self.is_unlisted(now))
+        is_empty && (self.limits(now).connections == 0 || self.is_unlisted(now))
     }
 
-    /// Returns the connections and calls that this home may use now.
-    pub fn share(&self, now: Moment) -> Share {
+    /// Returns the maximum connections and calls of this home now.
+    pub fn limits(&self, now: Moment) -> Limits {
         let in_grace = self
             .role_lost_at
             .is_some_and(|since| now < since + MOVE_GRACE);
@@ -278,7 +278,7 @@
             None if in_grace => Some(placement::Role::Reserve),
             role => role,
         };
-        Share::of(&self.upstream, role)
+        Limits::of(&self.upstream, role)
     }
 
     fn is_unlisted(&self, now: Moment) -> bool {
--- a/crates/geraniumgauge/src/home/state/running.rs
+++ b/crates/geraniumgauge/src/home/state/running.rs
@@ -122,7 +122,7 @@
     /// Stops a running search that has been answered. It holds its slot until the
     /// upstream has ended it.
     pub(super) fn abandon(&mut self, connection_id: connections::Id, now: Moment) {
-        let has_control = self.share(now).has_control();
+        let has_control = self.limits(now).has_control();
         let Some(call) = self.connections.busy_mut(connection_id) else {
             return;
         };
--- a/crates/geraniumgauge/src/home/tests/state.rs
+++ b/crates/geraniumgauge/src/home/tests/state.rs
@@ -131,8 +131,8 @@
 
     fn check(&self, before: usize) {
         let world = &self.world;
-        let share = world.state.share(world.now);
-        assert!(world.open.len() <= share.call_connections() as usize);
+        let limits = world.state.limits(world.now);
+        assert!(world.open.len() <= limits.call_connections() as usize);
         let upstream = world.state.upstream();
         let calls = upstream.slots as usize;
         assert!(world.running.len() <= if self.silence { 2 * calls } else { calls });
@@ -216,15 +216,15 @@
                 crate::member::View::new("vm-0".parse().unwrap(), members)
             })
             .collect();
-        let shares = all.iter().map(|member| {
+        let all_limits = all.iter().map(|member| {
             let view = &views[random.random_range(0..2)];
             let role = placement::role(view, &upstream, &service, &member.vm);
-            Share::of(&upstream, role)
+            Limits::of(&upstream, role)
         });
         let (mut sum, mut calls) = (0, 0);
-        for share in shares {
-            sum += share.connections;
-            calls += share.calls;
+        for limits in all_limits {
+            sum += limits.connections;
+            calls += limits.calls;
         }
         sum <= upstream.connections && calls <= 2 * (upstream.slots + 2)
     }
--- a/crates/geraniumgauge/src/ledger/worker.rs
+++ b/crates/geraniumgauge/src/ledger/worker.rs
@@ -91,7 +91,7 @@
             }
             if self.commit.expects_write() {
                 let (store, key) = (self.context.store.clone(), self.key.clone());
-                self.await_call(store.ready(&key)).await;
+                self.await_call(store.wait_for_write_budget(&key)).await;
             }
             let action = self.commit.next();
             self.deliver_verdicts();
--- a/crates/geraniumgauge/src/store/client.rs
+++ b/crates/geraniumgauge/src/store/client.rs
@@ -200,7 +200,7 @@
         done
     }
 
-    async fn ready(&self, _key: &str) {
+    async fn wait_for_write_budget(&self, _key: &str) {
         let until = self.clock.now() + BUDGET_TIMEOUT;
         while !self.lock().prepay(self.clock.now()) && self.clock.now() < until {
             tokio::time::sleep(BUDGET_CHECK_INTERVAL).await;
--- a/crates/geraniumgauge/src/store/mod.rs
+++ b/crates/geraniumgauge/src/store/mod.rs
@@ -148,7 +148,7 @@
 
     /// Waits until this VM's own budget allows a write below `key` without further
     /// delay. Until then the caller can add more to the write.
-    async fn ready(&self, key: &str) {
+    async fn wait_for_write_budget(&self, key: &str) {
         let _ = key;
     }
 
