--- a/crates/geraniumgauge/src/spread/mod.rs
+++ b/crates/geraniumgauge/src/spread/mod.rs
@@ -28,7 +28,7 @@
 pub use state::Directory;
 pub use state::State;
 pub use state::View;
-pub use store::Pages;
+pub use store::DirectoryPages;
 pub use store::Store;
 pub use update::Answer;
 pub use update::Changes;
--- a/crates/geraniumgauge/src/spread/service.rs
+++ b/crates/geraniumgauge/src/spread/service.rs
@@ -105,7 +105,7 @@
     where
         C: follow::Source<Value = String> + 'static,
         R: follow::Source<Value = registry::Entry> + 'static,
-        P: spread::Pages + 'static,
+        P: spread::DirectoryPages + 'static,
     {
         let (directory_tasks, tasks) = sync::mpsc::unbounded_channel();
         let (poller_rank, rank_changes) = sync::watch::channel(None);
--- a/crates/geraniumgauge/src/spread/store.rs
+++ b/crates/geraniumgauge/src/spread/store.rs
@@ -36,7 +36,7 @@
 
 /// Access to the directory in the store.
 #[expect(async_fn_in_trait, reason = "everything runs on one thread")]
-pub trait Pages {
+pub trait DirectoryPages {
     /// Reads the directory's pages, which may be stale.
     ///
     /// # Errors
@@ -172,7 +172,7 @@
 }
 
 /// Reads and writes the directory as requested.
-pub(super) async fn run_directory_tasks<H: spread::Listener, P: Pages>(
+pub(super) async fn run_directory_tasks<H: spread::Listener, P: DirectoryPages>(
     service: spread::Service<H>,
     mut pages: P,
     mut tasks: sync::mpsc::UnboundedReceiver<DirectoryTask>,
--- a/crates/geraniumgauge/src/spread/tests/service.rs
+++ b/crates/geraniumgauge/src/spread/tests/service.rs
@@ -88,7 +88,7 @@
 
 struct Pages;
 
-impl spread::Pages for Pages {
+impl spread::DirectoryPages for Pages {
     async fn read(&mut self) -> Result<Vec<spread::Directory>, follow::Error> {
         Ok(Vec::new())
     }
