--- a/crates/cli/src/vms.rs
+++ b/crates/cli/src/vms.rs
@@ -35,7 +35,7 @@
 pub(crate) async fn run(invocation: invocation::Invocation) -> Result<(), failure::Failure> {
     let store = invocation.store()?;
     let listed = store.vms().await?;
-    let object = show::read_object(&store, document::REPORTED).await?;
+    let object = show::read_object(&store, document::REPORTED_KEY).await?;
     // An object that can't be parsed is ignored: the keeper rewrites it within a
     // minute.
     let reported = object.and_then(|object| serde_json::from_slice(&object.body).ok());
--- a/crates/geraniumgauge/src/document/keeper_task.rs
+++ b/crates/geraniumgauge/src/document/keeper_task.rs
@@ -251,7 +251,7 @@
         let put = self
             .inner
             .store
-            .put(status::REPORTED, body.into(), store::Condition::Any);
+            .put(status::REPORTED_KEY, body.into(), store::Condition::Any);
         match put.await {
             Ok(_) => self.last_reported = Some((now, reported.vms)),
             Err(error) => {
--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -43,7 +43,7 @@
 pub use service::Gossip;
 pub use service::Service;
 pub use status::MAX_BEHIND_LISTED;
-pub use status::REPORTED;
+pub use status::REPORTED_KEY;
 pub use status::Report;
 pub use status::Reported;
 pub use status::Status;
--- a/crates/geraniumgauge/src/document/status.rs
+++ b/crates/geraniumgauge/src/document/status.rs
@@ -38,7 +38,7 @@
     pub written: time::Wall,
 }
 
-/// The object [`REPORTED`]: reports of the VMs in the keeper's view.
+/// The object [`REPORTED_KEY`]: reports of the VMs in the keeper's view.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Reported {
@@ -51,7 +51,7 @@
 }
 
 /// Store key of the object with the VMs' reports to the keeper, [`Reported`].
-pub const REPORTED: &str = "vms/reported";
+pub const REPORTED_KEY: &str = "vms/reported";
 
 /// The keeper's summary of one VM's report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
--- a/crates/geraniumgauge/src/document/tests/service.rs
+++ b/crates/geraniumgauge/src/document/tests/service.rs
@@ -176,7 +176,7 @@
     assert_eq!(cluster.generations(), [1; VMS]);
     let status = cluster.status();
     assert_eq!((status.in_force, status.vms), (8, 8));
-    let object = cluster.store.objects().get(document::REPORTED).unwrap();
+    let object = cluster.store.objects().get(document::REPORTED_KEY).unwrap();
     let reported: document::Reported = serde_json::from_slice(&object.body).unwrap();
     assert_eq!(reported.vms.len(), VMS);
     assert!(
