--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -83,13 +83,13 @@
     store: &store::Client,
     service: &ids::Service,
 ) -> failure::Failure {
-    let listing = match store.list(document::STATUS).await {
+    let listing = match store.list(document::STATUS_PREFIX).await {
         Ok(listing) => listing,
         Err(error) => return error.into(),
     };
     let names = listing.changes.iter().map(|change| &change.key);
     let names: Vec<_> = names
-        .filter_map(|key| key.strip_prefix(document::STATUS))
+        .filter_map(|key| key.strip_prefix(document::STATUS_PREFIX))
         .collect();
     let others = if names.is_empty() {
         "no service has one: check that a VM is running".to_owned()
--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -56,7 +56,7 @@
 /// Store key prefix of the documents in force, as [`Accepted`] stores them.
 pub const ACCEPTED_PREFIX: &str = "accepted/";
 /// Store key prefix of the status objects.
-pub const STATUS: &str = "status/";
+pub const STATUS_PREFIX: &str = "status/";
 /// Store key prefix of the layouts.
 pub const LAYOUT_PREFIX: &str = "layouts/";
 
@@ -72,7 +72,7 @@
 
 /// Returns the store key of a service's status.
 pub fn status_key(service: &ids::Service) -> String {
-    format!("{STATUS}{service}")
+    format!("{STATUS_PREFIX}{service}")
 }
 
 #[cfg(test)]
