--- a/crates/geraniumgauge/src/h1/exchange.rs
+++ b/crates/geraniumgauge/src/h1/client.rs
@@ -41,14 +41,14 @@
 
 /// A client of one server that makes one call at a time.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct Client {
     address: net::SocketAddr,
     names: h1::Names,
     stream: Option<tokio::net::TcpStream>,
     last_received: clock::Latest,
 }
 
-impl Exchange {
+impl Client {
     /// Creates a client of the server at `address`. It connects on the first call.
     pub fn new(address: net::SocketAddr, names: h1::Names) -> Self {
         Self {
--- a/crates/geraniumgauge/src/h1/mod.rs
+++ b/crates/geraniumgauge/src/h1/mod.rs
@@ -6,14 +6,14 @@
 //! looks complete to a caller.
 
 mod body;
-mod exchange;
+mod client;
 mod head;
 mod reply;
 mod request;
 
 pub use body::Body;
-pub use exchange::Exchange;
-pub use exchange::Failure;
+pub use client::Client;
+pub use client::Failure;
 pub use reply::Reply;
 pub use reply::ReplyCodec;
 pub use request::Request;
--- a/crates/geraniumgauge/src/h1/tests.rs
+++ b/crates/geraniumgauge/src/h1/tests.rs
@@ -132,7 +132,7 @@
 
 /// Makes a call and returns the length of its reply's body. A tenth of the reply is
 /// sent each `interval`, and nothing more after `pieces` tenths.
-fn call(pieces: usize, interval: std::time::Duration) -> Result<usize, exchange::Failure> {
+fn call(pieces: usize, interval: std::time::Duration) -> Result<usize, client::Failure> {
     const SIZE: usize = 100_000;
     let body = "a".repeat(SIZE);
     let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {SIZE}\r\n\r\n{body}");
@@ -140,7 +140,7 @@
         let wait = std::time::Duration::from_millis(900);
         let last_received = crate::time::Latest::default();
         let request = b"GET / HTTP/1.1\r\n\r\n";
-        let reply = exchange::exchange(&mut stream, request, wait, NAMES, &last_received).await;
+        let reply = client::exchange(&mut stream, request, wait, NAMES, &last_received).await;
         reply.map(|(reply, _)| reply.body.len())
     })
 }
@@ -161,7 +161,7 @@
         let interval = std::time::Duration::from_millis(interval);
         let failure = call(pieces, interval);
         assert!(
-            matches!(failure, Err(exchange::Failure::Silent)),
+            matches!(failure, Err(client::Failure::Silent)),
             "{failure:?}"
         );
     }
