--- a/crates/geraniumgauge/src/forward/tests/world.rs
+++ b/crates/geraniumgauge/src/forward/tests/world.rs
@@ -50,7 +50,7 @@
                     slots: 2,
                     state: registry::State::Ready,
                     warm_up: time::Duration::ZERO,
-                    born: clock::Wall(1),
+                    started_at: clock::Wall(1),
                 };
                 fleet.registry.put(entry, now);
             }
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -73,7 +73,7 @@
     pub warm_up: time::Duration,
     /// Start time by the upstream's own clock. The same id with another start
     /// time is another process, which knows nothing of the earlier one's requests.
-    pub born: clock::Wall,
+    pub started_at: clock::Wall,
 }
 
 /// Whether an upstream may be given requests.
@@ -177,7 +177,7 @@
         };
         let known = &mut self.upstreams[handle.index()];
         let moved = known.entry.address != entry.address || known.entry.service != entry.service;
-        if known.entry.born != entry.born || moved {
+        if known.entry.started_at != entry.started_at || moved {
             known.gone = true;
             return vec![Change::Gone(handle), self.add(entry, now)];
         }
@@ -290,7 +290,7 @@
             slots: 1,
             state: State::Ready,
             warm_up: time::Duration::ZERO,
-            born: clock::Wall(0),
+            started_at: clock::Wall(0),
         };
         let handle = self.push(entry, now);
         self.foreign.insert(id.clone(), handle);
--- a/crates/geraniumgauge/src/registry/tests.rs
+++ b/crates/geraniumgauge/src/registry/tests.rs
@@ -9,7 +9,7 @@
         slots: 2,
         state,
         warm_up: time::Duration::ZERO,
-        born: clock::Wall(born),
+        started_at: clock::Wall(born),
     }
 }
 
@@ -121,7 +121,7 @@
                     .map(|handle| registry.get(*handle))
                     .map(|known| {
                         let used = known.eligibility(now) == Eligibility::Full;
-                        (known.entry.id.to_string(), known.entry.born.0, used)
+                        (known.entry.id.to_string(), known.entry.started_at.0, used)
                     })
                     .collect();
                 actual.sort();
--- a/crates/geraniumgauge/src/spread/content.rs
+++ b/crates/geraniumgauge/src/spread/content.rs
@@ -296,7 +296,7 @@
             value: Some(entry),
         }) => log::info!(
             upstream = name.as_str(), revision:% = revision, service = entry.service.as_str(),
-            state:? = entry.state, address:% = entry.address, born:% = entry.born;
+            state:? = entry.state, address:% = entry.address, born:% = entry.started_at;
             "registration written"
         ),
         follow::Change::Put(item) => {
--- a/crates/geraniumgauge/src/spread/tests/wire.rs
+++ b/crates/geraniumgauge/src/spread/tests/wire.rs
@@ -16,7 +16,7 @@
         slots: 3,
         state: registry::State::Draining,
         warm_up: time::Duration::from_millis(250),
-        born: clock::Wall(1_700_000_000_000),
+        started_at: clock::Wall(1_700_000_000_000),
     }
 }
 
--- a/crates/geraniumgauge/src/spread/wire/registration.rs
+++ b/crates/geraniumgauge/src/spread/wire/registration.rs
@@ -123,7 +123,7 @@
             slots: entry.slots,
             draining: entry.state == registry::State::Draining,
             warm_up_ms: clock::millis(entry.warm_up),
-            born: entry.born.0,
+            born: entry.started_at.0,
             ..encoded
         }
     }
@@ -153,7 +153,7 @@
                 registry::State::Ready
             },
             warm_up: time::Duration::from_millis(self.warm_up_ms),
-            born: clock::Wall(self.born),
+            started_at: clock::Wall(self.born),
         })
     }
 }
