--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -123,7 +123,7 @@
     config.policy = settings.policy;
     config.max_frame = settings.limits.frame;
     config.balancer_wait = settings.stop.balancer_wait;
-    config.grace = settings.stop.grace;
+    config.drain_timeout = settings.stop.grace;
     config.limits = http::Limits {
         body: settings.limits.body,
         query: settings.limits.query,
--- a/crates/geraniumgauge/src/vm/config.rs
+++ b/crates/geraniumgauge/src/vm/config.rs
@@ -37,7 +37,7 @@
     /// end. It gives the balancer time to stop sending requests.
     pub balancer_wait: time::Duration,
     /// Longest wait, after `balancer_wait`, for running requests to end.
-    pub grace: time::Duration,
+    pub drain_timeout: time::Duration,
 }
 
 /// Default of the largest frame between VMs.
@@ -59,7 +59,7 @@
             limits: http::Limits::default(),
             max_frame: DEFAULT_MAX_FRAME,
             balancer_wait: vm::DEFAULT_BALANCER_WAIT,
-            grace: vm::DEFAULT_GRACE,
+            drain_timeout: vm::DEFAULT_DRAIN_TIMEOUT,
         }
     }
 }
--- a/crates/geraniumgauge/src/vm/mod.rs
+++ b/crates/geraniumgauge/src/vm/mod.rs
@@ -154,11 +154,11 @@
             self.components.ledger.drained().await;
             self.components.home.drained().await;
         };
-        if tokio::time::timeout(self.config.grace, finish)
+        if tokio::time::timeout(self.config.drain_timeout, finish)
             .await
             .is_err()
         {
-            log::warn!(target: "vm", "requests were still running after the grace period");
+            log::warn!(target: "vm", "requests were still running after the drain timeout");
         }
         self.callers.stop().await;
         self.components.slo.flush().await;
@@ -199,5 +199,5 @@
 
 /// Default of [`Config::balancer_wait`].
 pub const DEFAULT_BALANCER_WAIT: time::Duration = time::Duration::from_secs(5);
-/// Default of [`Config::grace`].
-pub const DEFAULT_GRACE: time::Duration = time::Duration::from_secs(30);
+/// Default of [`Config::drain_timeout`].
+pub const DEFAULT_DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(30);
