--- a/crates/geraniumgauge/src/edge/state/relay.rs
+++ b/crates/geraniumgauge/src/edge/state/relay.rs
@@ -124,16 +124,10 @@
             return;
         };
         let message = running.message.clone();
-        let typical_call_time = running.job.latency().median();
+        let call_time = running.job.latency().median();
         for send in sends {
             let owner = call::Owner::of(job, &send);
-            let call = call::Call::new(
-                owner,
-                send.upstream,
-                message.clone(),
-                typical_call_time,
-                now,
-            );
+            let call = call::Call::new(owner, send.upstream, message.clone(), call_time, now);
             self.calls.insert(send.call, call);
             self.end(send.call, forward::Verdict::NoBudget, now);
         }
@@ -153,7 +147,7 @@
             return Vec::new();
         };
         let message = running.message.clone();
-        let typical_call_time = running.job.latency().median();
+        let call_time = running.job.latency().median();
         let merge_after = running
             .job
             .hedge_after()
@@ -184,7 +178,7 @@
                 .collect(),
             first: group.first,
             charge_relay: group.charged_vm == forward::ChargedVm::Relay,
-            typical_us: clock::micros(typical_call_time),
+            typical_us: clock::micros(call_time),
             mandatory: group.mandatory,
         };
         let bytes = frame::Frame::bytes(frame::Kind::Batch(batch));
@@ -201,13 +195,7 @@
             self.instruments.call(send.reason);
             self.log_extra_call(&message, &send, now);
             let owner = call::Owner::of(job, &send);
-            let mut call = call::Call::new(
-                owner,
-                send.upstream,
-                message.clone(),
-                typical_call_time,
-                now,
-            );
+            let mut call = call::Call::new(owner, send.upstream, message.clone(), call_time, now);
             call.via = Some(address);
             self.calls.insert(send.call, call);
         }
--- a/crates/geraniumgauge/src/query/admit.rs
+++ b/crates/geraniumgauge/src/query/admit.rs
@@ -51,14 +51,10 @@
         let requested = requested_shards(&plan, search.shards.as_deref())?;
         let time_left = search.time_left.unwrap_or(document.deadline);
         let time_left = time_left.min(document.max_deadline);
-        let typical_call_time = state
-            .upstreams
-            .typical_call_time()
-            .unwrap_or(DEFAULT_CALL_TIME);
-        if time_left <= typical_call_time {
-            let message =
-                format!("a shard call takes {typical_call_time:?}; allow more than {time_left:?}");
-            return Err(query::Refusal::not_run(query::Code::Deadline, message));
+        let call_time = state.upstreams.call_time().unwrap_or(DEFAULT_CALL_TIME);
+        if time_left <= call_time {
+            let text = format!("a shard call takes {call_time:?}; allow more than {time_left:?}");
+            return Err(query::Refusal::not_run(query::Code::Deadline, text));
         }
         let body = body(&search)?;
         self.reserve(&state, document.limits.searches)?;
@@ -88,7 +84,7 @@
                 .unwrap_or(time_left / DEFAULT_HEDGE_DIVISOR)
                 .max(MIN_HEDGE_AFTER),
             early_hedge_shards: early_hedge_shards(&document.budgets, requested.len()),
-            typical_call_time,
+            typical_call_time: call_time,
             policy: self.config.policy,
             first_attempt: router::Router::first_attempt(number),
             seed: number ^ started.0 ^ fingerprint.0,
--- a/crates/geraniumgauge/src/query/upstreams.rs
+++ b/crates/geraniumgauge/src/query/upstreams.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the median call time; `None` until enough calls are measured.
-    pub fn typical_call_time(&self) -> Option<time::Duration> {
+    pub fn call_time(&self) -> Option<time::Duration> {
         known(&self.typical_call_time)
     }
 
