--- a/crates/geraniumgauge/src/vm/mod.rs
+++ b/crates/geraniumgauge/src/vm/mod.rs
@@ -158,7 +158,7 @@
             .await
             .is_err()
         {
-            log::warn!(target: "vm", "requests were still running after the drain timeout");
+            log::warn!(target: "vm", "requests were still running after the grace period");
         }
         self.callers.stop().await;
         self.components.slo.flush().await;
