--- a/crates/geraniumgauge/src/document/mod.rs
+++ b/crates/geraniumgauge/src/document/mod.rs
@@ -43,7 +43,7 @@
 pub use service::Gossip;
 pub use service::Service;
 pub use status::MAX_BEHIND_LISTED;
-pub use status::REPORTED;
+pub use status::REPORTED_KEY;
 pub use status::Report;
 pub use status::Reported;
 pub use status::Status;
@@ -51,28 +51,28 @@
 
 use crate::ids;
 
-/// Store key prefix of the teams' texts.
-pub const TEXTS: &str = "documents/";
-/// Store key prefix of the accepted records.
-pub const ACCEPTED: &str = "accepted/";
+/// Store key prefix of the documents as the teams wrote them.
+pub const DOCUMENT_PREFIX: &str = "documents/";
+/// Store key prefix of the documents in force, as [`Accepted`] stores them.
+pub const ACCEPTED_PREFIX: &str = "accepted/";
 /// Store key prefix of the status objects.
-pub const STATUS: &str = "status/";
+pub const STATUS_PREFIX: &str = "status/";
 /// Store key prefix of the layouts.
-pub const LAYOUTS: &str = "layouts/";
+pub const LAYOUT_PREFIX: &str = "layouts/";
 
-/// Returns the store key of a service's text.
+/// Returns the store key of a service's document as its team wrote it.
 pub fn text_key(service: &ids::Service) -> String {
-    format!("{TEXTS}{service}")
+    format!("{DOCUMENT_PREFIX}{service}")
 }
 
 /// Returns the store key of a service's accepted record.
 pub fn accepted_key(service: &ids::Service) -> String {
-    format!("{ACCEPTED}{service}")
+    format!("{ACCEPTED_PREFIX}{service}")
 }
 
 /// Returns the store key of a service's status.
 pub fn status_key(service: &ids::Service) -> String {
-    format!("{STATUS}{service}")
+    format!("{STATUS_PREFIX}{service}")
 }
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/forward/fleet.rs
+++ b/crates/geraniumgauge/src/forward/fleet.rs
@@ -31,7 +31,7 @@
     /// When the call began.
     pub began: clock::Moment,
     /// The typical time of the route's calls.
-    pub typical: time::Duration,
+    pub typical_call_time: time::Duration,
 }
 
 /// The known upstreams, their health, and the budgets for extra calls.
@@ -134,13 +134,19 @@
         &mut self,
         service: &ids::Service,
         now: clock::Moment,
-    ) -> Option<forward::Payer> {
+    ) -> Option<forward::ChargedVm> {
         self.allowance.take_extra(service, &self.policy, now)
     }
 
-    /// Removes an extra call that was charged at `paid` but wasn't made.
-    pub fn refund(&mut self, service: &ids::Service, paid: clock::Moment, now: clock::Moment) {
-        self.allowance.refund(service, &self.policy, paid, now);
+    /// Removes an extra call that was charged at `charged_at` but wasn't made.
+    pub fn refund(
+        &mut self,
+        service: &ids::Service,
+        charged_at: clock::Moment,
+        now: clock::Moment,
+    ) {
+        self.allowance
+            .refund(service, &self.policy, charged_at, now);
     }
 
     /// Counts a request of another VM whose first call this VM makes.
@@ -165,12 +171,12 @@
     }
 
     /// Returns the cheapest upstream of `service` that isn't in `tried`, for a
-    /// call that typically takes `typical`.
+    /// call that typically takes `typical_call_time`.
     pub fn choose(
         &mut self,
         service: &ids::Service,
         tried: &[registry::Handle],
-        typical: time::Duration,
+        typical_call_time: time::Duration,
         now: clock::Moment,
     ) -> Option<registry::Handle> {
         if self.health.len() < self.registry.handles() {
@@ -186,7 +192,7 @@
             if tried.contains(handle) {
                 continue;
             }
-            let Some(cost) = self.cost(*handle, typical, now) else {
+            let Some(cost) = self.cost(*handle, typical_call_time, now) else {
                 continue;
             };
             if best.is_none_or(|(least, _)| cost < least) {
@@ -201,7 +207,7 @@
     fn cost(
         &self,
         handle: registry::Handle,
-        typical: time::Duration,
+        typical_call_time: time::Duration,
         now: clock::Moment,
     ) -> Option<time::Duration> {
         let upstream = self.registry.get(handle);
@@ -211,7 +217,7 @@
             return None;
         }
         let cold = now < upstream.warm_at;
-        let mut cost = health.expected_time(typical, upstream.entry.slots, cold, now);
+        let mut cost = health.expected_time(typical_call_time, upstream.entry.slots, cold, now);
         cost += health.decline_cost(now);
         if upstream.entry.data_centre != self.own.data_centre {
             cost += self.policy.remote_penalty;
@@ -251,13 +257,17 @@
         health.end();
         match verdict {
             forward::Verdict::Good(_) => {
-                health.replied(forward::ratio(took, call.typical), call.began, now);
+                health.replied(
+                    forward::ratio(took, call.typical_call_time),
+                    call.began,
+                    now,
+                );
             }
             forward::Verdict::Failure(_) | forward::Verdict::Lost => health.failed(now),
             forward::Verdict::NotRun => health.mark_full(forward::NO_CAPACITY_DELAY, now),
             forward::Verdict::Misdirected => health.mark_misdirected(),
             forward::Verdict::Advised(advice) => health.apply_advice(*advice, now),
-            forward::Verdict::NotSent | forward::Verdict::Unpaid => {}
+            forward::Verdict::NotSent | forward::Verdict::NoBudget => {}
         }
     }
 
@@ -286,7 +296,7 @@
     /// Records the end of an abandoned call: `replied` is whether a reply came
     /// before the call was given up.
     pub fn record_abandoned(&mut self, call: &StartedCall, replied: bool, now: clock::Moment) {
-        let ratio = forward::ratio(now.since(call.began), call.typical);
+        let ratio = forward::ratio(now.since(call.began), call.typical_call_time);
         let health = self.health(call.upstream);
         health.end();
         if replied {
--- a/crates/geraniumgauge/src/home/state/mod.rs
+++ b/crates/geraniumgauge/src/home/state/mod.rs
@@ -7,20 +7,20 @@
 mod availability;
 mod connections;
 mod dispatch;
+mod home_limits;
 mod job;
 mod latency;
 mod limit;
 mod maintenance;
 mod queue;
 mod running;
-mod share;
 
 pub use connections::Id as ConnectionId;
+pub use home_limits::Limits;
 pub use job::Answer;
 pub use job::Id;
 pub use job::Job;
 pub use job::Work;
-pub use share::Share;
 
 use std::time;
 
@@ -37,8 +37,8 @@
 /// How long calls are still sent to an upstream after a layout no longer lists it:
 /// queries under way have pinned the older layout.
 pub const UNLISTED_GRACE: time::Duration = time::Duration::from_secs(1);
-/// Maximum number of waiting calls.
-pub const QUEUE_LIMIT: usize = 4096;
+/// Maximum number of calls that wait for one upstream at one home.
+pub const MAX_QUEUED_CALLS: usize = 4096;
 
 /// An event that [`State::handle`] processes.
 #[derive(Debug, Clone)]
@@ -266,11 +266,11 @@
     /// VM is no longer a home of the upstream or no layout lists it.
     pub fn is_finished(&self, now: Moment) -> bool {
         let is_empty = self.is_idle() && self.connections.len() == 0;
-        is_empty && (self.share(now).connections == 0 || self.is_unlisted(now))
+        is_empty && (self.limits(now).connections == 0 || self.is_unlisted(now))
     }
 
-    /// Returns the connections and calls that this home may use now.
-    pub fn share(&self, now: Moment) -> Share {
+    /// Returns the maximum connections and calls of this home now.
+    pub fn limits(&self, now: Moment) -> Limits {
         let in_grace = self
             .role_lost_at
             .is_some_and(|since| now < since + MOVE_GRACE);
@@ -278,7 +278,7 @@
             None if in_grace => Some(placement::Role::Reserve),
             role => role,
         };
-        Share::of(&self.upstream, role)
+        Limits::of(&self.upstream, role)
     }
 
     fn is_unlisted(&self, now: Moment) -> bool {
@@ -299,7 +299,7 @@
         if self.queue.contains(&job.id) || self.connections.carrying(&job.id).is_some() {
             return;
         }
-        if self.queue.len() >= QUEUE_LIMIT {
+        if self.queue.len() >= MAX_QUEUED_CALLS {
             return self.refuse(job, message::Outcome::Late, now);
         }
         self.queue.insert(job);
@@ -325,7 +325,7 @@
     }
 
     fn coordinator_lost(&mut self, vm: &ids::Vm, now: Moment) {
-        self.queue.remove_coordinator(vm);
+        self.queue.remove_calls_of(vm);
         let of_coordinator = self.connections.busy().filter(|(_, call)| {
             call.job.id.coordinator == *vm
                 && !call.job.is_record()
