--- a/crates/geraniumgauge/src/edge/state/serve.rs
+++ b/crates/geraniumgauge/src/edge/state/serve.rs
@@ -42,7 +42,7 @@
     /// Whether the calls are made even to upstreams this VM advises against.
     mandatory: bool,
     /// Typical duration of the calls.
-    typical: time::Duration,
+    typical_call_time: time::Duration,
 }
 
 impl state::State {
@@ -125,7 +125,7 @@
             first: batch.first,
             charge_relay: batch.charge_relay,
             mandatory: batch.mandatory,
-            typical: time::Duration::from_micros(batch.typical_us),
+            typical_call_time: time::Duration::from_micros(batch.typical_us),
         };
         let requested = batch.calls.iter();
         let not_made: Vec<frame::End> = requested
@@ -178,8 +178,8 @@
         {
             return Err(frame::End::advised(requested.id, advice));
         }
-        if !self.is_paid(upstream, terms, now) {
-            return Err(frame::End::new(requested.id, frame::How::Unpaid));
+        if !self.is_allowed(upstream, terms, now) {
+            return Err(frame::End::new(requested.id, frame::How::NoBudget));
         }
         let id = self.fleet.next_call();
         if let Some(batch) = self.peers.batches.get_mut(&batch) {
@@ -191,16 +191,22 @@
             batch,
             remote: requested.id,
         };
-        let call = call::Call::new(owner, upstream, message.clone(), terms.typical, now);
+        let call = call::Call::new(
+            owner,
+            upstream,
+            message.clone(),
+            terms.typical_call_time,
+            now,
+        );
         self.calls.insert(id, call);
         self.pool(upstream).waiting.push_back(id);
         self.dispatch(upstream, now);
         Ok(())
     }
 
-    /// Counts a requester's first call to an upstream. Returns whether the call is
-    /// paid for: by the requester, or from this VM's allowance.
-    fn is_paid(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
+    /// Counts a requester's first call to an upstream. Returns whether a budget allows
+    /// the call: the requester's, unless this VM's is to be charged.
+    fn is_allowed(&mut self, upstream: registry::Handle, terms: Terms, now: clock::Moment) -> bool {
         if terms.first {
             self.fleet.count_relayed_request(upstream, now);
         }
@@ -255,7 +261,7 @@
             forward::Verdict::NotRun => (frame::How::NotRun, None),
             forward::Verdict::Misdirected => (frame::How::Misdirected, None),
             forward::Verdict::NotSent => (frame::How::NotSent, None),
-            forward::Verdict::Unpaid => (frame::How::Unpaid, None),
+            forward::Verdict::NoBudget => (frame::How::NoBudget, None),
             forward::Verdict::Advised(_) => (frame::How::Advised, None),
             forward::Verdict::Lost => (frame::How::Lost, None),
         };
--- a/crates/geraniumgauge/src/forward/mod.rs
+++ b/crates/geraniumgauge/src/forward/mod.rs
@@ -19,7 +19,7 @@
 mod suspects;
 
 pub use allowance::Allowance;
-pub use allowance::Payer;
+pub use allowance::ChargedVm;
 pub use allowance::Shares;
 pub use allowance::SizeClass;
 pub use budget::Budget;
@@ -55,12 +55,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
     /// Share of a route's latency target after which a call counts as late and
-    /// its part is hedged. With a share of about a third, the other upstream
-    /// has time to answer within the target.
+    /// its part is hedged. Must leave the second upstream enough time to answer
+    /// within the target, as about a third does.
     pub hedge_share: rate::Share,
     /// Time before the latency target at which an answer must be sent, in
-    /// addition to this process's own lag. Callers are up to 3 ms away one way
-    /// and mostly open a connection first, which makes four one-way trips.
+    /// addition to this process's own lag. Covers the network time to the
+    /// caller: four one-way trips of up to 3 ms if the caller opens a connection
+    /// first, as most do.
     pub answer_margin: time::Duration,
     /// Time before the deadline at which the final answer must be sent.
     pub deadline_margin: time::Duration,
@@ -96,7 +97,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display("{}", self.name())]
-pub enum Why {
+pub enum CallReason {
     /// First call of its part.
     First,
     /// The upstream of the previous call is late.
@@ -109,7 +110,7 @@
     Failed,
 }
 
-impl Why {
+impl CallReason {
     /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -130,7 +131,7 @@
     /// Stop waiting for a call whose result is no longer wanted.
     Abandon(ids::Attempt),
     /// Report that the relay that was asked to make this call doesn't respond.
-    Silent(ids::Attempt),
+    ReportSilentRelay(ids::Attempt),
     /// End the job with this outcome.
     Finish(Outcome),
 }
@@ -145,9 +146,9 @@
     /// The upstream to call.
     pub upstream: registry::Handle,
     /// The reason for making the call.
-    pub why: Why,
+    pub reason: CallReason,
     /// The VM whose budget is charged if this is an extra call.
-    pub payer: Payer,
+    pub charged_vm: ChargedVm,
     /// Set when a relay must make the call even if it would advise against it.
     pub mandatory: bool,
 }
@@ -183,7 +184,7 @@
     /// calls.
     Advised(Advice),
     /// Not made: no budget allows the extra call.
-    Unpaid,
+    NoBudget,
     /// The connection ended or the reply can't be used, so the request may have
     /// run.
     Lost,
@@ -246,8 +247,8 @@
 }
 
 /// Returns the time that a call took relative to the typical time.
-fn ratio(took: time::Duration, typical: time::Duration) -> f64 {
-    took.as_secs_f64() / typical.as_secs_f64().max(1e-6)
+fn ratio(took: time::Duration, typical_call_time: time::Duration) -> f64 {
+    took.as_secs_f64() / typical_call_time.as_secs_f64().max(1e-6)
 }
 
 #[cfg(test)]
--- a/crates/geraniumgauge/src/forward/tests/advice.rs
+++ b/crates/geraniumgauge/src/forward/tests/advice.rs
@@ -34,7 +34,7 @@
     let mut job = world.start(world::shards(2, 50));
     world.end(&mut job, 0, forward::Verdict::Advised(SLOW));
     let (first, moved) = (world.sends[0], world.sends[2]);
-    assert_eq!((moved.part, moved.why), (0, forward::Why::First));
+    assert_eq!((moved.part, moved.reason), (0, forward::CallReason::First));
     assert_ne!(moved.upstream, first.upstream);
     assert!(moved.mandatory, "a part is moved only once");
     world.end(&mut job, 1, world::good(b'a'));
@@ -59,10 +59,10 @@
     world.fleet.policy.extra_calls = 2.0;
     let mut job = world.start(world::shards(1, 50));
     world.advance_to(&mut job, 40);
-    assert_eq!(world.sends[1].why, forward::Why::Hedge);
+    assert_eq!(world.sends[1].reason, forward::CallReason::Hedge);
     world.end(&mut job, 1, forward::Verdict::Advised(SLOW));
     let moved = world.sends[2];
-    assert_eq!(moved.why, forward::Why::Hedge);
+    assert_eq!(moved.reason, forward::CallReason::Hedge);
     assert!(moved.mandatory);
     assert_ne!(moved.upstream, world.sends[0].upstream);
     assert_ne!(moved.upstream, world.sends[1].upstream);
@@ -129,12 +129,14 @@
     // Treats all data centres alike, so that no upstream is preferred as local.
     world.fleet.policy.remote_penalty = time::Duration::ZERO;
     let upstreams = world.fleet.registry.of(&world::name(0)).to_vec();
-    let typical = time::Duration::from_millis(10);
+    let typical_call_time = time::Duration::from_millis(10);
     let now = world.now;
     world.fleet.health(upstreams[0]).apply_advice(SLOW, now);
     let mut counts = [0; 3];
     for _ in 0..100 {
-        let chosen = world.fleet.choose(&world::name(0), &[], typical, now);
+        let chosen = world
+            .fleet
+            .choose(&world::name(0), &[], typical_call_time, now);
         let chosen = chosen.expect("an upstream");
         world.fleet.next_call();
         counts[chosen.index()] += 1;
@@ -148,7 +150,9 @@
     for upstream in &upstreams[1..] {
         world.fleet.health(*upstream).apply_advice(worse, now);
     }
-    let chosen = world.fleet.choose(&world::name(0), &[], typical, now);
+    let chosen = world
+        .fleet
+        .choose(&world::name(0), &[], typical_call_time, now);
     assert_eq!(chosen, Some(upstreams[0]));
 }
 
--- a/crates/geraniumgauge/src/registry/mod.rs
+++ b/crates/geraniumgauge/src/registry/mod.rs
@@ -14,8 +14,8 @@
 /// How long an upstream whose registration vanished without a drain may still be used
 /// if its service has no other. Registrations that lapsed during a store outage
 /// reappear within about two seconds of its end; until then a missing one doesn't
-/// mean that the upstream is gone. Must be well below the time allowed until requests
-/// to a departed upstream have stopped.
+/// mean that the upstream is gone. Must be well below the time within which requests to
+/// an upstream that has left must stop.
 pub const VANISHED_GRACE: time::Duration = time::Duration::from_millis(2000);
 
 /// The placeholder service of upstreams that are known only from other VMs' calls.
@@ -73,7 +73,7 @@
     pub warm_up: time::Duration,
     /// Start time by the upstream's own clock. The same id with another start
     /// time is another process, which knows nothing of the earlier one's requests.
-    pub born: clock::Wall,
+    pub started_at: clock::Wall,
 }
 
 /// Whether an upstream may be given requests.
@@ -177,7 +177,7 @@
         };
         let known = &mut self.upstreams[handle.index()];
         let moved = known.entry.address != entry.address || known.entry.service != entry.service;
-        if known.entry.born != entry.born || moved {
+        if known.entry.started_at != entry.started_at || moved {
             known.gone = true;
             return vec![Change::Gone(handle), self.add(entry, now)];
         }
@@ -290,7 +290,7 @@
             slots: 1,
             state: State::Ready,
             warm_up: time::Duration::ZERO,
-            born: clock::Wall(0),
+            started_at: clock::Wall(0),
         };
         let handle = self.push(entry, now);
         self.foreign.insert(id.clone(), handle);
