--- a/crates/geraniumgauge/src/document/load.rs
+++ b/crates/geraniumgauge/src/document/load.rs
@@ -22,7 +22,7 @@
 /// Time that one watch waits for changes. A watch whose connection is dead costs
 /// this and the client's grace period.
 const WATCH_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Watches between two listings of the prefix, which verify the revision.
+/// Number of watches after which the prefix is listed again, to verify the revision.
 const WATCHES_PER_LISTING: u32 = 5;
 /// Time between two checks of a VM that isn't a watcher whether it became one.
 const ROLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
--- a/crates/geraniumgauge/src/edge/frame.rs
+++ b/crates/geraniumgauge/src/edge/frame.rs
@@ -161,7 +161,7 @@
     /// The calls that ended.
     #[prost(message, repeated, tag = "1")]
     pub(super) ends: Vec<End>,
-    /// The top records of the good replies among them, in descending order.
+    /// The top records of the good replies to the calls in `ends`, in descending order.
     #[prost(bytes = "bytes", tag = "2")]
     pub(super) records: bytes::Bytes,
     /// The requester's ids of the batch's calls that have no reply yet. Set only
--- a/crates/geraniumgauge/src/edge/pool.rs
+++ b/crates/geraniumgauge/src/edge/pool.rs
@@ -20,7 +20,8 @@
 /// The connections to one upstream.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    /// Idle connections and since when they are, the most recently used one last.
+    /// Idle connections and the time at which each became idle, the most recently used
+    /// one last.
     pub(super) idle: Vec<(Link, clock::Moment)>,
     /// Number of connections that are open or being opened.
     pub(super) links: u32,
--- a/crates/geraniumgauge/src/edge/state/links.rs
+++ b/crates/geraniumgauge/src/edge/state/links.rs
@@ -383,7 +383,7 @@
     /// slots from calls, and most connections would be closed unused.
     fn preconnect(&mut self, upstream: registry::Handle) {
         let makes_calls = match self.relays.makes_own_calls() {
-            // `preconnect_all` does this once the other VMs are connection.
+            // `preconnect_all` does this once the other VMs are known.
             None => false,
             Some(true) => true,
             Some(false) => {
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Opens connections in advance to upstreams that became connection before the other
+    /// Opens connections in advance to upstreams that became known before the other
     /// VMs did.
     pub(in crate::edge) fn preconnect_all(&mut self) {
         let upstreams: Vec<registry::Handle> = self.fleet.registry.registered().collect();
--- a/crates/geraniumgauge/src/follow/inventory.rs
+++ b/crates/geraniumgauge/src/follow/inventory.rs
@@ -35,9 +35,9 @@
 /// The changes since an earlier revision, by object name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Objects written since then, with the revision of their last change.
+    /// Objects written since that revision, with the revision of their last change.
     pub put: Vec<(String, ids::Revision)>,
-    /// Objects deleted since then.
+    /// Objects deleted since that revision.
     pub gone: Vec<String>,
 }
 
--- a/crates/geraniumgauge/src/forward/relay.rs
+++ b/crates/geraniumgauge/src/forward/relay.rs
@@ -15,8 +15,7 @@
 use crate::ids;
 use crate::time as clock;
 
-/// Processor time of one call with its reply on the users' platform: the
-/// difference between a day with searches and one without.
+/// Processor time that a VM spends on one call and its reply.
 const CALL_PROCESSOR_TIME: time::Duration = time::Duration::from_micros(28);
 /// Time to make a search's own calls above which a VM delegates calls within
 /// its data centre to a larger VM. A hop within a data centre and the frames
--- a/crates/geraniumgauge/src/forward/tests/health.rs
+++ b/crates/geraniumgauge/src/forward/tests/health.rs
@@ -74,10 +74,9 @@
     );
 }
 
-/// An upstream declines four calls in ten although it has capacity, and answers
-/// the others fast. The other upstream accepts all. If both were chosen equally
-/// often, the declined calls would use up the budget for extra calls within
-/// seconds, and searches would lack parts.
+/// An upstream declines four calls in ten although it has capacity, and answers the others
+/// fast. Another accepts all. If both were chosen equally often, the declined calls would use
+/// up the budget for extra calls within seconds, and searches would lack parts.
 #[test]
 fn an_upstream_that_declines_for_no_reason_gets_few_calls() {
     let mut world = world::World::new(1, 2);
--- a/crates/geraniumgauge/src/forward/tests/hedge.rs
+++ b/crates/geraniumgauge/src/forward/tests/hedge.rs
@@ -24,10 +24,9 @@
     world.sends[SHARDS..].to_vec()
 }
 
-/// A VM with an eighth of a core delegates thirty calls. The frame with the
-/// replies comes a few milliseconds after the hedge time because one of the VMs
-/// was busy. The thirty parts must not be hedged, since their upstreams have
-/// replied in time and the extra calls would delay the next frames.
+/// A VM with an eighth of a core delegates thirty calls, and the frame with the replies is
+/// a few milliseconds past the hedge time because a VM was busy. The parts must not be
+/// hedged: their upstreams replied in time, and extra calls would delay the next frames.
 #[test]
 fn parts_of_a_frame_that_is_late_are_not_hedged() {
     for late_by in [1, 5] {
--- a/crates/geraniumgauge/src/forward/tests/job.rs
+++ b/crates/geraniumgauge/src/forward/tests/job.rs
@@ -200,10 +200,9 @@
     }
 }
 
-/// Both upstreams of a shard decline some calls although they have capacity.
-/// The shard must not be given up after one declined call to each, since the next
-/// call may be accepted. A shard that keeps declining is given up after a few
-/// calls.
+/// Both upstreams of a shard decline some calls although they have capacity. The shard must
+/// not be given up after one declined call to each, since the next may be accepted. A shard
+/// that keeps declining is given up after a few calls.
 #[test]
 fn upstreams_that_declined_are_tried_again_where_no_other_is_left() {
     let mut world = world::World::new(1, 2);
--- a/crates/geraniumgauge/src/forward/tests/relay.rs
+++ b/crates/geraniumgauge/src/forward/tests/relay.rs
@@ -122,10 +122,9 @@
     }
 }
 
-/// One of two large VMs freezes. The first search delegated to it finds its
-/// frame overdue, and later searches must not wait again. If it is the only
-/// relay it is still used, since ninety calls take a small VM longer than a
-/// late frame.
+/// One of two large VMs freezes. After the first search that finds its frame overdue, later
+/// searches must not wait for it. If it is the only relay it is still used, since ninety
+/// calls take a small VM longer than a late frame.
 #[test]
 fn a_silent_vm_is_asked_last_until_it_answers() {
     let fleet = vec![vm(1, "b", 0.5), vm(2, "b", 0.5)];
@@ -143,10 +142,9 @@
     }
 }
 
-/// Sixty VMs start at the same time. When each connected to every upstream of
-/// its data centre, the upstreams' limits were exceeded and handshakes took the
-/// slots of calls. Small VMs delegate their searches and need no connections,
-/// but a VM can't tell whether it is small until it knows the others.
+/// Sixty VMs start at the same time. When each connected to every upstream of its data centre,
+/// the upstreams' limits were exceeded and handshakes took the slots of calls. Small VMs delegate
+/// and need no connections, but can't tell that they are small until they know the others.
 #[test]
 fn only_vms_that_make_their_own_calls_connect_in_advance() {
     let data_centre = || "a".parse().expect("a name");
--- a/crates/geraniumgauge/src/query/gather/slot.rs
+++ b/crates/geraniumgauge/src/query/gather/slot.rs
@@ -32,7 +32,7 @@
 /// The state of a shard.
 #[derive(Debug, Clone)]
 pub(super) enum State {
-    /// No call at this pin yet.
+    /// No call has been sent at the present pin.
     Unsent,
     /// Calls are running.
     Running,
--- a/crates/geraniumgauge/src/query/upstreams.rs
+++ b/crates/geraniumgauge/src/query/upstreams.rs
@@ -26,9 +26,10 @@
     hedge: sync::Mutex<rate::Budget>,
     retry: sync::Mutex<rate::Budget>,
     times: sync::Mutex<times::Times>,
-    /// Hedge point in microseconds; zero until measured.
+    /// Time after which a call is hedged, in microseconds; zero until enough calls were
+    /// recorded.
     hedge_after: atomic::AtomicU64,
-    /// Median call time in microseconds; zero until measured.
+    /// Median call time in microseconds; zero until enough calls were recorded.
     typical_call_time: atomic::AtomicU64,
     /// Counter of the round robin.
     turn: atomic::AtomicUsize,
--- a/crates/geraniumgauge/src/spread/state/poll.rs
+++ b/crates/geraniumgauge/src/spread/state/poll.rs
@@ -14,8 +14,9 @@
 /// Age of the latest poll, in poll intervals, at which VMs that aren't pollers poll
 /// the store themselves. It is random, so that the first one can update the others.
 pub(super) const FALLBACK_DELAY_POLLS: std::ops::Range<f64> = 1.4..1.8;
-/// The same while a fleet starts for the first time. The pollers begin within this
-/// time.
+/// Age of the latest poll, in poll intervals, at which VMs that aren't pollers poll
+/// the store themselves while a fleet starts for the first time. The pollers begin
+/// within this time.
 const FIRST_START_FALLBACK_DELAY_POLLS: std::ops::Range<f64> = 1.4..2.6;
 /// Time without data from the store after which a poll in progress is reported as
 /// unavailability. The report has to arrive before the other VMs poll the store
@@ -34,7 +35,8 @@
 /// Longest time, in poll intervals, for which a VM without content waits for
 /// another VM's poll.
 const MAX_FIRST_POLL_DELAY_POLLS: f64 = 0.5;
-/// The same in a fleet that starts for the first time, whose VMs have yet to find
+/// Longest time, in poll intervals, for which a VM without content waits for another
+/// VM's poll in a fleet that starts for the first time, whose VMs have yet to find
 /// each other.
 const FIRST_START_DELAY_POLLS: f64 = 1.0;
 /// Retries per second of all VMs that aren't pollers together, while the store is
--- a/crates/geraniumgauge/src/spread/state/reliance.rs
+++ b/crates/geraniumgauge/src/spread/state/reliance.rs
@@ -104,7 +104,8 @@
         self.wait_for_answer(poll::FALLBACK_DELAY_POLLS.end, now);
     }
 
-    /// Does the same for a request that is queued behind others.
+    /// Waits for the answer to a request that is queued at another VM. The poll may be
+    /// postponed further than by [`Self::await_answer`].
     pub(super) fn await_queued_answer(&mut self, now: clock::Moment) {
         self.wait_for_answer(QUEUED_ANSWER_DEADLINE_POLLS, now);
     }
